--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -11,59 +11,57 @@
 	"persimmonrock.example/wire"
 )
 
-// maxAttempts bounds how many agents one call is sent to.
+// maxAttempts bounds the agents that one call is sent to.
 const maxAttempts = 4
 
-// dropAfter is how long the answer of an attempt is waited for when another
-// one has won. Until then the directory counts it, since it takes a slot.
-const dropAfter = 10 * time.Second
+// lateAnswerTimeout bounds the wait for an attempt's answer after its call has
+// ended. The directory counts the attempt until then, since it occupies a slot.
+const lateAnswerTimeout = 10 * time.Second
 
-// silentPatience is how long an idempotent call waits for a silent agent when
-// no other place or retry is to be had. Then its caller is told to come back,
+// unresponsiveTimeout bounds an idempotent call's wait for an unresponsive agent
+// when no other slot or retry is available. The refusal with Retry-After comes
 // within the time in which urgent work has to start.
-const silentPatience = 5 * time.Second
+const unresponsiveTimeout = 5 * time.Second
 
 // attempts is the state of one call over its attempts. One goroutine owns it;
-// exchanges report to it by the channels.
+// exchanges report to it over the channels.
 type attempts struct {
 	request    Request
 	idempotent bool
 	deadline   time.Time
-	// usual is the 95th percentile of the service's durations, if known.
-	usual time.Duration
-	tried []structs.InstanceID
-	count int
-	// mayHaveRun is set by the first attempt that isn't proved not to have
-	// started. See the package comment.
-	mayHaveRun bool
-	last       *structs.Refusal
-	underway   []*exchange
-	results    chan result
-	verdicts   chan verdict
+	// hedgeDelay is the 95th percentile of the service's durations, if known.
+	hedgeDelay time.Duration
+	tried      []structs.InstanceID
+	count      int
+	// mayHaveRun is set by the first attempt that may have started. See the
+	// package comment.
+	mayHaveRun   bool
+	lastRefusal  *structs.Refusal
+	inFlight     []*exchange
+	results      chan result
+	checkResults chan checkResult
 }
 
-// exchange is one attempt that is under way.
+// exchange is one attempt in flight.
 type exchange struct {
 	agent  directory.Agent
 	sent   time.Time
 	cancel context.CancelFunc
-	// checking and silent say what is known of the agent's liveness.
-	checking, silent bool
-	// hedge marks an attempt made beside another that was merely slow.
+	// checking is set during a liveness check; unresponsive is its last result.
+	checking, unresponsive bool
+	// hedge marks a second attempt made because the first was slow.
 	hedge bool
-	// lost is set when another attempt has won.
-	lost atomic.Bool
+	// abandoned is set when the call has ended without this attempt's answer.
+	abandoned atomic.Bool
 }
 
-// result is the end of an exchange.
 type result struct {
 	exchange *exchange
 	reply    wire.CallReply
 	err      error
 }
 
-// verdict is the end of a check of an exchange's agent.
-type verdict struct {
+type checkResult struct {
 	exchange *exchange
 	alive    bool
 }
@@ -71,13 +69,13 @@
 func newAttempts(r Request, idempotent bool, deadline time.Time) *attempts {
 	return &attempts{
 		request: r, idempotent: idempotent, deadline: deadline,
-		results: make(chan result, maxAttempts), verdicts: make(chan verdict, maxAttempts),
+		results: make(chan result, maxAttempts), checkResults: make(chan checkResult, maxAttempts),
 	}
 }
 
-// attempt sends the call to one agent after the other, as far as that is safe,
-// and returns the first whole answer. While an agent is silent another may be
-// tried beside it.
+// attempt sends the call to one agent after another, as far as that is safe,
+// and returns the first complete answer. While an agent is unresponsive, another
+// may be tried in parallel.
 func (s *Server) attempt(ctx context.Context, a *attempts) (Answer, *structs.Refusal) {
 	if refused := s.start(ctx, a); refused != nil {
 		return Answer{}, s.final(a, refused)
@@ -89,148 +87,147 @@
 		defer t.Stop()
 		slow = t.C
 	}
-	gone := ctx.Done()
+	done := ctx.Done()
 	for {
 		select {
 		case r := <-a.results:
-			answer, refused := s.ended(ctx, a, r)
+			answer, refused := s.handleResult(ctx, a, r)
 			if refused == nil {
-				s.won(a, r.exchange)
+				s.acceptWinner(a, r.exchange)
 				return answer, nil
 			}
-			if refused = s.goOn(ctx, a, refused); refused != nil {
+			if refused = s.retryOrWait(ctx, a, refused); refused != nil {
 				return Answer{}, s.final(a, refused)
 			}
-		case v := <-a.verdicts:
-			v.exchange.checking, v.exchange.silent = false, !v.alive
-			if refused := s.replaceSilent(ctx, a); refused != nil {
+		case c := <-a.checkResults:
+			c.exchange.checking, c.exchange.unresponsive = false, !c.alive
+			if refused := s.replaceUnresponsive(ctx, a); refused != nil {
 				s.dropOthers(a)
 				return Answer{}, s.final(a, refused)
 			}
 		case <-slow:
 			s.hedge(ctx, a)
 		case <-watch.C:
-			s.checkOwed(a)
-		case <-gone:
-			// Each exchange ends now and says whether it was sent.
-			gone = nil
+			s.checkPending(a)
+		case <-done:
+			// Each exchange ends now and reports whether it was sent.
+			done = nil
 			a.cancelAll()
 		}
 	}
 }
 
-// ended judges the end of one exchange.
-func (s *Server) ended(ctx context.Context, a *attempts, r result) (Answer, *structs.Refusal) {
+func (s *Server) handleResult(ctx context.Context, a *attempts, r result) (Answer, *structs.Refusal) {
 	a.remove(r.exchange)
 	if r.err != nil {
 		return Answer{}, s.exchangeFailed(ctx, a, r.exchange, r.err)
 	}
-	return s.judge(a, r.exchange.agent, r.reply)
+	return s.evaluate(a, r.exchange.agent, r.reply)
 }
 
-// goOn starts another attempt after a refused one, or waits for those under
-// way. It returns the refusal if neither is possible.
-func (s *Server) goOn(ctx context.Context, a *attempts, refused *structs.Refusal) *structs.Refusal {
-	a.last = refused
-	over := ctx.Err() != nil || (a.mayHaveRun && !a.idempotent) || pointless(refused) || a.count >= maxAttempts
-	if !over && !a.waiting() {
+// retryOrWait starts another attempt after a refused one, or waits for those in
+// flight. If neither is possible, it returns the refusal.
+func (s *Server) retryOrWait(ctx context.Context, a *attempts, refused *structs.Refusal) *structs.Refusal {
+	a.lastRefusal = refused
+	noRetry := ctx.Err() != nil || (a.mayHaveRun && !a.idempotent) || permanent(refused) || a.count >= maxAttempts
+	if !noRetry && !a.hasResponsive() {
 		refused = s.start(ctx, a)
 	}
-	if len(a.underway) > 0 {
+	if len(a.inFlight) > 0 {
 		return nil
 	}
 	return refused
 }
 
-// replaceSilent starts another attempt when all agents under way are silent,
-// or returns a refusal after silentPatience. Only an idempotent call is sent
-// again: the silent agent may have run it. Another waits for its own deadline,
-// since the agent may yet wake and answer.
-func (s *Server) replaceSilent(ctx context.Context, a *attempts) *structs.Refusal {
-	if !a.idempotent || a.waiting() || len(a.underway) == 0 || ctx.Err() != nil {
+// replaceUnresponsive starts another attempt when the agents of all attempts in
+// flight are unresponsive, or returns a refusal after unresponsiveTimeout. Only
+// an idempotent call is sent again: an unresponsive agent may have run it. Other
+// calls wait for their own deadline, since the agent may yet resume and answer.
+func (s *Server) replaceUnresponsive(ctx context.Context, a *attempts) *structs.Refusal {
+	if !a.idempotent || a.hasResponsive() || len(a.inFlight) == 0 || ctx.Err() != nil {
 		return nil
 	}
 	if a.count < maxAttempts && s.start(ctx, a) == nil {
 		return nil
 	}
-	last := a.underway[len(a.underway)-1]
-	if time.Since(last.sent) < silentPatience {
+	last := a.inFlight[len(a.inFlight)-1]
+	if time.Since(last.sent) < unresponsiveTimeout {
 		return nil
 	}
 	a.mayHaveRun = true
 	return &structs.Refusal{Type: structs.RefusedAnswerLost, Status: 502, Outcome: structs.Unknown,
-		Detail: "the agent has gone silent, and no other attempt was possible", Step: "call.wait", Peer: string(last.agent.Instance)}
+		Detail: "the agent does not respond, and no other attempt was possible", Step: "call.wait", Peer: string(last.agent.Instance)}
 }
 
-// checkOwed asks the agents that owe an answer and say nothing.
-func (s *Server) checkOwed(a *attempts) {
-	for _, x := range a.underway {
-		if x.checking || time.Since(x.sent) < checkAfter || s.liveness.heard(x.agent, checkAfter) {
+// checkPending checks agents that have not answered within checkAfter and sent
+// no other message in this time.
+func (s *Server) checkPending(a *attempts) {
+	for _, x := range a.inFlight {
+		if x.checking || time.Since(x.sent) < checkAfter || s.liveness.recentContact(x.agent, checkAfter) {
 			continue
 		}
 		x.checking = true
 		c := s.liveness.check(x.agent)
 		go func() {
 			<-c.done
-			a.verdicts <- verdict{x, c.alive}
+			a.checkResults <- checkResult{x, c.alive}
 		}()
 	}
 }
 
-// waiting reports whether an agent that isn't known to be silent is under way.
-func (a *attempts) waiting() bool {
-	for _, x := range a.underway {
-		if !x.silent {
+// hasResponsive reports whether an agent not known to be unresponsive is in use.
+func (a *attempts) hasResponsive() bool {
+	for _, x := range a.inFlight {
+		if !x.unresponsive {
 			return true
 		}
 	}
 	return false
 }
 
-// withoutBudget is the refusal when the customer has no retry left: the last
-// one, if there is one.
-func (a *attempts) withoutBudget() *structs.Refusal {
-	if a.last != nil {
-		return a.last
+// budgetExhausted is the refusal when no retry is left: the last one, if any.
+func (a *attempts) budgetExhausted() *structs.Refusal {
+	if a.lastRefusal != nil {
+		return a.lastRefusal
 	}
-	return &structs.Refusal{Type: structs.RefusedRetryBudget, Status: 503, Detail: "no retry is left", Step: "call.retry"}
+	return &structs.Refusal{Type: structs.RefusedRetryBudget, Status: 503, Detail: "the retry budget is exhausted", Step: "call.retry"}
 }
 
 func (a *attempts) remove(x *exchange) {
-	for i, y := range a.underway {
+	for i, y := range a.inFlight {
 		if x == y {
-			a.underway = append(a.underway[:i], a.underway[i+1:]...)
+			a.inFlight = append(a.inFlight[:i], a.inFlight[i+1:]...)
 			return
 		}
 	}
 }
 
 func (a *attempts) cancelAll() {
-	for _, x := range a.underway {
+	for _, x := range a.inFlight {
 		x.cancel()
 	}
 }
 
-// won counts what the winner of several attempts was, and drops the others.
-func (s *Server) won(a *attempts, x *exchange) {
+// acceptWinner counts a hedge that answered first, and drops the other attempts.
+func (s *Server) acceptWinner(a *attempts, x *exchange) {
 	if x.hedge {
 		s.Counters.HedgesWon.Add(1)
 	}
 	s.dropOthers(a)
 }
 
-// dropOthers tells the agents of the remaining exchanges that nobody waits any
-// more. Their answers are dropped and counted.
+// dropOthers cancels the remaining exchanges at their agents. Their answers are
+// dropped and counted.
 func (s *Server) dropOthers(a *attempts) {
-	for _, x := range a.underway {
-		x.lost.Store(true)
-		time.AfterFunc(dropAfter, x.cancel)
+	for _, x := range a.inFlight {
+		x.abandoned.Store(true)
+		time.AfterFunc(lateAnswerTimeout, x.cancel)
 		s.cancel(a.request.ID, x.agent)
-		s.liveness.doubt(x.agent, time.Since(x.sent))
+		s.liveness.checkAfterLoss(x.agent, time.Since(x.sent))
 	}
 }
 
-// start chooses an agent and makes one attempt there, or says why it can't. An
+// start chooses an agent and sends one attempt to it, or returns a refusal. An
 // attempt after the first costs a retry of the customer.
 func (s *Server) start(ctx context.Context, a *attempts) *structs.Refusal {
 	return s.startIf(ctx, a, func(decide.Candidate) bool {
@@ -238,7 +235,7 @@
 	})
 }
 
-// startIf is start with another rule, asked once there is a place.
+// startIf is start with another condition, evaluated once a candidate is chosen.
 func (s *Server) startIf(ctx context.Context, a *attempts, allowed func(decide.Candidate) bool) *structs.Refusal {
 	candidates, _ := s.dir.Service(a.request.Service)
 	if len(candidates) == 0 {
@@ -247,17 +244,17 @@
 	choices := toCandidates(candidates, a.request.Service)
 	index, hold := s.model.ChooseUrgent(s.query(a), choices)
 	if index < 0 {
-		return held(hold)
+		return holdRefusal(hold)
 	}
 	if !allowed(choices[index]) {
-		return a.withoutBudget()
+		return a.budgetExhausted()
 	}
 	s.send(ctx, a, candidates[index])
 	return nil
 }
 
-// send makes one attempt, whose end comes by a.results. It outlives ctx, so
-// that the caller's leaving and another attempt's answer can be told apart.
+// send makes one attempt, whose result arrives on a.results. It outlives ctx, so
+// that a caller's disconnect and another attempt's answer can be distinguished.
 func (s *Server) send(ctx context.Context, a *attempts, agent directory.Agent) {
 	a.count++
 	a.tried = append(a.tried, agent.Instance)
@@ -268,7 +265,7 @@
 	s.events.Record(structs.Event{Step: StepSent, Request: a.request.ID, Peer: string(agent.Instance), Epoch: structs.Epoch(a.count)})
 	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	x := &exchange{agent: agent, sent: time.Now(), cancel: cancel}
-	a.underway = append(a.underway, x)
+	a.inFlight = append(a.inFlight, x)
 	r := wire.CallRequest{
 		Request: a.request.ID, Attempt: a.count, Customer: a.request.Contract.Customer, Service: a.request.Service,
 		Headers: a.request.Headers, Body: a.request.Body, Budget: time.Until(a.deadline), Revision: a.request.Revision,
@@ -284,7 +281,7 @@
 		if err == nil && reply.Refused == nil {
 			s.latencies.add(r.Service, time.Since(x.sent))
 		}
-		if x.lost.Load() && err == nil {
+		if x.abandoned.Load() && err == nil {
 			s.Counters.Dropped.Add(1)
 		}
 		a.results <- result{x, reply, err}
--- a/entry/urgent/budget.go
+++ b/entry/urgent/budget.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/structs"
 )
 
-// budgetShards is the number of locks that customers' budgets are spread over.
+// budgetShards is the number of locks over which customers' budgets are spread.
 const budgetShards = 16
 
 // Budgets bounds retries per customer by decide.RetryBudget.
@@ -29,7 +29,7 @@
 	return &b.shards[int(structs.ShardOf(c))%budgetShards]
 }
 
-// Call notes a call of c, which earns part of a retry.
+// Call records a call of c, which earns part of a retry.
 func (b *Budgets) Call(c structs.Customer) {
 	s := b.shard(c)
 	s.mu.Lock()
@@ -37,7 +37,7 @@
 	s.budget.Call(time.Since(b.started), c)
 }
 
-// Retry spends one retry of c and reports whether there was one.
+// Retry spends one retry of c and reports whether one was available.
 func (b *Budgets) Retry(c structs.Customer) bool {
 	s := b.shard(c)
 	s.mu.Lock()
@@ -45,7 +45,7 @@
 	return s.budget.Retry(time.Since(b.started), c)
 }
 
-// Hedge spends one retry of c on a second attempt beside the first, if
+// Hedge spends one retry of c on a second attempt parallel to the first, if
 // decide.RetryBudget allows it.
 func (b *Budgets) Hedge(c structs.Customer, idempotent bool, waited, p95, remaining time.Duration) bool {
 	s := b.shard(c)
--- a/entry/urgent/call.go
+++ b/entry/urgent/call.go
@@ -9,7 +9,7 @@
 	"persimmonrock.example/wire"
 )
 
-// Request is one urgent call as the caller made it.
+// Request is one urgent call as received from the caller.
 type Request struct {
 	ID       structs.RequestID
 	Contract structs.Contract
@@ -18,23 +18,23 @@
 	Body     []byte
 	// Key is the caller's Idempotency-Key, or "".
 	Key string
-	// Revision is the configuration that the call is decided under.
+	// Revision is the configuration under which the call is scheduled.
 	Revision structs.Revision
 }
 
-// Answer is the whole answer of a backend server.
+// Answer is the complete answer of a backend server.
 type Answer struct {
 	Status  int
 	Headers []wire.Header
 	Body    []byte
-	// Instance served the call; Replayed says that the answer comes from the
+	// Instance served the call; Replayed is set if the answer comes from the
 	// record of an earlier attempt.
 	Instance structs.InstanceID
 	Replayed bool
 }
 
-// Call serves one call until its answer, or a refusal, or the end of ctx's
-// deadline, which must be set.
+// Call serves one call until it is answered or refused, or until the deadline
+// of ctx, which must be set.
 func (s *Server) Call(ctx context.Context, r Request) (Answer, *structs.Refusal) {
 	s.Counters.Calls.Add(1)
 	s.events.Record(structs.Event{Step: StepReceived, Request: r.ID, Customer: r.Contract.Customer, Detail: string(r.Service)})
@@ -74,7 +74,7 @@
 }
 
 // idempotent reports whether every backend server of the service has declared
-// it so; one that hasn't makes the whole service non-idempotent.
+// it idempotent; one that hasn't makes the whole service non-idempotent.
 func idempotent(agents []directory.Agent, service structs.Service) bool {
 	for _, a := range agents {
 		for _, l := range a.Load.Services {
--- a/entry/urgent/call_test.go
+++ b/entry/urgent/call_test.go
@@ -18,9 +18,9 @@
 	"persimmonrock.example/wire"
 )
 
-// script is a Directory, a Dialer and the peer of every agent at once: answer
-// says what becomes of the n-th attempt, counted from 0.
-type script struct {
+// fakePeers is a Directory, a Dialer and the peer of every agent at once: answer
+// returns the result of the n-th attempt, counted from 0.
+type fakePeers struct {
 	wire.AgentPeer
 	agents   []directory.Agent
 	answer   func(ctx context.Context, n int, r wire.CallRequest) (wire.CallReply, error)
@@ -29,26 +29,26 @@
 	suspects int
 }
 
-func (s *script) Service(structs.Service) ([]directory.Agent, bool) { return s.agents, true }
-func (s *script) Begin(structs.InstanceID) func()                   { return func() {} }
-func (s *script) Suspect(structs.InstanceID)                        { s.suspects++ }
-func (s *script) Update(wire.Load)                                  {}
-func (s *script) Age(structs.InstanceID) (time.Duration, bool)      { return 0, true }
-func (s *script) SetSilent(structs.InstanceID, bool)                {}
-func (s *script) Agent(string) wire.AgentPeer                       { return s }
-func (s *script) Entry(string) wire.EntryPeer                       { return nil }
+func (s *fakePeers) Service(structs.Service) ([]directory.Agent, bool) { return s.agents, true }
+func (s *fakePeers) Begin(structs.InstanceID) func()                   { return func() {} }
+func (s *fakePeers) Suspect(structs.InstanceID)                        { s.suspects++ }
+func (s *fakePeers) Update(wire.Load)                                  {}
+func (s *fakePeers) Age(structs.InstanceID) (time.Duration, bool)      { return 0, true }
+func (s *fakePeers) SetSilent(structs.InstanceID, bool)                {}
+func (s *fakePeers) Agent(string) wire.AgentPeer                       { return s }
+func (s *fakePeers) Entry(string) wire.EntryPeer                       { return nil }
 
-func (s *script) Call(ctx context.Context, r wire.CallRequest) (wire.CallReply, error) {
+func (s *fakePeers) Call(ctx context.Context, r wire.CallRequest) (wire.CallReply, error) {
 	s.attempts++
 	return s.answer(ctx, s.attempts-1, r)
 }
 
-func (s *script) Cancel(context.Context, wire.CancelRequest) error {
+func (s *fakePeers) Cancel(context.Context, wire.CancelRequest) error {
 	s.cancels++
 	return nil
 }
 
-func newServer(s *script, agents int, idempotent bool) *Server {
+func newServer(s *fakePeers, agents int, idempotent bool) *Server {
 	for i := range agents {
 		s.agents = append(s.agents, directory.Agent{Instance: structs.InstanceID(fmt.Sprint(i)), Load: wire.Load{
 			Free: structs.Resources{Slots: 8}, Services: []wire.ServiceLoad{{Service: "claims", Idempotent: idempotent, Slots: 8}}}})
@@ -64,7 +64,7 @@
 	return s.Call(ctx, Request{ID: structs.RequestID(id), Contract: structs.Contract{Customer: "kowhai"}, Service: "claims", Key: key})
 }
 
-func answered(r wire.CallRequest) (wire.CallReply, error) {
+func okReply(r wire.CallRequest) (wire.CallReply, error) {
 	return wire.CallReply{Request: r.Request, Status: 200}, nil
 }
 
@@ -83,9 +83,9 @@
 	}
 }
 
-// firstAttempts are the ends of a first attempt. One that is proved not to
-// have started may be followed by another; one that isn't, only if the call is
-// idempotent; none once the deadline has passed.
+// firstAttempts are the results of a first attempt. An attempt that is proved
+// not to have started may be followed by another; one that isn't, only if the
+// call is idempotent; none once the deadline has passed.
 var firstAttempts = []struct {
 	name         string
 	do           func(context.Context, wire.CallRequest) (wire.CallReply, error)
@@ -99,24 +99,24 @@
 	{"error of another kind", func(context.Context, wire.CallRequest) (wire.CallReply, error) {
 		return wire.CallReply{}, errors.New("other")
 	}, false, false},
-	{"reply of another request", func(context.Context, wire.CallRequest) (wire.CallReply, error) {
+	{"reply to another request", func(context.Context, wire.CallRequest) (wire.CallReply, error) {
 		return wire.CallReply{Request: "other", Status: 200}, nil
 	}, false, false},
 	{"deadline while connecting", failing(false, true), true, true},
 	{"deadline while waiting", failing(true, true), false, true},
 }
 
-func TestWhatFollowsAFirstAttempt(t *testing.T) {
+func TestRetryAfterFirstAttempt(t *testing.T) {
 	for _, first := range firstAttempts {
 		for _, idempotent := range []bool{false, true} {
 			for _, agents := range []int{1, 2} {
 				t.Run(fmt.Sprintf("%s, idempotent %t, %d agents", first.name, idempotent, agents), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						s := &script{answer: func(ctx context.Context, n int, r wire.CallRequest) (wire.CallReply, error) {
+						s := &fakePeers{answer: func(ctx context.Context, n int, r wire.CallRequest) (wire.CallReply, error) {
 							if n == 0 {
 								return first.do(ctx, r)
 							}
-							return answered(r)
+							return okReply(r)
 						}}
 						_, refused := call(newServer(s, agents, idempotent), "r-1", "")
 						synctest.Wait()
@@ -131,7 +131,7 @@
 						case !again && (refused == nil || s.attempts != 1 || refused.Outcome != want || refused.RetryAfter <= 0):
 							t.Errorf("%d attempts, %+v; want one, %s, with Retry-After", s.attempts, refused, want)
 						case first.late && (refused.Type != structs.RefusedDeadline || s.cancels != 1 || s.suspects != 0):
-							t.Errorf("%v, %d cancels, %d suspects; want the agent told, and not suspected", refused, s.cancels, s.suspects)
+							t.Errorf("%v, %d cancels, %d suspects; want one cancel, and the agent not suspected", refused, s.cancels, s.suspects)
 						}
 					})
 				})
@@ -140,13 +140,13 @@
 	}
 }
 
-// In a lasting outage every attempt fails and other agents are always known.
-// Callers are refused at once, and the attempts stay under 1.1 a call, so that
-// retries don't multiply the load on what is left.
+// In a long outage every attempt fails and other agents are always known.
+// Callers are refused at once, with fewer than 1.1 attempts a call, so that
+// retries don't multiply the load on the remaining agents.
 func TestRetriesInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 1000
-		s := &script{answer: func(ctx context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) {
+		s := &fakePeers{answer: func(ctx context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) {
 			return failing(false, false)(ctx, r)
 		}}
 		server := newServer(s, 8, true)
@@ -165,24 +165,24 @@
 	})
 }
 
-// The last load of every agent says that all slots are taken, by calls of
-// another entry or by batch tasks. Shortly after, callers are refused without
-// an attempt. Once the word is old it may long be wrong, and one call at a
-// time finds out; otherwise free slots stayed unused until a heartbeat.
-func TestOldWordThatAnAgentIsFull(t *testing.T) {
+// The last load of every agent reports that all slots are taken, by calls of
+// another entry or by batch tasks. While the report is recent, callers are
+// refused without an attempt. An older report may be wrong, and one call at a
+// time finds out; otherwise free slots stay unused until a heartbeat.
+func TestStaleReportOfNoFreeSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		inUse, free, outstanding int
 		age                      time.Duration
 		sent                     bool
 	}{
-		"calls, just now":           {8, 4, 0, fullFor, false},
-		"calls, long ago":           {8, 4, 0, fullFor + 1, true},
-		"tasks, just now":           {0, 0, 0, fullFor, false},
-		"tasks, long ago":           {0, 0, 0, fullFor + 1, true},
-		"more than all, long ago":   {9, -3, 0, fullFor + 1, true},
-		"long ago, but one is sent": {8, 4, 1, fullFor + 1, false},
+		"calls, just now":               {8, 4, 0, fullReportMaxAge, false},
+		"calls, long ago":               {8, 4, 0, fullReportMaxAge + 1, true},
+		"tasks, just now":               {0, 0, 0, fullReportMaxAge, false},
+		"tasks, long ago":               {0, 0, 0, fullReportMaxAge + 1, true},
+		"more than all slots, long ago": {9, -3, 0, fullReportMaxAge + 1, true},
+		"long ago, one outstanding":     {8, 4, 1, fullReportMaxAge + 1, false},
 	} {
-		s := &script{answer: func(_ context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) { return answered(r) }}
+		s := &fakePeers{answer: func(_ context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) { return okReply(r) }}
 		server := newServer(s, 1, true)
 		a := &s.agents[0]
 		a.Load.Services[0].InUse, a.Load.Free.Slots, a.Outstanding, a.Age = c.inUse, c.free, c.outstanding, c.age
@@ -193,10 +193,10 @@
 	}
 }
 
-// A caller repeats a call that isn't idempotent under one Idempotency-Key. A
-// first attempt that is proved not to have run leaves the key free, one that
-// may have run is never repeated, and one that was answered gives its answer
-// again. A key that can't be a row's name leaves nothing to be written.
+// A caller repeats a call that isn't idempotent under one Idempotency-Key. After
+// a first attempt that is proved not to have run, the key can be used again; one
+// that may have run is never repeated; and the answer of one that was answered is
+// replayed. For a key that can't be a row's name, no write stays pending.
 func TestRepeatOfAKeyedCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		do       func(context.Context, wire.CallRequest) (wire.CallReply, error)
@@ -207,21 +207,21 @@
 		"not run":  {refusing(structs.NotRun), 2, "", false},
 		"unknown":  {refusing(structs.Unknown), 1, structs.RefusedInProgress, false},
 		"lost":     {failing(true, false), 1, structs.RefusedInProgress, false},
-		"answered": {func(_ context.Context, r wire.CallRequest) (wire.CallReply, error) { return answered(r) }, 1, "", true},
+		"answered": {func(_ context.Context, r wire.CallRequest) (wire.CallReply, error) { return okReply(r) }, 1, "", true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &script{answer: func(ctx context.Context, n int, r wire.CallRequest) (wire.CallReply, error) {
+			s := &fakePeers{answer: func(ctx context.Context, n int, r wire.CallRequest) (wire.CallReply, error) {
 				if n == 0 {
 					return c.do(ctx, r)
 				}
-				return answered(r)
+				return okReply(r)
 			}}
 			server := newServer(s, 1, false)
 			defer server.Records().Close()
 			call(server, "r-1", "key")
 			if name == "not run" {
-				// Its caller comes back sooner than an answer's record is written.
-				time.Sleep(endGather / 2)
+				// The caller retries sooner than an answer's record is written.
+				time.Sleep(deferrableDelay / 2)
 			} else {
 				time.Sleep(time.Second)
 			}
--- a/entry/urgent/candidates.go
+++ b/entry/urgent/candidates.go
@@ -17,25 +17,25 @@
 	}
 }
 
-// fullFor is how long an agent's word that it has no free slot is believed.
+// fullReportMaxAge is the age up to which a report of no free slots is trusted.
 //
-// Failure guarded against: the last load that this entry got says full, for
-// calls of another entry that have long ended. No call is sent there, so no
-// answer corrects it, and callers are refused until the next heartbeat, which
-// among many agents is a minute away. From fullFor on one call at a time is
-// sent there as to a last free slot; the agent admits it, or refuses it with
-// proof that it has not run, and either answer brings its load.
-const fullFor = time.Second
+// Failure guarded against: the last load that this entry received reports all
+// slots taken, by calls of another entry that ended long ago. No call is sent
+// there, so no answer corrects the load, and callers are refused until the next
+// heartbeat, a minute away with many agents. After fullReportMaxAge one call at
+// a time is sent as if to a last free slot; the agent admits it, or refuses it
+// with proof that it has not run, and either answer carries its load.
+const fullReportMaxAge = time.Second
 
-// toCandidates shows agents to the choice. Overdue agents are passed over like
+// toCandidates converts agents to candidates. Overdue agents are excluded like
 // suspect ones, unless all are overdue: then the entry itself may have been
-// paused or cut off, and a try is better than a refusal.
+// paused or cut off, and an attempt is better than a refusal.
 func toCandidates(agents []directory.Agent, service structs.Service) []decide.Candidate {
 	out := make([]decide.Candidate, 0, len(agents))
-	timely := slices.ContainsFunc(agents, func(a directory.Agent) bool { return !a.Overdue })
+	anyTimely := slices.ContainsFunc(agents, func(a directory.Agent) bool { return !a.Overdue })
 	for _, a := range agents {
 		c := decide.Candidate{
-			Instance: a.Instance, Zone: a.Zone, Draining: a.Load.Draining, Suspect: a.Suspect || a.Overdue && timely,
+			Instance: a.Instance, Zone: a.Zone, Draining: a.Load.Draining, Suspect: a.Suspect || a.Overdue && anyTimely,
 			Age: a.Age, Batch: a.Load.Batch, Outstanding: a.Outstanding,
 		}
 		for _, l := range a.Load.Services {
@@ -48,12 +48,12 @@
 	return out
 }
 
-// addLoad takes the service's load over. The instance's free slots bound the
+// addLoad copies the service's load into c. The instance's free slots bound the
 // service's own, since other services and batch tasks share them.
 func addLoad(c *decide.Candidate, a directory.Agent, l wire.ServiceLoad) {
 	c.InUse, c.ServiceTime, c.Leaving = l.InUse, l.ServiceTime, l.Leaving
 	c.Slots = min(l.Slots, l.InUse+a.Load.Free.Slots)
-	if a.Age > fullFor && l.Slots > 0 && c.InUse >= c.Slots {
+	if a.Age > fullReportMaxAge && l.Slots > 0 && c.InUse >= c.Slots {
 		c.InUse = min(c.InUse, l.Slots-1)
 		c.Slots = c.InUse + 1
 	}
--- a/entry/urgent/doc.go
+++ b/entry/urgent/doc.go
@@ -1,10 +1,10 @@
 // Package urgent serves urgent calls: it chooses an agent, sends the call,
-// and decides after a failed attempt whether another one is safe.
+// and decides after a failed attempt whether another attempt is safe.
 //
-// The rule is one flag, mayHaveRun. It is false while each attempt so far is
+// The flag mayHaveRun decides this. It is false while every attempt so far is
 // proved not to have started: the request was never sent, or the agent refused
-// it before admission. A final refusal says not_run only while it is false,
-// and a call that is not idempotent is sent again only while it is false. Two
-// attempts are under way at once only of an idempotent call: when the first is
-// slower than usual (hedge.go), or its agent says nothing (liveness.go).
+// it before admission. Only while it is false may a final refusal say not_run,
+// and a call that is not idempotent be sent again. Only an idempotent call has
+// two attempts in flight at once: when the first is slower than the 95th
+// percentile (hedge.go), or its agent is unresponsive (liveness.go).
 package urgent
--- a/entry/urgent/fleet_test.go
+++ b/entry/urgent/fleet_test.go
@@ -18,28 +18,28 @@
 	"persimmonrock.example/wire"
 )
 
-// fleet is a number of agents behind a real directory, in fake time.
+// fleet is a number of fake agents with a real directory, in fake time.
 type fleet struct {
 	dir    *directory.Directory
 	server *Server
 
 	mu     sync.Mutex
 	agents map[string]*fakeAgent
-	// ran counts how often each request was started by a backend server.
-	ran map[structs.RequestID]int
+	// starts counts the starts of each request by a backend server.
+	starts map[structs.RequestID]int
 	// unmeasured agents report no service times, as at their start, so that
-	// the choice is by chance.
+	// the choice is random.
 	unmeasured bool
 }
 
-// fakeAgent answers calls after work, whoever waits, and reports the median;
-// while frozen is open it says nothing.
+// fakeAgent answers calls after work, even if the caller has left, and reports
+// the median; while frozen is open it sends nothing.
 type fakeAgent struct {
 	wire.AgentPeer
 	fleet    *fleet
 	instance structs.InstanceID
 	work     func() time.Duration
-	// factor makes work slower.
+	// factor multiplies the duration of work.
 	factor     time.Duration
 	idempotent bool
 
@@ -51,13 +51,13 @@
 	cancels  int
 }
 
-var errGone = errors.New("given up")
+var errCallerLeft = errors.New("caller left")
 
 // newFleet starts n agents of the service "claims" with 60 slots each.
 func newFleet(n int, idempotent bool, work func(i int) time.Duration) *fleet {
-	f := &fleet{agents: make(map[string]*fakeAgent), ran: make(map[structs.RequestID]int)}
+	f := &fleet{agents: make(map[string]*fakeAgent), starts: make(map[structs.RequestID]int)}
 	f.dir = directory.New("e:1", nil, f, structs.NoEvents{}, zerolog.Nop())
-	// The pace of 1,000 agents: nothing is overdue within the tests.
+	// The heartbeat interval with 1,000 agents: none is overdue within the tests.
 	f.dir.SetPace(160 * time.Second)
 	for i := range n {
 		address := fmt.Sprint("a:", i)
@@ -78,9 +78,9 @@
 // Entry implements wire.Dialer.
 func (f *fleet) Entry(string) wire.EntryPeer { return nil }
 
-// usually makes 200 calls, each a little shorter than the one before: none is
-// longer than usual, and the customer's retry budget is full.
-func (f *fleet) usually(work *time.Duration) {
+// warmUp makes 200 calls, each a little shorter than the one before: none
+// exceeds the 95th percentile, and the customer's retry budget is full.
+func (f *fleet) warmUp(work *time.Duration) {
 	*work = 40 * time.Millisecond
 	for i := range 200 {
 		f.call(fmt.Sprint("usual-", i), time.Second)
@@ -88,7 +88,6 @@
 	}
 }
 
-// call makes one call and says how long it took.
 func (f *fleet) call(id string, timeout time.Duration) (Answer, *structs.Refusal, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -110,8 +109,8 @@
 		Services: []wire.ServiceLoad{{Service: "claims", Idempotent: a.idempotent, Slots: 60, ServiceTime: median}}}
 }
 
-// ail makes the agent "silent", with its connections open, or "slow".
-func (a *fakeAgent) ail(kind string) {
+// impair makes the agent "silent", with its connections open, or "slow".
+func (a *fakeAgent) impair(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch kind {
@@ -131,8 +130,8 @@
 	a.frozen, a.factor = nil, 1
 }
 
-// awake waits until the agent isn't frozen or the caller has given up.
-func (a *fakeAgent) awake(ctx context.Context) bool {
+// awaitUnfrozen reports false if the caller leaves before the agent is unfrozen.
+func (a *fakeAgent) awaitUnfrozen(ctx context.Context) bool {
 	a.mu.Lock()
 	frozen := a.frozen
 	a.mu.Unlock()
@@ -147,8 +146,7 @@
 	}
 }
 
-// met returns how many calls were sent to the agent.
-func (a *fakeAgent) met() int {
+func (a *fakeAgent) received() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
@@ -159,12 +157,12 @@
 	a.mu.Lock()
 	a.calls++
 	a.mu.Unlock()
-	lost := &wire.PeerError{Sent: true, Err: errGone}
-	if !a.awake(ctx) {
+	lost := &wire.PeerError{Sent: true, Err: errCallerLeft}
+	if !a.awaitUnfrozen(ctx) {
 		return wire.CallReply{}, lost
 	}
 	a.fleet.mu.Lock()
-	a.fleet.ran[r.Request]++
+	a.fleet.starts[r.Request]++
 	a.fleet.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
@@ -182,7 +180,7 @@
 	case <-ctx.Done():
 		return wire.CallReply{}, lost
 	}
-	if !a.awake(ctx) {
+	if !a.awaitUnfrozen(ctx) {
 		return wire.CallReply{}, lost
 	}
 	return wire.CallReply{Request: r.Request, Status: 200, Load: a.load()}, nil
@@ -190,8 +188,8 @@
 
 // Load implements wire.AgentPeer.
 func (a *fakeAgent) Load(ctx context.Context) (wire.Load, error) {
-	if !a.awake(ctx) {
-		return wire.Load{}, &wire.PeerError{Sent: true, Err: errGone}
+	if !a.awaitUnfrozen(ctx) {
+		return wire.Load{}, &wire.PeerError{Sent: true, Err: errCallerLeft}
 	}
 	return a.load(), nil
 }
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -13,17 +13,17 @@
 	"persimmonrock.example/infra"
 )
 
-// How record writes are gathered.
+// Bounds of the group commit of records.
 const (
-	// beginGather is how long the begin of a call waits for others at most,
-	// while another write is under way; with none it is sent at once.
-	beginGather = 5 * time.Millisecond
-	// endGather is how long the answer of a call waits for a begin to go with.
-	// Its caller has it already.
-	endGather = 50 * time.Millisecond
-	// groupBytes ends a transaction early, so that a begin doesn't wait for
-	// the transfer of long answers.
-	groupBytes = 64 << 10
+	// promptDelay bounds the wait of a prompt write for others while a
+	// transaction is in flight; otherwise it is sent at once.
+	promptDelay = 5 * time.Millisecond
+	// deferrableDelay bounds the wait of a deferrable write (an answer that its
+	// caller already has) for a prompt one.
+	deferrableDelay = 50 * time.Millisecond
+	// maxGroupBytes bounds a transaction, so that a prompt write doesn't wait
+	// for the transfer of long answers.
+	maxGroupBytes = 64 << 10
 )
 
 // recordWrite is the conditional write of one record.
@@ -31,13 +31,12 @@
 	ctx   context.Context
 	cond  infra.Cond
 	value []byte
-	done  chan written
-	// taken is set when it goes into a transaction, or is dropped.
-	taken bool
+	done  chan writeOutcome
+	// dequeued is set when the write goes into a transaction, or is dropped.
+	dequeued bool
 }
 
-// written is what became of a recordWrite.
-type written struct {
+type writeOutcome struct {
 	version uint64
 	err     error
 }
@@ -45,35 +44,35 @@
 // groupWriter gathers the writes of several records into one transaction. Each
 // write has its own outcome, as if it had been sent alone.
 type groupWriter struct {
-	table infra.Table
-	life  context.Context
-	// rows bounds the records of one transaction.
-	rows int
+	table    infra.Table
+	lifetime context.Context
+	// maxRows bounds the records of one transaction.
+	maxRows int
 
 	mu sync.Mutex
-	// begins and ends wait; busy counts transactions under way.
-	begins, ends []*recordWrite
-	busy         int
+	// prompt and deferred are queues; committing counts active calls of run.
+	prompt, deferred []*recordWrite
+	committing       int
 
-	// Transactions counts what was sent, Alone the records whose outcome had
-	// to be found by themselves.
-	Transactions, Alone atomic.Int64
+	// Transactions counts transactions sent, Resolved records written separately
+	// after an unknown outcome.
+	Transactions, Resolved atomic.Int64
 }
 
-func newGroupWriter(life context.Context, table infra.Table) *groupWriter {
-	return &groupWriter{table: table, life: life, rows: infra.MaxTxnRows}
+func newGroupWriter(lifetime context.Context, table infra.Table) *groupWriter {
+	return &groupWriter{table: table, lifetime: lifetime, maxRows: infra.MaxTxnRows}
 }
 
 // write writes a record on the condition of its version and returns the new
-// version. Errors are those of infra.CommitOnce. An end waits longer for
-// others than a begin does.
-func (g *groupWriter) write(ctx context.Context, cond infra.Cond, value []byte, end bool) (uint64, error) {
-	// One key that the store refuses would refuse the whole transaction.
+// version. Errors are those of infra.CommitOnce. A deferrable write waits longer
+// for others.
+func (g *groupWriter) write(ctx context.Context, cond infra.Cond, value []byte, deferrable bool) (uint64, error) {
+	// The store refuses a whole transaction for one invalid key.
 	if err := infra.CheckKey(cond.Key); err != nil {
 		return 0, err
 	}
-	w := &recordWrite{ctx: ctx, cond: cond, value: value, done: make(chan written, 1)}
-	g.add(w, end)
+	w := &recordWrite{ctx: ctx, cond: cond, value: value, done: make(chan writeOutcome, 1)}
+	g.add(w, deferrable)
 	select {
 	case o := <-w.done:
 		return o.version, o.err
@@ -82,45 +81,45 @@
 	}
 }
 
-func (g *groupWriter) add(w *recordWrite, end bool) {
+func (g *groupWriter) add(w *recordWrite, deferrable bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if end {
-		g.ends = append(g.ends, w)
-		g.flushAfter(endGather, w)
+	if deferrable {
+		g.deferred = append(g.deferred, w)
+		g.flushAfter(deferrableDelay, w)
 		return
 	}
-	g.begins = append(g.begins, w)
-	if g.busy == 0 {
-		g.busy++
+	g.prompt = append(g.prompt, w)
+	if g.committing == 0 {
+		g.committing++
 		go g.run()
 		return
 	}
-	g.flushAfter(beginGather, w)
+	g.flushAfter(promptDelay, w)
 }
 
-// flushAfter sends what waits if w still does after d, also beside a transaction
-// that is under way: one that the store doesn't answer holds nobody else up.
+// flushAfter sends the queued writes if w is still queued after d, even while a
+// transaction is in flight: one that the store doesn't answer delays no others.
 func (g *groupWriter) flushAfter(d time.Duration, w *recordWrite) {
 	time.AfterFunc(d, func() {
 		g.mu.Lock()
-		if w.taken {
+		if w.dequeued {
 			g.mu.Unlock()
 			return
 		}
-		g.busy++
+		g.committing++
 		g.mu.Unlock()
 		g.run()
 	})
 }
 
-// run sends transactions until no begin waits.
+// run commits transactions until no prompt write is queued.
 func (g *groupWriter) run() {
 	for {
-		g.commit(g.take())
+		g.commit(g.dequeue())
 		g.mu.Lock()
-		if len(g.begins) == 0 {
-			g.busy--
+		if len(g.prompt) == 0 {
+			g.committing--
 			g.mu.Unlock()
 			return
 		}
@@ -128,9 +127,9 @@
 	}
 }
 
-// take takes the writes of one transaction, begins first. A key can stand in it
-// once, and a write whose caller has left is dropped before it has any effect.
-func (g *groupWriter) take() []*recordWrite {
+// dequeue returns the writes of one transaction, prompt ones first. A key occurs
+// once at most, and a write whose context has ended is dropped without effect.
+func (g *groupWriter) dequeue() []*recordWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []*recordWrite
@@ -138,12 +137,12 @@
 	bytes := 0
 	pick := func(waiting []*recordWrite) (left []*recordWrite) {
 		for _, w := range waiting {
-			fits := len(out) == 0 || len(out) < g.rows && bytes+len(w.value) <= groupBytes
-			w.taken = true
+			fits := len(out) == 0 || len(out) < g.maxRows && bytes+len(w.value) <= maxGroupBytes
+			w.dequeued = true
 			switch {
 			case w.ctx.Err() != nil:
 			case !fits || keys[w.cond.Key]:
-				w.taken = false
+				w.dequeued = false
 				left = append(left, w)
 			default:
 				out = append(out, w)
@@ -153,10 +152,10 @@
 		}
 		return left
 	}
-	g.begins = pick(g.begins)
-	g.ends = pick(g.ends)
-	if len(g.ends) > 0 {
-		g.flushAfter(endGather, g.ends[0])
+	g.prompt = pick(g.prompt)
+	g.deferred = pick(g.deferred)
+	if len(g.deferred) > 0 {
+		g.flushAfter(deferrableDelay, g.deferred[0])
 	}
 	return out
 }
@@ -164,53 +163,52 @@
 // commit writes ws in one transaction.
 //
 // Failures guarded against: one record was changed by another attempt, and the
-// conflict fails all; or the answer is lost, and callers are told of a record
-// that was not written, or the other way round. After a conflict, which proves
-// that nothing was applied, the one record gets it and the rest is sent again.
-// After an unknown outcome each record is written by itself, under the same
-// operation ID and the same condition on its version. So at most one of the two
-// writes can change the record, however late the first one lands, and a row
-// that names the operation proves that one of them did.
+// conflict fails all; or the answer is lost, and a record that was not written
+// is reported as written, or the other way round. After a conflict, which proves
+// that nothing was applied, the conflicting write fails and the rest is sent
+// again. After an unknown outcome each record is written separately, under the
+// same operation ID and the same condition on its version. So at most one of the
+// two writes can change the record, however late the first one is applied, and a
+// row that names the operation proves that one of them did.
 func (g *groupWriter) commit(ws []*recordWrite) {
 	for len(ws) > 0 {
 		op := "calls/" + rand.Text()
 		g.Transactions.Add(1)
-		ctx, cancel := context.WithTimeout(g.life, beginTimeout)
+		ctx, cancel := context.WithTimeout(g.lifetime, writeTimeout)
 		versions, err := g.table.Commit(ctx, transaction(op, ws))
 		cancel()
 		var conflict *infra.ConflictError
 		switch {
 		case err == nil:
 			for i, w := range ws {
-				w.done <- written{version: versions[i]}
+				w.done <- writeOutcome{version: versions[i]}
 			}
 			return
-		case errors.As(err, &conflict) && conflict.Current.Op != op && names(ws, conflict.Current.Key):
-			ws = refuse(ws, conflict)
+		case errors.As(err, &conflict) && conflict.Current.Op != op && hasKey(ws, conflict.Current.Key):
+			ws = failConflicting(ws, conflict)
 		case errors.Is(err, infra.ErrUnavailable):
 			for _, w := range ws {
-				w.done <- written{err: err}
+				w.done <- writeOutcome{err: err}
 			}
 			return
 		default:
 			for _, w := range ws {
-				go g.alone(op, w)
+				go g.resolve(op, w)
 			}
 			return
 		}
 	}
 }
 
-// alone finds out what became of one record of a transaction, and writes it if
-// need be.
-func (g *groupWriter) alone(op string, w *recordWrite) {
-	g.Alone.Add(1)
+// resolve writes one record of a transaction, unless it proves to be written.
+func (g *groupWriter) resolve(op string, w *recordWrite) {
+	g.Resolved.Add(1)
 	versions, err := infra.CommitAgain(w.ctx, g.table, transaction(op, []*recordWrite{w}))
 	if err != nil {
-		w.done <- written{err: err}
+		w.done <- writeOutcome{err: err}
 		return
 	}
-	w.done <- written{version: versions[0]}
+	w.done <- writeOutcome{version: versions[0]}
 }
 
 func transaction(op string, ws []*recordWrite) infra.Txn {
@@ -222,7 +220,7 @@
 	return t
 }
 
-func names(ws []*recordWrite, key string) bool {
+func hasKey(ws []*recordWrite, key string) bool {
 	for _, w := range ws {
 		if w.cond.Key == key {
 			return true
@@ -231,11 +229,11 @@
 	return false
 }
 
-// refuse gives the conflict to the record that it names and returns the rest.
-func refuse(ws []*recordWrite, conflict *infra.ConflictError) (rest []*recordWrite) {
+// failConflicting fails the conflicting write and returns the rest.
+func failConflicting(ws []*recordWrite, conflict *infra.ConflictError) (rest []*recordWrite) {
 	for _, w := range ws {
 		if w.cond.Key == conflict.Current.Key {
-			w.done <- written{err: conflict}
+			w.done <- writeOutcome{err: conflict}
 			continue
 		}
 		rest = append(rest, w)
--- a/entry/urgent/group_test.go
+++ b/entry/urgent/group_test.go
@@ -20,49 +20,49 @@
 	"persimmonrock.example/structs"
 )
 
-// end is what one writer was told.
-type end struct {
+type writeResult struct {
 	key     string
 	value   []byte
 	version uint64
 	err     error
 }
 
-// check compares what a writer was told with the row, after all has landed.
-func (e end) check(t *testing.T, name string, table infra.Table) {
+// check compares a writer's result with the row, once all writes took effect.
+func (e writeResult) check(t *testing.T, name string, table infra.Table) {
 	row, err := table.Get(context.Background(), e.key)
 	if err != nil && !errors.Is(err, infra.ErrNotFound) {
 		t.Fatal(err)
 	}
-	ours := bytes.Equal(row.Value, e.value)
+	wasWritten := bytes.Equal(row.Value, e.value)
 	var conflict *infra.ConflictError
 	switch {
-	case e.err == nil && (!ours || row.Version != e.version):
+	case e.err == nil && (!wasWritten || row.Version != e.version):
 		t.Errorf("%s: %s was reported as written at version %d, the row is %q at %d", name, e.key, e.version, row.Value, row.Version)
 	case errors.As(e.err, &conflict) && conflict.Current.Key != e.key:
 		t.Errorf("%s: %s got the conflict of %s", name, e.key, conflict.Current.Key)
-	case (errors.As(e.err, &conflict) || errors.Is(e.err, infra.ErrUnavailable)) && ours:
-		t.Errorf("%s: %s was reported as not written (%v), and it is", name, e.key, e.err)
+	case (errors.As(e.err, &conflict) || errors.Is(e.err, infra.ErrUnavailable)) && wasWritten:
+		t.Errorf("%s: %s was reported as not written (%v), but it is", name, e.key, e.err)
 	}
 }
 
-// Records of several callers go to the table service in one transaction. One
-// key was used before, the answer is lost, or the write lands long after its
-// time-out: each caller must learn what became of its own record. A wrong "not
-// written" lets a claim run twice, a wrong "written" refuses a repeat for good.
-func TestGroupedRecordsHaveEachTheirOutcome(t *testing.T) {
-	told := make(map[string]int)
+// Records of several callers are written to the table service in one
+// transaction. One key was used before, the answer is lost, or the write takes
+// effect long after its time-out: each caller must receive the outcome of its
+// own record. After a wrong "not written" a call can run twice, after a wrong
+// "written" a repeat is refused for good.
+func TestGroupedRecordsHaveSeparateOutcomes(t *testing.T) {
+	errorCounts := make(map[string]int)
 	for seed := range uint64(300) {
 		synctest.Test(t, func(t *testing.T) {
 			inner := memory.NewTable()
 			control := fault.NewControl(seed)
-			life, stop := context.WithCancel(t.Context())
+			lifetime, stop := context.WithCancel(t.Context())
 			defer stop()
-			g := newGroupWriter(life, fault.NewTable(inner, control))
+			g := newGroupWriter(lifetime, fault.NewTable(inner, control))
 			random := rand.New(rand.NewPCG(seed, 1))
 			if random.IntN(2) == 0 {
 				used := structs.CallKey("kowhai", "key-2")
-				if _, err := inner.Commit(life, infra.Txn{Op: "other", Puts: []infra.Put{{Key: used, Value: []byte("other")}}}); err != nil {
+				if _, err := inner.Commit(lifetime, infra.Txn{Op: "other", Puts: []infra.Put{{Key: used, Value: []byte("other")}}}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -70,15 +70,15 @@
 				Latency:  fault.Range{Min: time.Millisecond, Max: 300 * time.Millisecond},
 				Patience: fault.Range{Min: 10 * time.Millisecond, Max: 500 * time.Millisecond},
 				Landing:  fault.Range{Min: time.Millisecond, Max: 3 * time.Second}})
-			ends := make([]end, 8)
+			results := make([]writeResult, 8)
 			var all sync.WaitGroup
-			for i := range ends {
-				e := &ends[i]
+			for i := range results {
+				e := &results[i]
 				e.key, e.value = structs.CallKey("kowhai", fmt.Sprint("key-", i)), []byte(fmt.Sprint("value-", i))
 				delay := time.Duration(random.Int64N(int64(6 * time.Millisecond)))
 				all.Go(func() {
 					time.Sleep(delay)
-					ctx, cancel := context.WithTimeout(life, beginTimeout)
+					ctx, cancel := context.WithTimeout(lifetime, writeTimeout)
 					defer cancel()
 					e.version, e.err = g.write(ctx, infra.Cond{Key: e.key}, e.value, i%2 == 1)
 				})
@@ -86,42 +86,42 @@
 			all.Wait()
 			control.Heal()
 			time.Sleep(10 * time.Second)
-			for _, e := range ends {
+			for _, e := range results {
 				e.check(t, fmt.Sprint("seed ", seed), inner)
-				told[fmt.Sprintf("%T", e.err)]++
+				errorCounts[fmt.Sprintf("%T", e.err)]++
 			}
 		})
 	}
-	t.Logf("writers were told %v", told)
+	t.Logf("errors returned to writers: %v", errorCounts)
 }
 
-// Eight records go together, one key was used before, and one fault befalls the
-// transaction. The seven others must be written within the second that their
-// callers wait: a repeat of one key must not refuse other customers' calls.
-func TestOneFaultOfAGroup(t *testing.T) {
+// Eight records are written together, one key was used before, and one fault
+// hits the transaction. The seven others must be written within the second that
+// their callers wait: a repeat of one key must not refuse other customers' calls.
+func TestGroupCommitWithOneFault(t *testing.T) {
 	for _, f := range []fault.Fault{fault.None, fault.Timeout, fault.LoseAnswer, fault.Delay} {
 		synctest.Test(t, func(t *testing.T) {
 			inner := memory.NewTable()
 			control := fault.NewControl(1)
 			control.Set(fault.Plan{Patience: fault.Exactly(100 * time.Millisecond), Landing: fault.Exactly(200 * time.Millisecond)})
 			control.Next(f)
-			life, stop := context.WithCancel(t.Context())
+			lifetime, stop := context.WithCancel(t.Context())
 			defer stop()
-			g := newGroupWriter(life, fault.NewTable(inner, control))
-			if _, err := inner.Commit(life, infra.Txn{Op: "other", Puts: []infra.Put{{Key: "call/kowhai/2", Value: []byte("other")}}}); err != nil {
+			g := newGroupWriter(lifetime, fault.NewTable(inner, control))
+			if _, err := inner.Commit(lifetime, infra.Txn{Op: "other", Puts: []infra.Put{{Key: "call/kowhai/2", Value: []byte("other")}}}); err != nil {
 				t.Fatal(err)
 			}
 			var group []*recordWrite
-			ctx, cancel := context.WithTimeout(life, beginTimeout)
+			ctx, cancel := context.WithTimeout(lifetime, writeTimeout)
 			defer cancel()
 			for i := range 8 {
 				key := fmt.Sprint("call/kowhai/", i)
-				group = append(group, &recordWrite{ctx: ctx, cond: infra.Cond{Key: key}, value: []byte(key), done: make(chan written, 1)})
+				group = append(group, &recordWrite{ctx: ctx, cond: infra.Cond{Key: key}, value: []byte(key), done: make(chan writeOutcome, 1)})
 			}
 			g.commit(group)
 			for i, w := range group {
 				o := <-w.done
-				end{w.cond.Key, w.value, o.version, o.err}.check(t, string(f), inner)
+				writeResult{w.cond.Key, w.value, o.version, o.err}.check(t, string(f), inner)
 				if (o.err != nil) != (i == 2) {
 					t.Errorf("%q: record %d: %v", f, i, o.err)
 				}
@@ -131,9 +131,9 @@
 	}
 }
 
-// cost makes keyed calls that work for 20 ms against a table service that takes
-// 3 ms, and returns the transactions a call and the time that the begin took.
-func cost(t *testing.T, rate int) (writes float64, p50, p99 time.Duration) {
+// measureWrites makes keyed calls of 20 ms with a table service that takes 3 ms,
+// and returns the transactions per call and quantiles of Begin's duration.
+func measureWrites(t *testing.T, rate int) (writes float64, p50, p99 time.Duration) {
 	const calls = 1500
 	synctest.Test(t, func(t *testing.T) {
 		control := fault.NewControl(1)
@@ -164,13 +164,13 @@
 	return writes, p50, p99
 }
 
-// Two writes a keyed call are most of what the table service can take at the
-// size to grow to.
+// At the planned size, two writes per keyed call would use most of the table
+// service's capacity.
 func TestWritesOfKeyedCalls(t *testing.T) {
 	for _, rate := range []int{1, 30, 150} {
-		writes, p50, p99 := cost(t, rate)
-		t.Logf("%d calls/s: %.2f writes a call, begin p50 %s, p99 %s; alone it takes 3ms", rate, writes, p50, p99)
-		if rate >= 30 && writes > 1.3 || p99 > 3*time.Millisecond+beginGather {
+		writes, p50, p99 := measureWrites(t, rate)
+		t.Logf("%d calls/s: %.2f writes a call, Begin p50 %s, p99 %s; a single write takes 3ms", rate, writes, p50, p99)
+		if rate >= 30 && writes > 1.3 || p99 > 3*time.Millisecond+promptDelay {
 			t.Errorf("%d calls/s: %.2f writes a call, p99 %s", rate, writes, p99)
 		}
 	}
--- a/entry/urgent/hedge_test.go
+++ b/entry/urgent/hedge_test.go
@@ -11,8 +11,8 @@
 	"persimmonrock.example/structs"
 )
 
-// steady is a service time around 20 ms; three calls in a hundred take 200 ms.
-func steady(r *rand.Rand) time.Duration {
+// serviceTime returns around 20 ms, and 200 ms for three calls in a hundred.
+func serviceTime(r *rand.Rand) time.Duration {
 	d := 15*time.Millisecond + time.Duration(r.Int64N(int64(10*time.Millisecond)))
 	if r.IntN(100) < 3 {
 		d = 200 * time.Millisecond
@@ -20,41 +20,41 @@
 	return d
 }
 
-// measured is what callers and agents saw of a number of calls.
-type measured struct {
+type measurement struct {
 	p50, p99, p999 time.Duration
 	attempts       float64
 	refused        int
 }
 
-// measure makes calls at 200 a second; in the second half one
-// instance after the other ails, 5 s each.
-func measure(t *testing.T, kind string, hedging bool) measured {
-	const calls, each = 10_000, 1000
+// measure makes calls at 200 a second; in the second half one instance after
+// another is impaired, 5 s each.
+func measure(t *testing.T, kind string, hedging bool) measurement {
+	const calls, perInstance = 10_000, 1000
 	var took []time.Duration
-	var out measured
+	var out measurement
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 1))
 		f := newFleet(10, true, nil)
 		defer f.server.Close()
-		// Else it is chance whether many or few calls meet the silent ones.
+		// Otherwise it is chance whether many or few calls are sent to the
+		// unresponsive instances.
 		f.unmeasured = kind == "silent"
 		for _, a := range f.agents {
 			a.work = func() time.Duration {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return steady(random)
+				return serviceTime(random)
 			}
 		}
-		ailing := f.agents["a:0"]
+		impaired := f.agents["a:0"]
 		if !hedging {
-			f.server.latencies.enough = calls * 2
+			f.server.latencies.minSamples = calls * 2
 		}
 		for i := range calls {
-			if i >= calls/2 && i%each == 0 {
-				ailing.heal()
-				ailing = f.agents[fmt.Sprint("a:", i/each%10)]
-				ailing.ail(kind)
+			if i >= calls/2 && i%perInstance == 0 {
+				impaired.heal()
+				impaired = f.agents[fmt.Sprint("a:", i/perInstance%10)]
+				impaired.impair(kind)
 			}
 			go func() {
 				_, refused, d := f.call(fmt.Sprint(i), 20*time.Second)
@@ -69,7 +69,7 @@
 			}()
 			time.Sleep(5 * time.Millisecond)
 		}
-		ailing.heal()
+		impaired.heal()
 		time.Sleep(30 * time.Second)
 		c := &f.server.Counters
 		out.attempts = float64(c.Attempts.Load()) / calls
@@ -81,38 +81,38 @@
 	return out
 }
 
-// One instance of ten becomes slow, or says nothing any more. Callers who are
-// sent there wait for it, though nine others are free, until the choice has
-// learnt of it. With a second attempt after the usual time they don't, and the
-// attempts stay within the budget.
-func TestHedgingShortensTheTail(t *testing.T) {
-	for _, ails := range []string{"nobody", "slow", "silent"} {
-		without, with := measure(t, ails, false), measure(t, ails, true)
-		for name, m := range map[string]measured{"without": without, "with": with} {
-			t.Logf("%s, %s hedging: p50 %s, p99 %s, p99.9 %s, %.3f attempts a call, %d refused", ails, name, m.p50, m.p99, m.p999, m.attempts, m.refused)
+// One instance of ten becomes slow or unresponsive. Without hedging, calls sent
+// there wait for it, though nine others are free, until the agent's load or a
+// liveness check shows the fault. With a second attempt after the 95th percentile
+// they don't, and the attempts stay within the budget.
+func TestHedgingReducesTailLatency(t *testing.T) {
+	for _, kind := range []string{"nobody", "slow", "silent"} {
+		without, with := measure(t, kind, false), measure(t, kind, true)
+		for name, m := range map[string]measurement{"without": without, "with": with} {
+			t.Logf("%s, %s hedging: p50 %s, p99 %s, p99.9 %s, %.3f attempts a call, %d refused", kind, name, m.p50, m.p99, m.p999, m.attempts, m.refused)
 			if m.refused > 0 || m.attempts >= 1.1 {
-				t.Errorf("%s: %d calls refused, %.3f attempts a call", ails, m.refused, m.attempts)
+				t.Errorf("%s: %d calls refused, %.3f attempts a call", kind, m.refused, m.attempts)
 			}
 		}
 		if with.p99 > without.p99 || with.p999 > without.p999 {
-			t.Errorf("%s: the tail is not shorter", ails)
+			t.Errorf("%s: the tail is not shorter", kind)
 		}
-		if with.p99 > time.Second || without.p99 > time.Second || with.p999 > startWithin || without.p999 > startWithin {
-			t.Errorf("%s: calls wait for the instance", ails)
+		if with.p99 > time.Second || without.p99 > time.Second || with.p999 > maxStartDelay || without.p999 > maxStartDelay {
+			t.Errorf("%s: calls wait for the impaired instance", kind)
 		}
 	}
 }
 
-// A customer's first attempt takes longer than usual and a second is under
-// way; then the caller leaves. The refusal must not say "not run", and a call
-// that isn't idempotent must never have had the second attempt.
-func TestHedgeOfACallThatEndsInARefusal(t *testing.T) {
+// A call's first attempt takes longer than the 95th percentile and a second is
+// in flight; then the deadline passes. The outcome must not be not_run, and a
+// call that isn't idempotent must have had no second attempt.
+func TestOutcomeOfHedgedCallAtDeadline(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			var work time.Duration
 			f := newFleet(3, idempotent, func(int) time.Duration { return work })
 			defer f.server.Close()
-			f.usually(&work)
+			f.warmUp(&work)
 			work = 10 * time.Second
 			_, refused, took := f.call("slow", time.Second)
 			time.Sleep(work)
@@ -122,8 +122,8 @@
 			if idempotent {
 				want = 2
 			}
-			if f.ran["slow"] != want || refused == nil || refused.Outcome != structs.Unknown || took != time.Second {
-				t.Errorf("idempotent %t: ran %d times, want %d; %+v after %s", idempotent, f.ran["slow"], want, refused, took)
+			if f.starts["slow"] != want || refused == nil || refused.Outcome != structs.Unknown || took != time.Second {
+				t.Errorf("idempotent %t: ran %d times, want %d; %+v after %s", idempotent, f.starts["slow"], want, refused, took)
 			}
 			cancels := 0
 			for _, a := range f.agents {
@@ -132,22 +132,22 @@
 				a.mu.Unlock()
 			}
 			if cancels != want {
-				t.Errorf("idempotent %t: %d agents were told that the caller left, want %d", idempotent, cancels, want)
+				t.Errorf("idempotent %t: %d agents received a cancel, want %d", idempotent, cancels, want)
 			}
 		})
 	}
 }
 
-// Many calls come at once, and all are slower than usual. Second attempts would
-// take the slots that the next callers need, who would be refused; so there are
-// none at instances that are more than half full.
+// Many calls arrive at once, and all are slower than the 95th percentile. Second
+// attempts would take slots that the next calls need, which would be refused; so
+// there are none at instances that are at least half full.
 func TestNoHedgeWhereSlotsAreScarce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var work time.Duration
 		f := newFleet(2, true, func(int) time.Duration { return work })
 		defer f.server.Close()
 		f.unmeasured = true
-		f.usually(&work)
+		f.warmUp(&work)
 		work = time.Second
 		for i := range 80 {
 			go f.call(fmt.Sprint("slow-", i), 5*time.Second)
--- a/entry/urgent/judge.go
+++ b/entry/urgent/judge.go
@@ -12,28 +12,28 @@
 	"persimmonrock.example/wire"
 )
 
-// pointless reports whether another agent would give the same refusal.
-func pointless(r *structs.Refusal) bool {
+// permanent reports whether another agent would give the same refusal.
+func permanent(r *structs.Refusal) bool {
 	return r.Type == structs.RefusedDeadline || r.Type == structs.RefusedTooLarge
 }
 
-func held(h decide.Hold) *structs.Refusal {
+func holdRefusal(h decide.Hold) *structs.Refusal {
 	return &structs.Refusal{Type: h.Refusal, Status: 503, Outcome: structs.NotRun, Detail: h.Reason,
 		RetryAfter: h.RetryAfter, Step: "call.choose"}
 }
 
-// agentsReturn is when callers of a service without agents are asked to come
-// back: agents that can reach this entry report within a heartbeat.
-const agentsReturn = 2 * time.Second
+// noAgentsRetryAfter is the Retry-After for a service without agents: agents
+// that can reach this entry report within a heartbeat.
+const noAgentsRetryAfter = 2 * time.Second
 
-// noAgents refuses a call to a service that was offered a while ago.
+// noAgents refuses a call to a service that was offered until recently.
 func noAgents(service structs.Service) *structs.Refusal {
 	return &structs.Refusal{Type: structs.RefusedUnreachable, Status: 503, Outcome: structs.NotRun,
-		Detail: fmt.Sprintf("no backend server of %q is heard now", service), RetryAfter: agentsReturn, Step: "call.choose"}
+		Detail: fmt.Sprintf("no backend server of %q is available now", service), RetryAfter: noAgentsRetryAfter, Step: "call.choose"}
 }
 
-// final turns the last refusal into the one for the caller: its outcome covers
-// every attempt and not only the last.
+// final converts the last refusal into the one for the caller, whose outcome
+// covers every attempt.
 func (s *Server) final(a *attempts, r *structs.Refusal) *structs.Refusal {
 	out := *r
 	out.Outcome = structs.NotRun
@@ -44,15 +44,15 @@
 		out.Status = 503
 	}
 	if out.RetryAfter == 0 && out.Type != structs.RefusedTooLarge {
-		out.RetryAfter = retryAfterFloor
+		out.RetryAfter = defaultRetryAfter
 	}
 	return &out
 }
 
-// retryAfterFloor is what a caller is told when nothing better is known.
-const retryAfterFloor = time.Second
+// defaultRetryAfter is the Retry-After of refusals that don't set another.
+const defaultRetryAfter = time.Second
 
-// exchangeFailed judges an attempt that brought no reply.
+// exchangeFailed returns the refusal for an attempt that ended without a reply.
 func (s *Server) exchangeFailed(ctx context.Context, a *attempts, x *exchange, err error) *structs.Refusal {
 	agent := x.agent
 	var failed *wire.PeerError
@@ -70,35 +70,34 @@
 		refused.Status = 504
 		refused.Detail = "the deadline passed before the answer"
 		s.cancel(a.request.ID, agent)
-		s.liveness.doubt(agent, time.Since(x.sent))
+		s.liveness.checkAfterLoss(agent, time.Since(x.sent))
 		return refused
 	}
 	s.dir.Suspect(agent.Instance)
 	return refused
 }
 
-// cancelTimeout bounds the message that tells an agent its caller has left.
 const cancelTimeout = time.Second
 
 func (s *Server) cancel(id structs.RequestID, agent directory.Agent) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		defer stop()
-		// A lost cancel changes nothing: the slot is freed by the backend
-		// server's answer alone.
+		// A lost cancel has no effect: only the backend server's answer frees
+		// the slot.
 		_ = s.peers.Agent(agent.Address).Cancel(ctx, wire.CancelRequest{Request: id})
 	}()
 }
 
-// judge judges a reply. A reply for another request is never given to the
-// caller; it is a broken invariant of the exchange, and proves nothing.
-func (s *Server) judge(a *attempts, agent directory.Agent, reply wire.CallReply) (Answer, *structs.Refusal) {
+// evaluate returns the answer or refusal in a reply. A reply to another request
+// is never given to the caller; it violates an invariant, and proves nothing.
+func (s *Server) evaluate(a *attempts, agent directory.Agent, reply wire.CallReply) (Answer, *structs.Refusal) {
 	if reply.Request != a.request.ID {
 		s.Counters.Mismatched.Add(1)
-		s.log.Error().Str("request", string(a.request.ID)).Str("got", string(reply.Request)).Msg("reply of another request dropped")
+		s.log.Error().Str("request", string(a.request.ID)).Str("got", string(reply.Request)).Msg("reply to another request dropped")
 		a.mayHaveRun = true
 		return Answer{}, &structs.Refusal{Type: structs.RefusedAnswerLost, Status: 502, Outcome: structs.Unknown,
-			Detail: "the agent sent another request's answer", Step: "call.judge", Peer: string(agent.Instance)}
+			Detail: "the agent sent the answer to another request", Step: "call.judge", Peer: string(agent.Instance)}
 	}
 	if reply.Refused != nil {
 		if reply.Refused.Outcome != structs.NotRun {
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -15,150 +15,150 @@
 
 // Bounds of the liveness check.
 const (
-	// checkAfter is how long an agent that owes an answer may say nothing at
-	// all before it is asked whether it is there.
+	// checkAfter is the time without any message after which an agent with an
+	// unanswered call is checked.
 	checkAfter = 250 * time.Millisecond
-	// checkTimeout is how long the agent may take to say so. It answers from
-	// its own memory, whatever its backend servers do, and one that is late is
-	// passed over only until its answer comes.
+	// checkTimeout bounds a check. The agent answers from its own memory,
+	// whatever its backend servers do, and a late one is excluded only until
+	// its answer arrives.
 	checkTimeout = 300 * time.Millisecond
-	// checkOverrun is how much later than checkTimeout a check may end before
-	// it proves more about this process than about the agent.
+	// checkOverrun is the delay after checkTimeout beyond which a failed check
+	// shows a pause of this process rather than an unresponsive agent.
 	checkOverrun = 100 * time.Millisecond
-	// returnTimeout bounds one wait for a silent agent's return, and
-	// returnPause the time between two.
+	// returnTimeout bounds one wait for an unresponsive agent, and returnPause
+	// is the time between two.
 	returnTimeout = 30 * time.Second
 	returnPause   = time.Second
 )
 
-// liveness finds agents that are silent although their connections are open.
+// liveness finds agents that are unresponsive although their connections are
+// open.
 //
 // Failure guarded against: an agent is paused, or its machine is cut off, and
-// no connection breaks. Each call there waits for its own deadline, and new
-// ones follow until heartbeats are missed, which takes minutes among many
-// agents. So an agent that owes an answer and says nothing is asked for its
-// load on the same connection. It answers that from memory at once, also while
-// its backend server works for long; if it doesn't, it is passed over until it
-// does.
+// no connection breaks. Each call there waits for its own deadline, and new ones
+// follow until heartbeats are missed, which takes minutes with many agents. So
+// an agent that has not answered a call and sends nothing is asked for its load
+// on the same connection. It answers this from memory at once, also during a
+// long call at its backend server; if it doesn't, it is excluded until it does.
 type liveness struct {
-	dir    Directory
-	peers  wire.Dialer
-	events structs.Recorder
-	log    zerolog.Logger
-	life   context.Context
+	dir      Directory
+	peers    wire.Dialer
+	events   structs.Recorder
+	log      zerolog.Logger
+	lifetime context.Context
 
-	mu      sync.Mutex
-	running map[structs.InstanceID]*check
+	mu     sync.Mutex
+	checks map[structs.InstanceID]*check
 
-	// Checks counts the questions, Silent those without an answer in time.
-	Checks, Silent atomic.Int64
+	// Checks counts the checks, Unresponsive those without an answer in time.
+	Checks, Unresponsive atomic.Int64
 }
 
-// check is one question to one agent that any number of calls wait for.
+// check is one check of an agent, shared by all calls that wait for it.
 type check struct {
 	done  chan struct{}
 	alive bool
 }
 
-func newLiveness(life context.Context, d Deps) *liveness {
-	return &liveness{dir: d.Directory, peers: d.Peers, events: d.Events, log: d.Log, life: life, running: make(map[structs.InstanceID]*check)}
+func newLiveness(lifetime context.Context, d Deps) *liveness {
+	return &liveness{dir: d.Directory, peers: d.Peers, events: d.Events, log: d.Log, lifetime: lifetime, checks: make(map[structs.InstanceID]*check)}
 }
 
-// heard reports whether a was heard within the given time, so that no question
-// is needed.
-func (l *liveness) heard(a directory.Agent, within time.Duration) bool {
+// recentContact reports whether a has sent a message within the given time.
+func (l *liveness) recentContact(a directory.Agent, within time.Duration) bool {
 	age, known := l.dir.Age(a.Instance)
 	return known && age < within
 }
 
-// doubt checks an agent whose exchange has ended without its answer, unless it
-// was heard since the request was sent. Nobody waits for the outcome.
+// checkAfterLoss checks an agent whose exchange has ended without its answer,
+// unless it has sent a message since the request and within checkAfter. No call
+// waits for the result.
 //
-// Failure guarded against: calls at a silent agent end early, by their own
-// deadlines or by the answer of a second attempt, so that none waits for long
-// enough to ask. Each new call would go there and cost a retry.
-func (l *liveness) doubt(a directory.Agent, since time.Duration) {
-	if !l.heard(a, min(since, checkAfter)) {
+// Failure guarded against: calls at an unresponsive agent end early, by their
+// own deadlines or by the answer of a second attempt, so that none waits for
+// checkAfter. Each new call would be sent there and cost a retry.
+func (l *liveness) checkAfterLoss(a directory.Agent, since time.Duration) {
+	if !l.recentContact(a, min(since, checkAfter)) {
 		l.check(a)
 	}
 }
 
-// check asks a whether it is there, once for all callers at a time. The check
-// of a silent agent stays until the agent returns.
+// check starts a check of a, or returns the one in progress. The check of an
+// unresponsive agent stays until the agent returns.
 func (l *liveness) check(a directory.Agent) *check {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.running[a.Instance]; c != nil {
+	if c := l.checks[a.Instance]; c != nil {
 		return c
 	}
 	c := &check{done: make(chan struct{})}
-	l.running[a.Instance] = c
+	l.checks[a.Instance] = c
 	go l.run(a, c)
 	return c
 }
 
 func (l *liveness) run(a directory.Agent, c *check) {
-	defer l.forget(a.Instance)
+	defer l.remove(a.Instance)
 	l.Checks.Add(1)
-	// Once this process ends, its questions prove nothing.
-	c.alive = l.answers(a, checkTimeout) || l.life.Err() != nil
+	// When this process stops, a failed check proves nothing.
+	c.alive = l.probe(a, checkTimeout) || l.lifetime.Err() != nil
 	if !c.alive {
-		l.Silent.Add(1)
+		l.Unresponsive.Add(1)
 		l.dir.SetSilent(a.Instance, true)
-		l.note(StepAgentSilent, a.Instance)
+		l.recordStep(StepAgentSilent, a.Instance)
 	}
 	close(c.done)
 	if c.alive {
 		return
 	}
 	if l.awaitReturn(a) {
-		l.note(StepAgentReturned, a.Instance)
+		l.recordStep(StepAgentReturned, a.Instance)
 	}
 	l.dir.SetSilent(a.Instance, false)
 }
 
-func (l *liveness) note(step structs.Step, id structs.InstanceID) {
+func (l *liveness) recordStep(step structs.Step, id structs.InstanceID) {
 	l.events.Record(structs.Event{Step: step, Peer: string(id)})
 	l.log.Warn().Str("instance", string(id)).Msg(string(step))
 }
 
-func (l *liveness) forget(id structs.InstanceID) {
+func (l *liveness) remove(id structs.InstanceID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.running, id)
+	delete(l.checks, id)
 }
 
-// answers asks a for its load.
+// probe requests the load of a, and reports whether a answers within timeout.
 //
-// Failure guarded against: this process itself is paused, and on waking finds
-// the time of every check over while the answers wait to be read; all
-// instances would be passed over at once. An end long after the time-out shows
-// such a pause, and the question is put again.
-func (l *liveness) answers(a directory.Agent, timeout time.Duration) bool {
+// Failure guarded against: this process itself is paused, and when it resumes
+// every check has timed out while the answers wait to be read; all instances
+// would be excluded at once. A request that ends long after its time-out shows
+// such a pause, and is repeated.
+func (l *liveness) probe(a directory.Agent, timeout time.Duration) bool {
 	for {
 		began := time.Now()
-		ctx, cancel := context.WithTimeout(l.life, timeout)
+		ctx, cancel := context.WithTimeout(l.lifetime, timeout)
 		load, err := l.peers.Agent(a.Address).Load(ctx)
 		cancel()
 		if err == nil {
 			l.dir.Update(load)
 			return true
 		}
-		if time.Since(began) < timeout+checkOverrun || l.life.Err() != nil {
+		if time.Since(began) < timeout+checkOverrun || l.lifetime.Err() != nil {
 			return false
 		}
 	}
 }
 
-// awaitReturn waits until the agent answers or is heard in another way, and
-// reports false if it is forgotten or this process ends. One message at a time
-// is on its way.
+// awaitReturn waits until the agent answers or sends another message, one
+// request at a time, and reports false if the directory removes the agent or
+// this process ends.
 func (l *liveness) awaitReturn(a directory.Agent) bool {
 	began := time.Now()
-	for !l.answers(a, returnTimeout) {
-		wait(l.life, returnPause)
+	for !l.probe(a, returnTimeout) {
+		wait(l.lifetime, returnPause)
 		age, known := l.dir.Age(a.Instance)
-		if !known || l.life.Err() != nil {
+		if !known || l.lifetime.Err() != nil {
 			return false
 		}
 		if age < time.Since(began) {
--- a/entry/urgent/race_test.go
+++ b/entry/urgent/race_test.go
@@ -8,9 +8,9 @@
 //
 // Failure guarded against: the Go runtime runs due channel timers of a
 // synctest bubble on whichever thread polls them, all with the bubble's one
-// race context, without a lock. Two at once leave its stack of frames one too
-// short, and the next goroutine that a timer starts makes the detector read
-// from outside of it: SIGSEGV in StackDepotBase::Put, with a size of
-// 0xffffffff. One processor runs one of them at a time. The detector needs no
-// parallel threads to see accesses without order.
+// race context, without a lock. Two timers at once leave the context's stack
+// one frame too short, and when a timer next starts a goroutine, the detector
+// reads outside of this stack: SIGSEGV in StackDepotBase::Put, with a size of
+// 0xffffffff. With one processor only one timer runs at a time. The detector
+// finds unordered accesses without parallel threads.
 func init() { runtime.GOMAXPROCS(1) }
--- a/entry/urgent/record.go
+++ b/entry/urgent/record.go
@@ -20,22 +20,22 @@
 
 // Bounds of the record store.
 const (
-	// beginTimeout bounds the write before a keyed call; without its answer
-	// the call is refused at once.
-	beginTimeout = time.Second
-	// settleTimeout bounds how long a record's end is tried in the background,
-	// which covers a store outage of half an hour.
-	settleTimeout = 40 * time.Minute
-	settlePause   = 500 * time.Millisecond
-	// maxPending bounds records waiting for their end to be written.
+	// writeTimeout bounds one attempt to write a record. A keyed call whose
+	// first write is not answered in this time is refused.
+	writeTimeout = time.Second
+	// finalTimeout bounds the attempts to write a record's final state; it
+	// covers a store outage of half an hour.
+	finalTimeout = 40 * time.Minute
+	finalPause   = 500 * time.Millisecond
+	// maxPending bounds the records whose final state is still to be written.
 	maxPending = 10_000
 )
 
 // callState is the state of one keyed call's record.
 type callState string
 
-// The states of a record. Started without an end stands for a call that may
-// have run: it is never run again.
+// The states of a record. A call whose record stays at callStarted may have run
+// and is never run again.
 const (
 	callStarted callState = "started"
 	callDone    callState = "done"
@@ -45,14 +45,14 @@
 // callRecord is the row of one keyed non-idempotent call.
 type callRecord struct {
 	State callState `json:"state"`
-	// Attempt names the one attempt that the record stands for.
+	// Attempt identifies the one attempt that the record stands for.
 	Attempt string `json:"attempt"`
-	// Epoch is the stamp of the last write, from which the record is kept for
-	// its retention; 0 if the writer did not know it.
+	// Epoch is the epoch of the last write, from which the record's retention
+	// counts; 0 if the writer did not know it.
 	Epoch   structs.RetentionEpoch `json:"epoch,omitempty"`
 	Request structs.RequestID      `json:"request"`
-	// Digest is the hash of service and body: a key used again for something
-	// else is refused.
+	// Digest is the hash of service and body: a key used again for another
+	// request is refused.
 	Digest  string        `json:"digest"`
 	Status  int           `json:"status,omitempty"`
 	Headers []wire.Header `json:"headers,omitempty"`
@@ -73,16 +73,16 @@
 	group  *groupWriter
 	events structs.Recorder
 	log    zerolog.Logger
-	// life ends when the process does, and with it the background writes.
-	life context.Context
-	end  context.CancelFunc
+	// lifetime ends with the process, and with it the background writes.
+	lifetime context.Context
+	stop     context.CancelFunc
 
-	// Begun, Replayed and InDoubt count how keyed calls found their record;
-	// Pending is how many ends are still being written, Dropped how many were
-	// given up on (their keys stay in doubt, and are never run again).
+	// Begun, Replayed and InDoubt count keyed calls by their record. Pending
+	// counts final states still being written, Dropped those abandoned (their
+	// keys stay in doubt, and are never run again).
 	Begun, Replayed, InDoubt, Dropped atomic.Int64
 	Pending                           atomic.Int64
-	// Stamped counts records that the scan had to stamp, Deleted those that it
+	// Stamped counts records that the sweep stamped, Deleted those that it
 	// deleted after their retention.
 	Stamped, Deleted atomic.Int64
 }
@@ -90,29 +90,29 @@
 // NewRecords returns a record store on table. Without epochs its records are
 // not stamped.
 func NewRecords(table infra.Table, epochs Epochs, events structs.Recorder, log zerolog.Logger) *Records {
-	life, end := context.WithCancel(context.Background())
-	return &Records{table: table, epochs: epochs, group: newGroupWriter(life, table), events: events, log: log, life: life, end: end}
+	lifetime, stop := context.WithCancel(context.Background())
+	return &Records{table: table, epochs: epochs, group: newGroupWriter(lifetime, table), events: events, log: log, lifetime: lifetime, stop: stop}
 }
 
-// Close ends the background writes; keys whose end was not written stay in
-// doubt.
-func (r *Records) Close() { r.end() }
+// Close ends the background writes; keys whose final state was not written stay
+// in doubt.
+func (r *Records) Close() { r.stop() }
 
-// Writes returns how many transactions were sent for begins and ends, and how
-// many records had to be written by themselves after an unknown outcome.
-func (r *Records) Writes() (transactions, alone int64) {
-	return r.group.Transactions.Load(), r.group.Alone.Load()
+// Writes returns the numbers of transactions sent and of records written
+// separately after an unknown outcome.
+func (r *Records) Writes() (transactions, resolved int64) {
+	return r.group.Transactions.Load(), r.group.Resolved.Load()
 }
 
 // Begin writes the record before anything is sent. It returns the claim, or
 // the answer of an earlier attempt, or a refusal.
 //
-// Failure guarded against: the same request comes again through another entry
-// while the first attempt may have run; it would show as a claim lodged
-// twice. The insert is conditional on the row's absence, so one attempt alone
-// gets the claim; the others find its record.
+// Failure guarded against: the same request arrives again through another entry
+// while the first attempt may have run, and the call runs twice. The insert is
+// conditional on the row's absence, so only one attempt gets the claim; the
+// others find its record.
 func (r *Records) Begin(ctx context.Context, q Request) (*Claim, *Answer, *structs.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	c := &Claim{
 		key:    structs.CallKey(q.Contract.Customer, q.Key),
@@ -121,7 +121,7 @@
 	err := r.write(ctx, c, callStarted)
 	var conflict *infra.ConflictError
 	if errors.As(err, &conflict) {
-		return r.found(ctx, c, conflict.Current)
+		return r.resolveEarlier(ctx, c, conflict.Current)
 	}
 	if err == nil {
 		r.Begun.Add(1)
@@ -132,8 +132,8 @@
 			Detail: "the Idempotency-Key can't be the name of a record", Step: "call.record"}
 	}
 	if !errors.Is(err, infra.ErrUnavailable) {
-		// The insert may still land. Nothing was sent and nothing will be, so
-		// the record is turned to not_run as soon as the store answers.
+		// The insert may still take effect. Nothing was sent and nothing will
+		// be, so the record is set to not_run as soon as the store answers.
 		r.Abandon(c)
 	}
 	return nil, nil, &structs.Refusal{Type: structs.RefusedStore, Status: 503, Outcome: structs.NotRun,
@@ -141,8 +141,8 @@
 		Step: "call.record", Peer: "table"}
 }
 
-// found judges the record of an earlier attempt.
-func (r *Records) found(ctx context.Context, c *Claim, row infra.Row) (*Claim, *Answer, *structs.Refusal) {
+// resolveEarlier decides the call by the record of an earlier attempt.
+func (r *Records) resolveEarlier(ctx context.Context, c *Claim, row infra.Row) (*Claim, *Answer, *structs.Refusal) {
 	var earlier callRecord
 	if err := json.Unmarshal(row.Value, &earlier); err != nil {
 		return nil, nil, &structs.Refusal{Type: structs.RefusedInternal, Status: 500, Outcome: structs.Unknown,
@@ -183,7 +183,7 @@
 		Step: "call.record", Peer: "table"}
 }
 
-// inDoubt is the answer while an earlier attempt may have run or still runs.
+// inDoubt is the refusal while an earlier attempt may have run or still runs.
 func inDoubt() *structs.Refusal {
 	return &structs.Refusal{Type: structs.RefusedInProgress, Status: 409, Outcome: structs.Unknown,
 		Detail:     "an earlier attempt with this Idempotency-Key may have run, or runs now; it is not run again",
@@ -194,7 +194,7 @@
 func (r *Records) write(ctx context.Context, c *Claim, state callState) error {
 	record := c.record
 	record.State = state
-	record.Epoch = r.stamp()
+	record.Epoch = r.currentEpoch()
 	value, err := json.Marshal(record)
 	if err != nil {
 		return err
@@ -207,21 +207,20 @@
 }
 
 // Finish records the answer. The caller gets it whether or not the store
-// answers; until it is recorded, a repeat of the key is told that it is in
-// doubt.
+// answers; until it is recorded, a repeat of the key is refused as in doubt.
 func (r *Records) Finish(c *Claim, a Answer) {
 	c.record.Status, c.record.Headers, c.record.Body = a.Status, a.Headers, a.Body
-	r.settle(c, callDone)
+	r.writeFinal(c, callDone)
 }
 
 // Abandon records that the attempt is proved not to have run, so that the key
-// may be used again. It waits for no other write, as Finish does: its caller is
-// told to come back, and would find its own key in doubt.
-func (r *Records) Abandon(c *Claim) { r.settle(c, callNotRun) }
+// may be used again. Unlike Finish it writes promptly: its caller is asked to
+// retry, and would find its own key in doubt.
+func (r *Records) Abandon(c *Claim) { r.writeFinal(c, callNotRun) }
 
-// settle writes a record's end: at once if the store answers, else in the
-// background for as long as settleTimeout.
-func (r *Records) settle(c *Claim, state callState) {
+// writeFinal writes a record's final state in the background, with retries for
+// up to finalTimeout.
+func (r *Records) writeFinal(c *Claim, state callState) {
 	if r.Pending.Add(1) > maxPending {
 		r.Pending.Add(-1)
 		r.Dropped.Add(1)
@@ -229,24 +228,24 @@
 	}
 	go func() {
 		defer r.Pending.Add(-1)
-		ctx, cancel := context.WithTimeout(r.life, settleTimeout)
+		ctx, cancel := context.WithTimeout(r.lifetime, finalTimeout)
 		defer cancel()
-		for !r.trySettle(ctx, c, state) {
+		for !r.tryWriteFinal(ctx, c, state) {
 			select {
 			case <-ctx.Done():
 				r.Dropped.Add(1)
 				return
-			case <-time.After(settlePause):
+			case <-time.After(finalPause):
 			}
 		}
 	}()
 }
 
-// trySettle makes one try and reports whether nothing is left to do. A
-// conflict with a record of our own attempt means that its first write landed
-// after all, at a version we don't know yet.
-func (r *Records) trySettle(ctx context.Context, c *Claim, state callState) bool {
-	try, cancel := context.WithTimeout(ctx, beginTimeout)
+// tryWriteFinal makes one try and reports whether nothing is left to do. A
+// conflict with a record of the claim's own attempt means that an earlier write
+// took effect after all, at a version not known yet.
+func (r *Records) tryWriteFinal(ctx context.Context, c *Claim, state callState) bool {
+	try, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	err := r.write(try, c, state)
 	var conflict *infra.ConflictError
@@ -265,7 +264,7 @@
 	return current.State == state
 }
 
-// digest is the hash of what makes two requests the same.
+// digest returns the hash of the service and body, which identify a request.
 func digest(q Request) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d:%s", len(q.Service), q.Service)
@@ -273,14 +272,14 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Wait returns when every end has been written or ctx has ended, for a
-// planned stop.
+// Wait returns when every final state has been written or abandoned, or ctx has
+// ended, for a planned stop.
 func (r *Records) Wait(ctx context.Context) error {
 	for r.Pending.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(settlePause / 10):
+		case <-time.After(finalPause / 10):
 		}
 	}
 	return nil
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -14,7 +14,7 @@
 	"persimmonrock.example/wire"
 )
 
-// Steps of the time line.
+// Steps that are recorded as events.
 const (
 	StepReceived structs.Step = "call-received"
 	StepSent     structs.Step = "call-sent"
@@ -25,27 +25,28 @@
 	StepAgentReturned structs.Step = "agent-returned"
 )
 
-// Directory is what this package needs to know of agents.
+// Directory is the part of the agent directory that this package uses.
 type Directory interface {
 	Service(s structs.Service) (agents []directory.Agent, known bool)
 	Begin(id structs.InstanceID) (end func())
 	Age(id structs.InstanceID) (age time.Duration, known bool)
 	Suspect(id structs.InstanceID)
-	// SetSilent passes an agent over until it is heard, or no longer.
+	// SetSilent excludes an agent until it sends a message, or ends the
+	// exclusion.
 	SetSilent(id structs.InstanceID, silent bool)
 	Update(l wire.Load)
 }
 
-// Counters of the urgent path.
+// Counters counts calls and attempts.
 type Counters struct {
 	Calls, Answered, Refused, Attempts, Retries atomic.Int64
 	NotRun, Unknown                             atomic.Int64
 	// Mismatched counts replies that carried another request's ID.
 	Mismatched atomic.Int64
-	// Hedges counts second attempts beside a slow first one, HedgesWon those
-	// that answered first.
+	// Hedges counts second attempts parallel to a slow first one, HedgesWon
+	// those that answered first.
 	Hedges, HedgesWon atomic.Int64
-	// Dropped counts answers that came after another attempt's.
+	// Dropped counts replies that arrived after their call had ended.
 	Dropped atomic.Int64
 }
 
@@ -55,7 +56,7 @@
 	peers     wire.Dialer
 	records   *Records
 	liveness  *liveness
-	end       context.CancelFunc
+	stop      context.CancelFunc
 	zone      structs.DataCentre
 	model     *model.Shared
 	budget    *Budgets
@@ -67,12 +68,12 @@
 	Counters Counters
 }
 
-// Deps are what a Server works with.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Directory Directory
 	Peers     wire.Dialer
 	Table     infra.Table
-	// Epochs stamps the records of keyed calls.
+	// Epochs provides the epochs of the records of keyed calls.
 	Epochs Epochs
 	Zone   structs.DataCentre
 	Model  *model.Shared
@@ -84,26 +85,25 @@
 
 // New returns a Server.
 func New(d Deps) *Server {
-	life, end := context.WithCancel(context.Background())
+	lifetime, stop := context.WithCancel(context.Background())
 	return &Server{
 		dir: d.Directory, peers: d.Peers, records: NewRecords(d.Table, d.Epochs, d.Events, d.Log),
-		liveness: newLiveness(life, d), end: end, zone: d.Zone,
+		liveness: newLiveness(lifetime, d), stop: stop, zone: d.Zone,
 		model: d.Model, budget: NewBudgets(), latencies: newLatencies(), events: d.Events, log: d.Log, random: d.Random,
 	}
 }
 
-// Records returns the store of keyed calls, whose background work the entry
-// runs.
+// Records returns the store of keyed calls. The entry runs its sweep.
 func (s *Server) Records() *Records { return s.records }
 
 // Close ends the background work of s.
 func (s *Server) Close() {
-	s.end()
+	s.stop()
 	s.records.Close()
 }
 
-// LivenessChecks returns how many agents that owed an answer were asked whether
-// they are there, and how many of them did not say so in time.
-func (s *Server) LivenessChecks() (asked, silent int64) {
-	return s.liveness.Checks.Load(), s.liveness.Silent.Load()
+// LivenessChecks returns the number of liveness checks, and of those without an
+// answer in time.
+func (s *Server) LivenessChecks() (checks, unresponsive int64) {
+	return s.liveness.Checks.Load(), s.liveness.Unresponsive.Load()
 }
--- a/entry/urgent/sweep.go
+++ b/entry/urgent/sweep.go
@@ -12,32 +12,32 @@
 	"persimmonrock.example/structs"
 )
 
-// Pace of the scan for records that have stood for their retention.
+// Rate of the sweep for records whose retention has passed.
 const (
 	// sweepPause is the time between two reads. With sweepPage it bounds an
-	// entry to 256 records a second, and to 4 reads of the table service's two
-	// thousand.
+	// entry to 256 records and 4 reads a second, of the two thousand reads that
+	// the table service can serve.
 	sweepPause = 250 * time.Millisecond
 	// sweepPage is the number of records of one read; each may hold an answer
-	// of a megabyte.
+	// of 1 MB.
 	sweepPage = 64
-	// passPause is the time between two scans of everything.
+	// passPause is the time between two passes over all records.
 	passPause    = 10 * time.Minute
 	sweepTimeout = 5 * time.Second
 )
 
-// Epochs says how old records are without comparing clocks; see package
+// Epochs measures the age of records without comparing clocks; see package
 // retention.
 type Epochs interface {
-	// Epoch is what a record that is written now is stamped with, if known.
+	// Epoch returns the epoch for a record that is written now, if known.
 	Epoch() (structs.RetentionEpoch, bool)
-	// Expired reports whether a record with that stamp may be deleted.
+	// Expired reports whether a record written in that epoch may be deleted.
 	Expired(written structs.RetentionEpoch) bool
 }
 
-// stamp returns the epoch for a record that is written now, or 0: the scan
-// stamps it later, so that it is kept for longer, never shorter.
-func (r *Records) stamp() structs.RetentionEpoch {
+// currentEpoch returns the epoch for a record that is written now, or 0: then
+// the sweep adds it later, so that the record is kept for longer, never shorter.
+func (r *Records) currentEpoch() structs.RetentionEpoch {
 	if r.epochs == nil {
 		return 0
 	}
@@ -48,9 +48,9 @@
 	return epoch
 }
 
-// Sweep deletes expired records of the customers that owns names, and stamps
-// those without a stamp, until ctx ends. Two entries that sweep the same
-// customer do no harm: each change is conditional on the record's version.
+// Sweep deletes expired records of the customers for which owns is true, and
+// stamps those without an epoch, until ctx ends. Two entries may sweep the same
+// customer: each change is conditional on the record's version.
 func (r *Records) Sweep(ctx context.Context, owns func(structs.Customer) bool) {
 	for ctx.Err() == nil {
 		r.sweepAll(ctx, owns)
@@ -59,7 +59,7 @@
 }
 
 // sweepAll makes one pass. It finds each customer by its first record, so that
-// the records of customers without a contract are found too.
+// the records of customers without a contract are found, too.
 func (r *Records) sweepAll(ctx context.Context, owns func(structs.Customer) bool) {
 	after := structs.CallPrefix
 	for {
@@ -71,13 +71,13 @@
 		if owns(structs.Customer(name)) && !r.sweepCustomer(ctx, structs.Customer(name)) {
 			return
 		}
-		// "0" follows "/", and so all keys of this customer.
+		// "0" sorts after "/", and so after all keys of this customer.
 		after = structs.CallPrefix + name + "0"
 	}
 }
 
-// sweepCustomer goes through one customer's records, and reports whether the
-// table service answered.
+// sweepCustomer sweeps one customer's records, and reports whether the table
+// service answered all reads.
 func (r *Records) sweepCustomer(ctx context.Context, c structs.Customer) bool {
 	prefix := structs.CallKey(c, "")
 	after := prefix
@@ -94,7 +94,7 @@
 		}
 		last := len(rows) < sweepPage
 		if last || len(expired)+sweepPage > infra.MaxTxnRows {
-			r.delete(ctx, expired)
+			r.deleteExpired(ctx, expired)
 			expired = nil
 		}
 		if last {
@@ -111,23 +111,24 @@
 	return r.table.Scan(ctx, prefix, after, limit)
 }
 
-// expired reports whether a record may be deleted, and stamps it if need be.
+// expired reports whether a record may be deleted, and stamps it if it has no
+// epoch.
 func (r *Records) expired(ctx context.Context, row infra.Row) bool {
 	var record callRecord
 	if json.Unmarshal(row.Value, &record) != nil {
 		return false
 	}
 	if record.Epoch == 0 {
-		r.restamp(ctx, row, record)
+		r.addEpoch(ctx, row, record)
 		return false
 	}
 	return r.epochs.Expired(record.Epoch)
 }
 
-// restamp gives a record the present epoch. A lost answer is of no account: the
-// next pass finds the stamp, or sets it.
-func (r *Records) restamp(ctx context.Context, row infra.Row, record callRecord) {
-	record.Epoch = r.stamp()
+// addEpoch stamps a record with the current epoch. A lost answer does no harm:
+// the next pass finds the epoch, or adds it.
+func (r *Records) addEpoch(ctx context.Context, row infra.Row, record callRecord) {
+	record.Epoch = r.currentEpoch()
 	value, err := json.Marshal(record)
 	if record.Epoch == 0 || err != nil {
 		return
@@ -144,13 +145,13 @@
 	}
 }
 
-// delete deletes records as they were read. One that has changed since is left
-// to the next pass, and so are all if the outcome is not known.
+// deleteExpired deletes records at the versions read. A record changed since is
+// left to the next pass, as are all if the outcome is unknown.
 //
 // Failure guarded against: a key is used again just as its record expires, and
 // the new record is deleted; the call could run twice. The delete is
 // conditional on the version that was read as expired.
-func (r *Records) delete(ctx context.Context, rows []infra.Row) {
+func (r *Records) deleteExpired(ctx context.Context, rows []infra.Row) {
 	for len(rows) > 0 {
 		txn := infra.Txn{Op: "call-sweep/" + rand.Text()}
 		for _, row := range rows {
@@ -167,11 +168,11 @@
 			}
 			return
 		}
-		rows = without(rows, conflict.Current.Key)
+		rows = withoutKey(rows, conflict.Current.Key)
 	}
 }
 
-func without(rows []infra.Row, key string) []infra.Row {
+func withoutKey(rows []infra.Row, key string) []infra.Row {
 	var out []infra.Row
 	for _, row := range rows {
 		if row.Key != key {
--- a/entry/urgent/sweep_test.go
+++ b/entry/urgent/sweep_test.go
@@ -14,18 +14,18 @@
 	"persimmonrock.example/wire"
 )
 
-// A caller repeats a claim under its key within a day and must get the first
-// answer; weeks later the table service must not hold a row of each call that
-// ever was. Rows from before the stamps, and those written while the count was
-// not known, go too, a day after their stamp; the rows of a customer that
-// another entry looks after stay.
-func TestRecordsGoAfterTheirRetention(t *testing.T) {
+// A caller repeats a call under its key within a day and must get the first
+// answer, but the table service must not hold the row of each call forever.
+// Rows without an epoch, such as those written while it was not known, are
+// deleted, too, a day after an epoch is added; the rows of a customer that
+// another entry sweeps stay.
+func TestRecordsAreDeletedAfterRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
 		epochs := retention.New(table, "calls", 24*time.Hour)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s := &script{answer: func(_ context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) { return answered(r) }}
+		s := &fakePeers{answer: func(_ context.Context, _ int, r wire.CallRequest) (wire.CallReply, error) { return okReply(r) }}
 		server := newServer(s, 1, false)
 		defer server.Close()
 		records := server.Records()
@@ -62,12 +62,12 @@
 	})
 }
 
-// A key is used again in the moment in which its record is deleted as expired.
-// The new record must stay, or the next repeat runs the claim again; and the
-// other expired records must not be kept by it.
+// A key is used again while its record is deleted as expired. The new record
+// must stay, or the next repeat runs the call again; and the other expired
+// records must still be deleted.
 func TestChangedRecordIsNotDeleted(t *testing.T) {
 	table := memory.NewTable()
-	records := newServer(&script{}, 1, false).Records()
+	records := newServer(&fakePeers{}, 1, false).Records()
 	records.table = table
 	put := func(key string) {
 		if _, err := table.Commit(t.Context(), infra.Txn{Op: key, Puts: []infra.Put{{Key: structs.CallPrefix + key, Value: []byte("{}")}}}); err != nil {
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	put("kowhai/a")
-	records.delete(t.Context(), rows)
+	records.deleteExpired(t.Context(), rows)
 	if left := rowsOf(t, table); len(left) != 1 || left[0] != "call/kowhai/a" {
 		t.Errorf("left %q, want the changed one", left)
 	}
