--- a/entry/retention/retention_test.go
+++ b/entry/retention/retention_test.go
@@ -10,10 +10,10 @@
 	"persimmonrock.example/structs"
 )
 
-// Five entries run for two days and are restarted at odd times. A row must
-// stand for a whole day before it may be deleted, or a caller that repeats a
-// claim within the day lodges it a second time; and it must go some day.
-func TestStampedRowStandsForTheWholeTime(t *testing.T) {
+// Five entries start at different times and run for two days. A row must exist
+// for a whole day before it may be deleted, or a call that is repeated within
+// the day runs a second time; and it must be deleted eventually.
+func TestStampedRowIsKeptForRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const day = 24 * time.Hour
 		table := memory.NewTable()
@@ -28,7 +28,7 @@
 		written := time.Now()
 		epoch, ok := counters[0].Epoch()
 		if !ok {
-			t.Fatal("no epoch after half an hour")
+			t.Fatal("epoch unknown after half an hour")
 		}
 		for time.Since(written) < day {
 			time.Sleep(29 * time.Minute)
@@ -40,23 +40,23 @@
 		}
 		time.Sleep(day)
 		if !counters[3].Expired(epoch) || counters[3].Expired(0) {
-			t.Error("a row of two days ago is kept, or one without a stamp deleted")
+			t.Error("a row written two days ago is kept, or one without a stamp is deleted")
 		}
 	})
 }
 
-// An entry is cut off from the table service for a day while others go on. What
-// it stamps with the epoch that it last saw would be deleted at once, so it
-// stamps nothing until it has read the count again.
-func TestNoStampFromAnOldView(t *testing.T) {
+// An entry is cut off from the table service while others advance the epoch.
+// Rows stamped with the last epoch that it read would be deleted too early, after
+// a day at once, so it must stamp none after a period without a read.
+func TestNoEpochFromStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
 		c := New(table, "calls", 24*time.Hour)
 		if _, ok := c.Epoch(); ok {
-			t.Error("a stamp before the first reading")
+			t.Error("epoch known before the first read")
 		}
 		for range 2 {
-			if err := c.step(t.Context()); err != nil {
+			if err := c.poll(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -65,10 +65,10 @@
 		}
 		time.Sleep(time.Hour + time.Second)
 		if _, ok := c.Epoch(); ok {
-			t.Error("a stamp from a view of more than a period ago")
+			t.Error("epoch known more than a period after the last read")
 		}
 		if c.Expired(structs.RetentionEpoch(1)) {
-			t.Error("a row of the present epoch is expired")
+			t.Error("a row of the current epoch is expired")
 		}
 	})
 }
