--- a/decide/pressure/kinds.go
+++ b/decide/pressure/kinds.go
@@ -5,33 +5,33 @@
 	"sort"
 )
 
-// Serving images fall into few kinds by what they are short of, and a filling
-// image presses on those of one kind or on none. So what is known of a filling image beside one serving image tells
-// what it does beside others, by how likely the two are of one kind.
+// Serving images fall into a few kinds by their limiting resource, and a
+// filling image presses on those of one kind or on none. So its samples beside
+// one serving image are evidence for its weight beside others, by the
+// probability that the two are of one kind.
 
 const (
-	// harmlessWeight and pressingWeight are the weights up to which a pair
-	// does not press, and from which it does for sure.
+	// harmlessWeight is the weight up to which a pair doesn't press,
+	// pressingWeight the weight from which it does for sure.
 	harmlessWeight = 0.25
 	pressingWeight = 0.75
-	// compared is how much pressing must be known of two serving images
-	// before they are compared: about one filling image that presses.
-	compared = 0.9
+	// minCompared is the least sum of presses for which two serving images are
+	// compared: about one filling image that presses.
+	minCompared = 0.9
 )
 
-// difference is how differently two serving images are pressed on.
 type difference struct {
 	value float64
 	known bool
 }
 
-// Difference tells how differently two serving images are pressed on, from 0
-// (by the same filling images) to 1 (by others altogether). known is false
-// while too little is known to tell.
+// Difference measures how far two serving images differ in the filling images
+// that press on them, from 0 (the same) to 1 (none in common). known is false
+// without enough evidence.
 //
-// Regrouping asks for the same few differences thousands of times at a look;
-// worked out each time, they would take so much of the scheduler's processor
-// that short jobs wait for it. They are kept until the next solution.
+// Regrouping needs the same few differences thousands of times in one pass.
+// Computing them each time takes so much of the scheduler's processor time
+// that short jobs are delayed. So they are cached until the next Solve.
 func (m *Model) Difference(a, b string) (value float64, known bool) {
 	if a == b {
 		return 0, true
@@ -39,7 +39,7 @@
 	key := [2]string{min(a, b), max(a, b)}
 	d, ok := m.differences[key]
 	if !ok {
-		d = m.differ(a, b)
+		d = m.computeDifference(a, b)
 		if m.differences == nil {
 			m.differences = map[[2]string]difference{}
 		}
@@ -48,80 +48,80 @@
 	return d.value, d.known
 }
 
-func (m *Model) differ(a, b string) difference {
+func (m *Model) computeDifference(a, b string) difference {
 	ea, eb := m.serving[a], m.serving[b]
 	if ea == nil || eb == nil {
 		return difference{}
 	}
-	apart, both := 0.0, 0.0
+	differing, either := 0.0, 0.0
 	for _, image := range ea.images {
-		w, o := ea.alone(image), eb.alone(image)
+		w, o := ea.ownWeight(image), eb.ownWeight(image)
 		if !w.Known || !o.Known {
 			continue
 		}
 		x, y := w.presses(), o.presses()
-		apart += max(x, y) - min(x, y)
-		both += max(x, y)
+		differing += max(x, y) - min(x, y)
+		either += max(x, y)
 	}
-	if both < compared {
+	if either < minCompared {
 		return difference{}
 	}
-	return difference{value: apart / both, known: true}
+	return difference{value: differing / either, known: true}
 }
 
-// presses tells how sure it is that the pair presses, from 0 to 1.
+// presses is the degree to which the pair counts as pressing, from 0 to 1.
 func (w Weight) presses() float64 {
 	return min(1, max(0, (w.Value-harmlessWeight)/(pressingWeight-harmlessWeight)))
 }
 
 const (
-	// pressShare is the part of pairs that press. sameShare is the part of
-	// pairs of serving images that are of one kind: it lies between the third
-	// of three kinds and the half of two.
+	// pressShare is the fraction of pairs that press. sameShare is the fraction
+	// of pairs of serving images that are of one kind: it lies between the
+	// third for three kinds and the half for two.
 	pressShare = 0.3
 	sameShare  = 0.45
-	// bothShare is the part of filling images that press on two serving images
-	// of different kinds.
+	// bothShare is the fraction of filling images that press on two serving
+	// images of different kinds.
 	bothShare = 0.02
-	// joinShare is how much a sample beside another serving image counts: what
-	// several of one kind say is not independent.
-	joinShare = 0.75
-	// mostJoined bounds the odds that one pair contributes to the others.
-	mostJoined = 8.0
+	// joinFactor weights the evidence from another serving image: that from
+	// several of one kind is not independent.
+	joinFactor = 0.75
+	// maxJoinedLogOdds bounds the log odds that one pair contributes to others.
+	maxJoinedLogOdds = 8.0
 )
 
-// likelihood is how likely the samples of a pair are if it presses and if not;
-// the two add up to 1.
+// likelihood is the likelihood of a pair's samples if it presses and if it
+// doesn't, scaled so that the two add up to 1.
 type likelihood struct {
-	presses, not float64
+	presses, harmless float64
 }
 
 func (b belief) likelihood() likelihood {
-	p := probability(min(mostJoined, max(-mostJoined, b.odds)))
-	return likelihood{presses: p, not: 1 - p}
+	p := probability(min(maxJoinedLogOdds, max(-maxJoinedLogOdds, b.logBayesFactor)))
+	return likelihood{presses: p, harmless: 1 - p}
 }
 
-// join works out, for all pairs, what their own samples and those beside other
-// serving images say together.
+// join computes the weights of all pairs from their own samples and those
+// beside other serving images.
 func (m *Model) join() {
 	names := m.Serving()
 	sort.Strings(names)
-	for _, filling := range m.filling() {
+	for _, filling := range m.fillingImages() {
 		for _, e := range m.serving {
-			e.indexOf(filling)
+			e.addImage(filling)
 		}
 	}
 	for _, e := range m.serving {
 		for i := range e.pairs {
 			p := &e.pairs[i]
-			p.odds = priorOdds + p.belief.odds
+			p.logOdds = priorLogOdds + p.belief.logBayesFactor
 			p.likelihood = p.belief.likelihood()
 		}
 	}
 	for n, a := range names {
 		for _, b := range names[:n] {
 			e, o := m.serving[a], m.serving[b]
-			same := probability(e.sameKind(o))
+			same := probability(e.sameKindLogOdds(o))
 			e.joinWith(o, same)
 			o.joinWith(e, same)
 		}
@@ -129,13 +129,13 @@
 	for _, e := range m.serving {
 		for i := range e.pairs {
 			p := &e.pairs[i]
-			p.joined = weightAt(p.belief, p.odds)
+			p.joined = weightAt(p.belief, p.logOdds)
 		}
 	}
 }
 
-// filling lists the filling images of all pairs.
-func (m *Model) filling() []string {
+// fillingImages lists the filling images of all pairs, sorted.
+func (m *Model) fillingImages() []string {
 	seen := map[string]bool{}
 	var all []string
 	for _, e := range m.serving {
@@ -150,39 +150,40 @@
 	return all
 }
 
-// joinWith adds what is known beside another serving image, where same is the
+// joinWith adds the evidence from another serving image, where same is the
 // probability that both are of one kind.
 func (e *equations) joinWith(o *equations, same float64) {
-	// elsewhere is how likely a filling image that does not press on e presses
-	// on an image of another kind.
-	const elsewhere = (pressShare - bothShare) / (1 - pressShare)
-	const both = bothShare / pressShare
+	// pressesGivenHarmless is the probability that a filling image that
+	// doesn't press on e presses on an image of another kind;
+	// pressesGivenPresses is that of one that does.
+	const pressesGivenHarmless = (pressShare - bothShare) / (1 - pressShare)
+	const pressesGivenPresses = bothShare / pressShare
 	for i, image := range e.images {
 		k, ok := o.index[image]
 		if !ok {
 			continue
 		}
 		l := o.pairs[k].likelihood
-		ifPresses := same*l.presses + (1-same)*(both*l.presses+(1-both)*l.not)
-		ifNot := same*l.not + (1-same)*(elsewhere*l.presses+(1-elsewhere)*l.not)
-		e.pairs[i].odds += joinShare * math.Log(ifPresses/ifNot)
+		ifPresses := same*l.presses + (1-same)*(pressesGivenPresses*l.presses+(1-pressesGivenPresses)*l.harmless)
+		ifNot := same*l.harmless + (1-same)*(pressesGivenHarmless*l.presses+(1-pressesGivenHarmless)*l.harmless)
+		e.pairs[i].logOdds += joinFactor * math.Log(ifPresses/ifNot)
 	}
 }
 
-// sameKind is the logarithm of how much likelier the serving images of e and o
-// are of one kind than not, by the filling images that run beside both.
-func (e *equations) sameKind(o *equations) float64 {
-	odds := math.Log(sameShare / (1 - sameShare))
+// sameKindLogOdds is the log odds that the serving images of e and o are of
+// one kind, by the filling images that run beside both.
+func (e *equations) sameKindLogOdds(o *equations) float64 {
+	logOdds := math.Log(sameShare / (1 - sameShare))
 	for i, image := range e.images {
 		k, ok := o.index[image]
 		if !ok {
 			continue
 		}
 		x, y := e.pairs[i].likelihood, o.pairs[k].likelihood
-		alike := pressShare*x.presses*y.presses + (1-pressShare)*x.not*y.not
-		unlike := bothShare*x.presses*y.presses + (pressShare-bothShare)*(x.presses*y.not+x.not*y.presses) +
-			(1-2*pressShare+bothShare)*x.not*y.not
-		odds += math.Log(alike / unlike)
+		alike := pressShare*x.presses*y.presses + (1-pressShare)*x.harmless*y.harmless
+		unlike := bothShare*x.presses*y.presses + (pressShare-bothShare)*(x.presses*y.harmless+x.harmless*y.presses) +
+			(1-2*pressShare+bothShare)*x.harmless*y.harmless
+		logOdds += math.Log(alike / unlike)
 	}
-	return odds
+	return logOdds
 }
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -13,10 +13,10 @@
 	}
 }
 
-// A new filling image arrives and runs beside one serving image only. Where
-// nothing were guessed, it would have to press on each of the others before
-// it is kept away from them, and wait beside those on which it does not press.
-func TestWhatIsKnownOfOneServingImageIsGuessedOfOthers(t *testing.T) {
+// A new filling image first runs beside one serving image only. Without
+// estimates for the others, it would have to press on each before it is kept
+// away, and would be slowed beside those on which it doesn't press.
+func TestEstimatesCarryOverToSimilarServingImages(t *testing.T) {
 	var m Model
 	for _, a := range []string{"a1", "a2"} {
 		observe(&m, a, "f1", 2)
@@ -33,28 +33,28 @@
 		t.Errorf("beside an image of another kind: %+v", w)
 	}
 	if w := m.Weight(Pair{"c1", "new"}); w.Known {
-		t.Errorf("beside an image of which nothing is known: %+v", w)
+		t.Errorf("beside an image without samples: %+v", w)
 	}
 	observe(&m, "b1", "new", 1.8)
 	m.Solve(time.Second)
 	if w := m.Weight(Pair{"b1", "new"}); w.Value < 1.4 {
-		t.Errorf("samples of the pair itself go before a guess: %+v", w)
+		t.Errorf("samples of the pair itself do not outweigh the estimate from other pairs: %+v", w)
 	}
 }
 
-// Images of which too little is known are neither alike nor different.
+// Images with too little evidence are neither alike nor different.
 func TestDifferenceNeedsPressing(t *testing.T) {
 	var m Model
 	observe(&m, "a", "f1", 0)
 	observe(&m, "b", "f1", 0)
 	m.Solve(time.Second)
 	if _, known := m.Difference("a", "b"); known {
-		t.Error("images on which nothing is known to press are compared")
+		t.Error("images without a known pressing image are compared")
 	}
 }
 
-// Samples fade: a pair that has changed is learnt anew within a minute.
-func TestPairsThatChangeAreLearntAnew(t *testing.T) {
+// Samples decay: a pair that has changed is relearnt within a minute.
+func TestChangedPairsAreRelearnt(t *testing.T) {
 	var m Model
 	observe(&m, "a", "f", 2)
 	m.Solve(time.Second)
@@ -65,13 +65,13 @@
 		m.Solve(5 * time.Second)
 	}
 	if w := m.Weight(Pair{"a", "f"}); w.Value > 0.6 {
-		t.Errorf("a minute after the pair has changed: %+v", w)
+		t.Errorf("a minute after the pair changed: %+v", w)
 	}
 }
 
-// What is kept for the time after a restart says the same of every pair, and
-// a kept row that was damaged does no harm.
-func TestWhatIsLearntOutlivesTheProcess(t *testing.T) {
+// Exported estimates restore the weight of every pair after a restart, and a
+// damaged record has no bad effect.
+func TestImportRestoresExportedWeights(t *testing.T) {
 	var before, after Model
 	observe(&before, "a", "f1", 2)
 	observe(&before, "a", "f2", 0)
@@ -85,30 +85,30 @@
 		}
 	}
 	after.Import([]Learnt{{Pair: Pair{"a", "f1"}, Value: -1, Evidence: 1e9}, {Pair: Pair{"c", "f1"}, Value: 1e9, Evidence: 1e9}})
-	if w := after.Weight(Pair{"c", "f1"}); w.Value > highestWeight {
+	if w := after.Weight(Pair{"c", "f1"}); w.Value > maxWeight {
 		t.Errorf("a damaged record gives %+v", w)
 	}
 }
 
-// Nine filling images have each run beside three of five serving images. What
-// they do beside the other two is told for most, and seldom wrongly, in worlds
-// of two kinds of serving images, of as many kinds as images, and of one.
-func TestMostPairsAreToldFromAFew(t *testing.T) {
+// Nine filling images have each run beside three of five serving images. Most
+// pairs with the other two are inferred, and few wrongly, with one, two or
+// three kinds of serving images and with as many kinds as images.
+func TestMostPairsAreInferredFromSome(t *testing.T) {
 	const serving, filling, beside = 5, 9, 3
-	worlds := []struct {
+	scenarios := []struct {
 		name  string
 		kinds int
-		// right and wrong are bounds on the parts of all pairs that are told
+		// right and wrong bound the fractions of all pairs that are classified
 		// so; three fifths have samples of their own.
 		right, wrong float64
 	}{{"two kinds", 2, 0.7, 0.06}, {"three kinds", 3, 0.6, 0.06}, {"all alike", 1, 0.7, 0.06}, {"all different", 5, 0.5, 0.06}}
-	for _, world := range worlds {
+	for _, scenario := range scenarios {
 		right, wrong := 0, 0
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			weight := func(s, f int) float64 {
-				// One filling image in three presses on nothing.
-				if f%3 < 2 && (f/3+f)%world.kinds == s%world.kinds {
+				// One filling image in three presses on none.
+				if f%3 < 2 && (f/3+f)%scenario.kinds == s%scenario.kinds {
 					return 0.9 + 0.15*float64(f)
 				}
 				return 0.1
@@ -130,7 +130,7 @@
 					w := m.Weight(Pair{string(rune('a' + s)), string(rune('m' + f))})
 					switch {
 					case !w.Known:
-					case (w.Value > pressesFrom) == (weight(s, f) > pressesFrom):
+					case (w.Value > pressThreshold) == (weight(s, f) > pressThreshold):
 						right++
 					default:
 						wrong++
@@ -139,10 +139,10 @@
 			}
 		}
 		all := float64(40 * serving * filling)
-		if float64(right) < world.right*all || float64(wrong) > world.wrong*all {
-			t.Errorf("%s: %.2f of the pairs told rightly, %.2f wrongly", world.name, float64(right)/all, float64(wrong)/all)
+		if float64(right) < scenario.right*all || float64(wrong) > scenario.wrong*all {
+			t.Errorf("%s: %.2f of the pairs classified rightly, %.2f wrongly", scenario.name, float64(right)/all, float64(wrong)/all)
 		} else {
-			t.Logf("%s: %.2f of the pairs told rightly, %.2f wrongly", world.name, float64(right)/all, float64(wrong)/all)
+			t.Logf("%s: %.2f of the pairs classified rightly, %.2f wrongly", scenario.name, float64(right)/all, float64(wrong)/all)
 		}
 	}
 }
--- a/decide/pressure/light.go
+++ b/decide/pressure/light.go
@@ -1,16 +1,15 @@
 package pressure
 
 const (
-	// priorLight is the weight of pairs that do not press before anything is
-	// known, and priorLightEvidence how much that counts, in squared shares of a
-	// worker.
+	// priorLight is the light weight without samples; priorLightEvidence is
+	// its evidence, in squared shares of a worker.
 	priorLight         = 0.2
 	priorLightEvidence = 0.5
 )
 
-// Light is the weight of pairs that do not press. By itself such a pair hardly
-// shows: its load on a serving task is below the scatter of one figure. All of
-// them together fill half a worker, and then take a tenth of what the task
+// Light is the common weight of all pairs that don't press. The load of one
+// such pair on a serving task is below the noise of a sample. All of them
+// together use half a worker, and then take a tenth of the load that the task
 // bears.
 func (m *Model) Light() float64 {
 	if m.version == 0 {
@@ -19,8 +18,8 @@
 	return m.light
 }
 
-// lightWeight fits one weight to all pairs that do not press, beside what
-// those that do are known to add.
+// lightWeight fits one weight to all pairs that don't press, net of the load
+// of those that do.
 func (m *Model) lightWeight() float64 {
 	load, square := priorLight*priorLightEvidence, priorLightEvidence
 	for _, e := range m.serving {
@@ -28,11 +27,11 @@
 		load += l
 		square += s
 	}
-	return min(pressesFrom, max(0, load/square))
+	return min(pressThreshold, max(0, load/square))
 }
 
-// light sums, over the pairs of one serving image that do not press, the load
-// that the others leave times the share used, and the square of that share.
+// light sums, over the pairs of one serving image that don't press, the used
+// share times the load that the others leave, and the square of that share.
 func (e *equations) light() (load, square float64) {
 	for i := range e.pairs {
 		if !e.isLight(i) {
@@ -53,5 +52,5 @@
 // isLight reports whether pair i is known not to press.
 func (e *equations) isLight(i int) bool {
 	w := e.pairs[i].joined
-	return w.Known && w.Value <= pressesFrom
+	return w.Known && w.Value <= pressThreshold
 }
--- a/decide/pressure/light_test.go
+++ b/decide/pressure/light_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// Pairs that do not press seem to weigh nothing: each adds less to a figure than
-// it scatters by. Half a worker of them takes serving tasks over their targets.
-func TestLightWeightIsToldFromAllPairsTogether(t *testing.T) {
+// A single pair that doesn't press seems to have no weight: it adds less to a
+// sample than the noise. Half a worker of such work takes serving tasks over
+// their targets.
+func TestLightWeightIsFittedToAllPairs(t *testing.T) {
 	for _, light := range []float64{0.05, 0.15, 0.3} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		var m Model
@@ -34,12 +35,12 @@
 			m.Solve(0)
 		}
 		if got := m.Light(); math.Abs(got-light) > 0.1 {
-			t.Errorf("light weight %.2f, it is %.2f", got, light)
+			t.Errorf("light weight %.2f, want about %.2f", got, light)
 		}
 	}
 }
 
-// Before anything is known the weight is the usual one.
+// Without samples the weight is that of the prior.
 func TestLightWeightBeforeAnySample(t *testing.T) {
 	var m Model
 	if got := m.Light(); got != priorLight {
@@ -47,6 +48,6 @@
 	}
 	m.Solve(0)
 	if got := m.Light(); got != priorLight {
-		t.Errorf("%.2f after a solution without samples", got)
+		t.Errorf("%.2f after Solve without samples", got)
 	}
 }
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -1,14 +1,15 @@
-// Package pressure learns how much filling work slows the serving tasks
-// beside it, and paces the filling work by what it has learnt.
+// Package pressure learns how much filling work slows the serving tasks beside
+// it, and computes the pace of the filling work.
 //
-// A serving task's tail latency is taken as base/(1-load), as of a queue. Its
-// load is its own, plus, for each image of filling tasks beside it, the share
-// of the worker's processor that they use times a weight of the pair of
-// images. Most pairs have a weight of nothing, a few of several units.
+// A serving task's tail latency is modelled as base/(1-load), as for a queue.
+// Its load is its own, plus, for each image of filling tasks beside it, the
+// share of the worker's processor that they use times the weight of the pair
+// of images. A filling image presses on a serving image if that weight is well
+// above 0. Most pairs have a weight near 0, a few have one of several units.
 //
-// The package interference of the urgent path learns inflation by running
-// task and band of load; here the work used is measured, may be paced, and the
-// tail is not linear in it.
+// decide.Interference, for the urgent path, learns the inflation by running
+// task and band of load. Here the work used is measured and can be paced, and
+// the tail is not linear in it.
 package pressure
 
 import (
@@ -19,65 +20,65 @@
 	"time"
 )
 
-// Tuning of the learner.
+// Parameters of the model.
 const (
-	// halfLife is the time after which a sample counts half: pairs keep their
-	// weights for tens of seconds.
+	// halfLife is the time after which a sample counts half: the weights of
+	// pairs are stable for tens of seconds.
 	halfLife = 60 * time.Second
-	// sweeps of the coordinate descent at each solution; it begins at the
-	// last one.
+	// sweeps is the number of coordinate descent sweeps in a Solve, which
+	// starts from the last solution.
 	sweeps = 2
-	// maxImages bounds the images of filling tasks that are told apart.
+	// maxImages bounds the filling images that are distinguished.
 	maxImages = 64
-	// highestWeight bounds what a run of odd samples can leave behind.
-	highestWeight = 8.0
+	// maxWeight bounds the effect of a series of outliers.
+	maxWeight = 8.0
 )
 
-// Pair is one pair of images.
+// Pair is a serving image and a filling image.
 type Pair struct {
 	Serving string
 	Filling string
 }
 
-// Weight is what is known of a pair.
+// Weight is the estimated weight of a pair.
 type Weight struct {
-	// Value is the load on the serving task for a whole worker's worth of
-	// work of the filling image.
+	// Value is the load on the serving task for a whole worker's use by the
+	// filling image.
 	Value float64
-	// Known is false while it is not sure whether the pair presses.
+	// Known is false while it is uncertain whether the pair presses.
 	Known bool
 }
 
 // Sample compares a serving job with itself on another worker, or a moment
-// earlier: its own load is the same in both, so what differs is the filling
-// work beside it.
+// earlier: its own load is the same in both, so the difference is due to the
+// filling work beside it.
 type Sample struct {
 	Serving string
-	// Load is the difference of the loads.
+	// Load is the difference between the loads.
 	Load float64
 	// Used is the difference of the shares of the worker that each filling
 	// image used.
 	Used map[string]float64
-	// Count is how much the sample counts, 1 for one of its own.
+	// Count weights the sample; it is 1 for an independent one.
 	Count float64
 }
 
-// Model is the weights of all pairs. The zero value is ready for use; it is
+// Model holds the weights of all pairs. The zero value is ready for use; it is
 // not safe for concurrent use.
 type Model struct {
 	serving map[string]*equations
 	// version counts solutions.
 	version uint64
-	// light is the weight of pairs that do not press, all taken together.
+	// light is the common weight of all pairs that don't press.
 	light float64
-	// differences are those that were asked for since the last solution.
+	// differences caches results of Difference since the last solution.
 	differences map[[2]string]difference
 }
 
-// equations are the normal equations of one serving image, and what follows
-// from them.
+// equations are the normal equations of one serving image, with the estimates
+// derived from them.
 type equations struct {
-	// images are the filling images, index their places.
+	// images are the filling images; index holds their positions.
 	images  []string
 	index   map[string]int
 	squares [][]float64
@@ -85,30 +86,30 @@
 	pairs   []estimate
 }
 
-// estimate is what is known of one pair.
+// estimate holds the estimates of one pair.
 type estimate struct {
-	// belief is what its own samples say, alone the weight by them, and fitted
-	// the weight that fits them best, however unlikely it is.
+	// belief and own are from the pair's own samples. fitted is their
+	// least-squares weight, without the prior.
 	belief belief
-	alone  Weight
+	own    Weight
 	fitted float64
 	// joined is the weight by all samples, also those of the filling image
-	// beside other serving images; odds is what it is worked out from.
-	joined Weight
-	odds   float64
-	// likelihood is the belief's, as join uses it many times.
+	// beside other serving images; logOdds is its log odds of pressing.
+	joined  Weight
+	logOdds float64
+	// likelihood is that of the belief, cached because join uses it often.
 	likelihood likelihood
 }
 
 func newEstimate() estimate {
 	unknown := Weight{Value: priorWeight}
-	return estimate{belief: believe(0, 0), alone: unknown, fitted: priorWeight, joined: unknown}
+	return estimate{belief: newBelief(0, 0), own: unknown, fitted: priorWeight, joined: unknown}
 }
 
-// Version rises with each solution.
+// Version increases with each Solve.
 func (m *Model) Version() uint64 { return m.version }
 
-// Observe takes a sample; it counts from the next Solve on.
+// Observe adds a sample. It has an effect from the next Solve on.
 func (m *Model) Observe(s Sample) {
 	if len(s.Used) == 0 || s.Count <= 0 {
 		return
@@ -124,11 +125,11 @@
 	e.add(s)
 }
 
-// Solve works the weights out anew, elapsed after the last time.
+// Solve recomputes the weights; elapsed is the time since the last Solve.
 func (m *Model) Solve(elapsed time.Duration) {
-	left := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
+	factor := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 	for _, e := range m.serving {
-		e.fade(left)
+		e.decay(factor)
 		for range sweeps {
 			e.sweep()
 		}
@@ -140,9 +141,9 @@
 }
 
 func (e *equations) add(s Sample) {
-	// In a fixed order, so that the same samples give the same weights.
+	// The order is fixed, so that the same samples give the same weights.
 	for _, image := range slices.Sorted(maps.Keys(s.Used)) {
-		e.indexOf(image)
+		e.addImage(image)
 	}
 	for a, x := range s.Used {
 		i, ok := e.index[a]
@@ -158,7 +159,7 @@
 	}
 }
 
-func (e *equations) indexOf(image string) {
+func (e *equations) addImage(image string) {
 	if _, ok := e.index[image]; ok || len(e.index) >= maxImages {
 		return
 	}
@@ -172,17 +173,17 @@
 	e.squares = append(e.squares, make([]float64, len(e.pairs)))
 }
 
-// fade leaves a part of the evidence.
-func (e *equations) fade(left float64) {
+// decay multiplies the evidence by factor.
+func (e *equations) decay(factor float64) {
 	for i := range e.squares {
-		e.sums[i] *= left
+		e.sums[i] *= factor
 		for k := range e.squares[i] {
-			e.squares[i][k] *= left
+			e.squares[i][k] *= factor
 		}
 	}
 }
 
-// sweep improves each weight in turn.
+// sweep updates each weight in turn, given the others.
 func (e *equations) sweep() {
 	for i := range e.pairs {
 		square := e.squares[i][i]
@@ -192,32 +193,32 @@
 		rest := e.sums[i]
 		for k := range e.pairs {
 			if k != i {
-				rest -= e.squares[i][k] * e.pairs[k].alone.Value
+				rest -= e.squares[i][k] * e.pairs[k].own.Value
 			}
 		}
 		p := &e.pairs[i]
-		p.belief = believe(rest, square)
-		p.alone = weightAt(p.belief, priorOdds+p.belief.odds)
-		p.fitted = min(highestWeight, max(0, rest/square))
+		p.belief = newBelief(rest, square)
+		p.own = weightAt(p.belief, priorLogOdds+p.belief.logBayesFactor)
+		p.fitted = min(maxWeight, max(0, rest/square))
 	}
 }
 
-// alone is what samples of the pair itself say of it.
-func (e *equations) alone(filling string) Weight {
+// ownWeight is the weight by the pair's own samples.
+func (e *equations) ownWeight(filling string) Weight {
 	i, ok := e.index[filling]
 	if !ok {
 		return Weight{Value: priorWeight}
 	}
-	return e.pairs[i].alone
+	return e.pairs[i].own
 }
 
-// weightAt is the weight of a pair that presses with the given odds.
-func weightAt(b belief, odds float64) Weight {
-	p := probability(odds)
-	return Weight{Value: b.mean(odds), Known: max(p, 1-p) >= knownFrom}
+// weightAt is the weight at the given log odds that the pair presses.
+func weightAt(b belief, logOdds float64) Weight {
+	p := probability(logOdds)
+	return Weight{Value: b.mean(logOdds), Known: max(p, 1-p) >= knownProbability}
 }
 
-// Weight returns what is known of a pair.
+// Weight returns the weight of a pair by all samples.
 func (m *Model) Weight(p Pair) Weight {
 	e := m.serving[p.Serving]
 	if e == nil {
@@ -230,7 +231,7 @@
 	return e.pairs[i].joined
 }
 
-// Serving lists the serving images of which something is known.
+// Serving lists the serving images with samples.
 func (m *Model) Serving() []string {
 	all := make([]string, 0, len(m.serving))
 	for image := range m.serving {
@@ -239,7 +240,7 @@
 	return all
 }
 
-// Weights returns all pairs of a serving image of which something is known.
+// Weights returns the weights of a serving image by filling image.
 func (m *Model) Weights(serving string) map[string]Weight {
 	e := m.serving[serving]
 	if e == nil {
@@ -252,26 +253,26 @@
 	return all
 }
 
-// Learnt is what is known of one pair by its own samples, as it is kept for
-// the time after a restart.
+// Learnt is the estimate of one pair by its own samples, as stored across
+// restarts.
 type Learnt struct {
 	Pair
-	// Value is the weight that fits the samples best, Evidence how much it
-	// counts, in squared shares of a worker: one sample of a typical task (a
-	// tenth of a worker) is 0.01.
+	// Value is the least-squares weight, Evidence the sum of the squares of
+	// the used shares of a worker: one sample of a typical task (a tenth of a
+	// worker) adds 0.01.
 	Value    float64
 	Evidence float64
 }
 
-// leastEvidence is the evidence below which a pair is not worth keeping.
-const leastEvidence = 0.005
+// minEvidence is the evidence below which a pair is not exported.
+const minEvidence = 0.005
 
-// Export returns what is known.
+// Export returns the estimates with at least minEvidence, sorted.
 func (m *Model) Export() []Learnt {
 	var all []Learnt
 	for serving, e := range m.serving {
 		for filling, i := range e.index {
-			if e.squares[i][i] >= leastEvidence {
+			if e.squares[i][i] >= minEvidence {
 				all = append(all, Learnt{Pair: Pair{Serving: serving, Filling: filling}, Value: e.pairs[i].fitted, Evidence: e.squares[i][i]})
 			}
 		}
@@ -283,18 +284,18 @@
 	return all
 }
 
-// Import adds what an earlier process knew.
+// Import adds the estimates that an earlier process exported.
 func (m *Model) Import(all []Learnt) {
 	for _, l := range all {
 		if l.Evidence <= 0 || l.Value < 0 {
 			continue
 		}
-		used := math.Sqrt(min(l.Evidence, mostEvidence))
-		m.Observe(Sample{Serving: l.Serving, Load: used * min(l.Value, highestWeight), Used: map[string]float64{l.Filling: used}, Count: 1})
+		used := math.Sqrt(min(l.Evidence, maxEvidence))
+		m.Observe(Sample{Serving: l.Serving, Load: used * min(l.Value, maxWeight), Used: map[string]float64{l.Filling: used}, Count: 1})
 	}
 	m.Solve(0)
 }
 
-// mostEvidence bounds what is taken from an earlier process, so that a pair
-// that has changed since is learnt anew soon.
-const mostEvidence = 0.3
+// maxEvidence bounds the evidence of an imported pair, so that a pair that has
+// changed since is soon relearnt.
+const maxEvidence = 0.3
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// Tuning of the pace.
+// Parameters of the pace.
 const (
-	// goal is the part of its target that a serving task's tail is kept
-	// below: the figures are rough and half a second old.
-	goal = 0.85
-	// margin is the load kept free for what changes until the next figure.
-	margin = 0.03
-	// overFor is how long a tail may stay over its target before everything
-	// that may press on it stands still, whatever the model says. Users are
-	// harmed after a few seconds.
-	overFor = 1200 * time.Millisecond
-	// harmless is the weight up to which a known pair does not press.
-	harmless = 0.15
-	// unknownCut slows images of unknown pairs beside a tail near its target.
-	unknownCut = 0.4
-	// slowest is the pace below which work stands still.
-	slowest = 0.04
-	// rise bounds how much faster a pace becomes at a time, so that the
-	// figures can follow.
-	rise = 0.35
+	// targetFraction is the fraction of its target below which a serving task's
+	// tail is kept: the measurements are rough and half a second old.
+	targetFraction = 0.85
+	// loadMargin is the load kept free for changes until the next measurement.
+	loadMargin = 0.03
+	// maxOver is the time over its target from which all work that may press
+	// on a task is paused, whatever the model says. Users are affected after a
+	// few seconds.
+	maxOver = 1200 * time.Millisecond
+	// ignoredWeight is the weight up to which a known pair needs no pacing.
+	ignoredWeight = 0.15
+	// unknownPaceFactor multiplies the pace of images of unknown pairs beside a
+	// tail near its target.
+	unknownPaceFactor = 0.4
+	// minPace is the pace below which work is paused.
+	minPace = 0.04
+	// maxRise bounds the increase of a pace in one step, so that the
+	// measurements can follow.
+	maxRise = 0.35
 )
 
-// Serving is a serving task beside filling work.
+// Serving is a serving task on a worker with filling work.
 type Serving struct {
 	Image string
-	// Tail and Target are in the same unit. Base is the tail that the task
-	// would have without any load; 0 if it is not known.
+	// Tail and Target are in the same unit. Base is the tail without any load,
+	// 0 if it is unknown.
 	Tail, Target, Base float64
-	// Over is how long the tail has been over its target.
+	// Over is the time for which the tail has been over its target.
 	Over time.Duration
 }
 
 // Filling is the filling work of one job and image on a worker.
 type Filling struct {
 	Image string
-	// Rank orders the jobs: the least is worked on first.
+	// Rank orders the jobs; the lowest has precedence.
 	Rank int
-	// Used is the share of the worker in use, Wanted what the tasks would
-	// use at full pace.
+	// Used is the share of the worker in use, Wanted the share at full pace.
 	Used, Wanted float64
-	// Pace is the share of its speed at which it works, 0 to 1.
+	// Pace is the current pace, 0 to 1.
 	Pace float64
 }
 
-// baseOfTarget is the part of its target that a serving task's tail is taken
-// to be without load where nothing smaller was seen.
-const baseOfTarget = 1 / 4.5
+// defaultBaseFraction is the assumed base of a serving task, as a fraction of
+// its target, unless its tail is lower.
+const defaultBaseFraction = 1 / 4.5
 
-// Pace returns the pace of each filling: as fast as the tails of all serving
-// tasks allow. Work that presses on none runs at full speed.
+// Pace returns the pace of each element of filling: the highest that the tails
+// of all serving tasks allow. Work that presses on none runs at full speed.
 //
-// What the tasks bear goes to the fillings in the order of their ranks. Shared
-// alike among jobs that together press too much, it would end all of them too
-// late to be of use.
+// The spare load of the serving tasks is given to the jobs in the order of
+// their ranks. Shared equally among jobs that together press too much, it
+// would make all of them end too late to be of use.
 func Pace(serving []Serving, filling []Filling, weight func(Pair) Weight) []float64 {
 	spare := make([]float64, len(serving))
 	for k := range serving {
@@ -67,11 +67,11 @@
 	paces := make([]float64, len(filling))
 	for _, i := range byRank(filling) {
 		f := &filling[i]
-		pace := min(1, f.Pace+rise)
+		pace := min(1, f.Pace+maxRise)
 		for k := range serving {
 			pace = min(pace, serving[k].bound(f, spare[k], weight))
 		}
-		if pace < slowest {
+		if pace < minPace {
 			pace = 0
 		}
 		for k := range serving {
@@ -91,7 +91,7 @@
 	return order
 }
 
-// measured reports whether there is a figure to go by.
+// measured reports whether the task has a target and a measured tail.
 func (s *Serving) measured() bool { return s.Target > 0 && s.Tail > 0 }
 
 // spare is the load that filling work may put on the task.
@@ -101,7 +101,7 @@
 	}
 	base := s.Base
 	if base <= 0 || base > s.Tail {
-		base = min(s.Tail, baseOfTarget*s.Target)
+		base = min(s.Tail, defaultBaseFraction*s.Target)
 	}
 	now := 0.0
 	for i := range filling {
@@ -110,44 +110,46 @@
 		}
 	}
 	own := max(0, 1-base/s.Tail-now)
-	return max(0, 1-base/(goal*s.Target)-own-margin)
+	return max(0, 1-base/(targetFraction*s.Target)-own-loadMargin)
 }
 
-// pressing is the weight of f on the task, 0 if f is known to be harmless.
+// pressing is the weight of f on the task, 0 if it is known to be at most
+// ignoredWeight.
 func (s *Serving) pressing(f *Filling, weight func(Pair) Weight) float64 {
 	w := weight(Pair{Serving: s.Image, Filling: f.Image})
-	if w.Known && w.Value <= harmless {
+	if w.Known && w.Value <= ignoredWeight {
 		return 0
 	}
 	return w.Value
 }
 
-// load is what f would put on the task at full pace.
+// load is the load of f on the task at full pace.
 func (s *Serving) load(f *Filling, weight func(Pair) Weight) float64 {
 	return s.pressing(f, weight) * f.Wanted
 }
 
-// bound is the pace that the task bears of f, with spare left for it.
+// bound is the highest pace of f that the task allows with the given spare
+// load.
 func (s *Serving) bound(f *Filling, spare float64, weight func(Pair) Weight) float64 {
 	if !s.measured() {
 		return 1
 	}
 	w := weight(Pair{Serving: s.Image, Filling: f.Image})
-	if w.Known && w.Value <= harmless {
-		if s.Over > 2*overFor {
+	if w.Known && w.Value <= ignoredWeight {
+		if s.Over > 2*maxOver {
 			return 0
 		}
 		return 1
 	}
-	if s.Over > overFor {
+	if s.Over > maxOver {
 		return 0
 	}
 	pace := 1.0
 	if load := s.load(f, weight); load > spare {
 		pace = max(0, spare) / load
 	}
-	if !w.Known && s.Tail > goal*s.Target {
-		pace = min(pace, f.Pace*unknownCut)
+	if !w.Known && s.Tail > targetFraction*s.Target {
+		pace = min(pace, f.Pace*unknownPaceFactor)
 	}
 	return pace
 }
--- a/decide/pressure/pressure_test.go
+++ b/decide/pressure/pressure_test.go
@@ -11,8 +11,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// truth is the weights of a made-up world: f1 presses on a, f2 on b.
-var truth = map[Pair]float64{{"a", "f1"}: 1.8, {"b", "f2"}: 1.2, {"a", "f3"}: 0, {"b", "f3"}: 0}
+// trueWeights are the weights behind the samples: f1 presses on a, f2 on b.
+var trueWeights = map[Pair]float64{{"a", "f1"}: 1.8, {"b", "f2"}: 1.2, {"a", "f3"}: 0, {"b", "f3"}: 0}
 
 func sample(rng *rand.Rand, serving string) Sample {
 	s := Sample{Serving: serving, Used: map[string]float64{}, Count: 1}
@@ -20,7 +20,7 @@
 		if rng.IntN(2) == 0 {
 			u := 0.2 * rng.Float64()
 			s.Used[f] = u
-			s.Load += u * truth[Pair{serving, f}]
+			s.Load += u * trueWeights[Pair{serving, f}]
 		}
 	}
 	s.Load += 0.03 * rng.NormFloat64()
@@ -38,20 +38,20 @@
 	for _, serving := range []string{"a", "b"} {
 		for _, f := range []string{"f1", "f2", "f3"} {
 			w := m.Weight(Pair{serving, f})
-			if !w.Known || math.Abs(w.Value-truth[Pair{serving, f}]) > 0.3 {
-				t.Errorf("%s beside %s: %+v, true %v", f, serving, w, truth[Pair{serving, f}])
+			if !w.Known || math.Abs(w.Value-trueWeights[Pair{serving, f}]) > 0.3 {
+				t.Errorf("%s beside %s: %+v, true %v", f, serving, w, trueWeights[Pair{serving, f}])
 			}
 		}
 	}
 	if w := m.Weight(Pair{"a", "new"}); w.Known || w.Value != priorWeight {
-		t.Errorf("an unknown pair has %+v", w)
+		t.Errorf("weight of an unknown pair: %+v", w)
 	}
 }
 
 // Filling work of a new image runs beside serving tasks on several workers.
-// Until it is known where it presses, it takes their tails over their targets
-// and is placed beside more of them. Two samples of a usual task have to tell.
-func TestFewSamplesTell(t *testing.T) {
+// While its pairs are unknown, it takes their tails over their targets and is
+// placed beside more of them. So two samples of a typical task must suffice.
+func TestTwoSamplesClassifyAPair(t *testing.T) {
 	const used = 0.12
 	for _, c := range []struct {
 		weight  float64
@@ -69,19 +69,19 @@
 			switch {
 			case !w.Known:
 				unknown++
-			case (w.Value > pressesFrom) != c.presses:
+			case (w.Value > pressThreshold) != c.presses:
 				wrong++
 			}
 		}
 		if wrong > 20 || unknown > 100 {
-			t.Errorf("weight %.1f: of 200 pairs %d told wrongly and %d not known", c.weight, wrong, unknown)
+			t.Errorf("weight %.1f: of 200 pairs %d classified wrongly and %d unknown", c.weight, wrong, unknown)
 		}
 	}
 }
 
-// The scatter of the samples is a constant of the model. Where it is twice as
-// large or half as large, the pairs are told all the same, from more samples.
-func TestLearningBearsAnotherScatter(t *testing.T) {
+// The noise of the samples is a constant of the model. Where the real noise is
+// twice or half as large, the pairs are still classified, from more samples.
+func TestLearningToleratesOtherNoise(t *testing.T) {
 	for _, noise := range []float64{sampleNoise / 2, 2 * sampleNoise} {
 		wrong := 0
 		for seed := range uint64(20) {
@@ -95,21 +95,21 @@
 				}
 				m.Solve(50 * time.Millisecond)
 			}
-			for p, weight := range truth {
-				if w := m.Weight(p); !w.Known || (w.Value > pressesFrom) != (weight > pressesFrom) {
+			for p, weight := range trueWeights {
+				if w := m.Weight(p); !w.Known || (w.Value > pressThreshold) != (weight > pressThreshold) {
 					wrong++
 				}
 			}
 		}
 		if wrong > 2 {
-			t.Errorf("scatter %.3f: %d of 80 pairs not told rightly", noise, wrong)
+			t.Errorf("noise %.3f: %d of 80 pairs not classified rightly", noise, wrong)
 		}
 	}
 }
 
-// The same samples give the same weights, to the last digit: a recorded day is
-// played again to find out why work was placed where it was.
-func TestWeightsFollowFromTheSamplesAlone(t *testing.T) {
+// The same samples give the same weights, to the last digit, so that replaying
+// a recorded day shows the reasons for its placements.
+func TestWeightsAreDeterministic(t *testing.T) {
 	learn := func() string {
 		rng := rand.New(rand.NewPCG(5, 6))
 		var m Model
@@ -126,12 +126,12 @@
 	first := learn()
 	for range 20 {
 		if again := learn(); again != first {
-			t.Fatalf("other weights from the same samples:\n%s\n%s", first, again)
+			t.Fatalf("different weights from the same samples:\n%s\n%s", first, again)
 		}
 	}
 }
 
-// A run of odd samples must not drive a weight out of its range.
+// A series of outliers must not drive a weight out of its range.
 func TestWeightsStayInRange(t *testing.T) {
 	var m Model
 	for range 100 {
@@ -139,12 +139,12 @@
 		m.Observe(Sample{Serving: "b", Count: 1, Load: -1e9, Used: map[string]float64{"f": 0.5}})
 		m.Solve(50 * time.Millisecond)
 	}
-	if high, low := m.Weight(Pair{"a", "f"}).Value, m.Weight(Pair{"b", "f"}).Value; high > highestWeight || low < 0 {
+	if high, low := m.Weight(Pair{"a", "f"}).Value, m.Weight(Pair{"b", "f"}).Value; high > maxWeight || low < 0 {
 		t.Errorf("weights %v and %v", high, low)
 	}
 }
 
-func known(values map[Pair]float64) func(Pair) Weight {
+func knownWeights(values map[Pair]float64) func(Pair) Weight {
 	return func(p Pair) Weight {
 		if v, ok := values[p]; ok {
 			return Weight{Value: v, Known: true}
@@ -154,10 +154,10 @@
 }
 
 func TestPace(t *testing.T) {
-	weights := known(map[Pair]float64{{"a", "presses"}: 2, {"a", "harmless"}: 0.05})
+	weights := knownWeights(map[Pair]float64{{"a", "presses"}: 2, {"a", "harmless"}: 0.05})
 	calm := Serving{Image: "a", Tail: 5, Target: 18, Base: 4}
 	near := Serving{Image: "a", Tail: 15, Target: 18, Base: 4}
-	over := Serving{Image: "a", Tail: 30, Target: 18, Base: 4, Over: 2 * overFor}
+	over := Serving{Image: "a", Tail: 30, Target: 18, Base: 4, Over: 2 * maxOver}
 	cases := []struct {
 		name    string
 		serving []Serving
@@ -174,7 +174,7 @@
 		{"presses on a task over its target", []Serving{over}, Filling{Image: "presses", Wanted: 0.1, Pace: 0.1}, 0, 0},
 		{"unknown beside a calm task", []Serving{calm}, Filling{Image: "new", Wanted: 0.3, Pace: 1}, 1, 1},
 		{"unknown beside a task near its target", []Serving{near}, Filling{Image: "new", Wanted: 0.3, Pace: 1}, 0, 0},
-		{"rises step by step", []Serving{calm}, Filling{Image: "harmless", Wanted: 0.3, Pace: 0.2}, 0.2 + rise, 0.2 + rise},
+		{"rise in one step is bounded", []Serving{calm}, Filling{Image: "harmless", Wanted: 0.3, Pace: 0.2}, 0.2 + maxRise, 0.2 + maxRise},
 	}
 	for _, c := range cases {
 		got := Pace(c.serving, []Filling{c.filling}, weights)[0]
@@ -184,12 +184,13 @@
 	}
 }
 
-// Five jobs of one image press on a serving task that bears two of them. Shared
-// alike, each would crawl and all would end late. The first two by rank work at
-// full speed, and the others stand still; what does not press is not held up
-// by any of them, and where two images serve, the tighter one bounds.
+// Five jobs of one image press on a serving task that bears two of them.
+// Shared equally, all would be slow and end late. The first two by rank work
+// at full speed, and the last ones are paused. Work that doesn't press is not
+// slowed, and of two serving images the one with less spare load limits the
+// pace.
 func TestPaceGoesByRank(t *testing.T) {
-	weights := known(map[Pair]float64{{"a", "presses"}: 2, {"a", "harmless"}: 0, {"b", "presses"}: 2, {"b", "harmless"}: 0})
+	weights := knownWeights(map[Pair]float64{{"a", "presses"}: 2, {"a", "harmless"}: 0, {"b", "presses"}: 2, {"b", "harmless"}: 0})
 	calm := Serving{Image: "a", Tail: 6, Target: 18, Base: 4}
 	near := Serving{Image: "b", Tail: 15, Target: 18, Base: 4}
 	jobs := func(image string, ranks ...int) (list []Filling) {
@@ -205,10 +206,10 @@
 		want    []float64
 	}{
 		{"the first two", []Serving{calm}, jobs("presses", 4, 0, 2, 1, 3), []float64{0, 1, 0.3, 1, 0}},
-		{"harmless ones go on", []Serving{calm}, append(jobs("presses", 0, 1, 2), jobs("harmless", 7)...), []float64{1, 1, 0.3, 1}},
-		{"harmless ones take nothing", []Serving{calm}, append(jobs("harmless", 0, 1), jobs("presses", 2, 3)...), []float64{1, 1, 1, 1}},
-		{"the tighter one bounds", []Serving{calm, near}, jobs("presses", 0, 1), []float64{0, 0}},
-		{"equal ranks in their order", []Serving{calm}, jobs("presses", 0, 0, 0, 0), []float64{1, 1, 0.3, 0}},
+		{"harmless ones are not slowed", []Serving{calm}, append(jobs("presses", 0, 1, 2), jobs("harmless", 7)...), []float64{1, 1, 0.3, 1}},
+		{"harmless ones use no spare load", []Serving{calm}, append(jobs("harmless", 0, 1), jobs("presses", 2, 3)...), []float64{1, 1, 1, 1}},
+		{"the image with less spare load limits the pace", []Serving{calm, near}, jobs("presses", 0, 1), []float64{0, 0}},
+		{"equal ranks in the order given", []Serving{calm}, jobs("presses", 0, 0, 0, 0), []float64{1, 1, 0.3, 0}},
 	}
 	for _, c := range cases {
 		got := Pace(c.serving, c.filling, weights)
@@ -221,24 +222,24 @@
 	}
 }
 
-// groups: images a1 and a2 are pressed on alike, b1 by others.
-func groups(a, b string) float64 {
+// groupDifference is 0 for images with the same first letter and 1 for others.
+func groupDifference(a, b string) float64 {
 	if a[0] == b[0] {
 		return 0
 	}
 	return 1
 }
 
-func room(cpu int) workload.Resources { return workload.Resources{CPU: cpu, Memory: 1000} }
+func resources(cpu int) workload.Resources { return workload.Resources{CPU: cpu, Memory: 1000} }
 
 func serve(image string, worker int) Task {
-	return Task{Image: image, Worker: worker, Need: room(4)}
+	return Task{Image: image, Worker: worker, Need: resources(4)}
 }
 
 func TestRegroup(t *testing.T) {
 	fixed := func(x Task) Task { x.Fixed = true; return x }
 	barred := func(x Task, w int) Task { x.Barred = map[int]bool{w: true}; return x }
-	full := []workload.Resources{room(0), room(0)}
+	full := []workload.Resources{resources(0), resources(0)}
 	cases := []struct {
 		name  string
 		tasks []Task
@@ -247,13 +248,13 @@
 		ok    bool
 	}{
 		{"nothing serves", nil, full, Move{}, false},
-		{"apart already", []Task{serve("a1", 0), serve("a2", 0), serve("b1", 1)}, full, Move{}, false},
-		{"one goes to its like", []Task{serve("a1", 0), serve("b1", 0), serve("b1", 1)}, []workload.Resources{room(0), room(4)}, Move{1, 1, none}, true},
-		{"not to a worker without serving tasks", []Task{serve("a1", 0), serve("b1", 0)}, []workload.Resources{room(0), room(16)}, Move{}, false},
-		{"two change places", []Task{serve("a1", 0), serve("b1", 0), serve("a1", 1), serve("b1", 1)}, full, Move{0, 1, 3}, true},
-		{"no room and nobody to change with", []Task{serve("a1", 0), serve("b1", 0), fixed(serve("b1", 1))}, full, Move{}, false},
-		{"what may not move stays", []Task{fixed(serve("a1", 0)), fixed(serve("b1", 0)), serve("b1", 1)}, []workload.Resources{room(0), room(4)}, Move{}, false},
-		{"not where it is barred", []Task{serve("a1", 0), barred(serve("b1", 0), 1), serve("b1", 1)}, []workload.Resources{room(0), room(4)}, Move{}, false},
+		{"already separated", []Task{serve("a1", 0), serve("a2", 0), serve("b1", 1)}, full, Move{}, false},
+		{"one moves to the worker of its group", []Task{serve("a1", 0), serve("b1", 0), serve("b1", 1)}, []workload.Resources{resources(0), resources(4)}, Move{1, 1, noOther}, true},
+		{"not to a worker without serving tasks", []Task{serve("a1", 0), serve("b1", 0)}, []workload.Resources{resources(0), resources(16)}, Move{}, false},
+		{"two tasks are exchanged", []Task{serve("a1", 0), serve("b1", 0), serve("a1", 1), serve("b1", 1)}, full, Move{0, 1, 3}, true},
+		{"no capacity and no task to exchange with", []Task{serve("a1", 0), serve("b1", 0), fixed(serve("b1", 1))}, full, Move{}, false},
+		{"fixed tasks stay", []Task{fixed(serve("a1", 0)), fixed(serve("b1", 0)), serve("b1", 1)}, []workload.Resources{resources(0), resources(4)}, Move{}, false},
+		{"not to a barred worker", []Task{serve("a1", 0), barred(serve("b1", 0), 1), serve("b1", 1)}, []workload.Resources{resources(0), resources(4)}, Move{}, false},
 	}
 	for _, c := range cases {
 		for i := range c.tasks {
@@ -263,19 +264,19 @@
 		if c.ok {
 			want = []Move{c.want}
 		}
-		for _, most := range []int{1, 5} {
-			if got := Regroup(c.tasks, c.free, groups, 0, most); !slices.Equal(got, want) {
-				t.Errorf("%s, %d moves at most: %+v, want %+v", c.name, most, got, want)
+		for _, maxMoves := range []int{1, 5} {
+			if got := Regroup(c.tasks, c.free, groupDifference, 0, maxMoves); !slices.Equal(got, want) {
+				t.Errorf("%s, %d moves at most: %+v, want %+v", c.name, maxMoves, got, want)
 			}
 		}
 	}
 }
 
-// crowd is serving tasks of four images, four on each worker.
-func crowd(rng *rand.Rand, workers int) (tasks []Task, free []workload.Resources) {
+// mixedFleet returns serving tasks of four images, four on each worker.
+func mixedFleet(rng *rand.Rand, workers int) (tasks []Task, free []workload.Resources) {
 	images := []string{"a1", "a2", "b1", "b2"}
 	for w := range workers {
-		free = append(free, room(rng.IntN(10)))
+		free = append(free, resources(rng.IntN(10)))
 		for range 4 {
 			x := serve(images[rng.IntN(4)], w)
 			x.Step = len(tasks)
@@ -285,9 +286,9 @@
 	return tasks, free
 }
 
-// move makes the moves of a look, and fails the test if one has no room or
-// moves a step twice.
-func move(t *testing.T, tasks []Task, free []workload.Resources, moves []Move) {
+// applyMoves applies the moves of a pass, and fails the test if one exceeds a
+// worker's capacity or moves a step twice.
+func applyMoves(t *testing.T, tasks []Task, free []workload.Resources, moves []Move) {
 	t.Helper()
 	steps := map[int]bool{}
 	for _, m := range moves {
@@ -299,7 +300,7 @@
 		steps[one.Step] = true
 		free[from], free[m.To] = free[from].Add(one.Need), free[m.To].Sub(one.Need)
 		one.Worker = m.To
-		if m.Other != none {
+		if m.Other != noOther {
 			other := &tasks[m.Other]
 			if steps[other.Step] {
 				t.Errorf("two tasks of step %d move at a time", other.Step)
@@ -311,46 +312,46 @@
 	}
 	for w := range free {
 		if free[w].CPU < 0 || free[w].Memory < 0 {
-			t.Errorf("no room on worker %d: %+v", w, free[w])
+			t.Errorf("capacity of worker %d exceeded: %+v", w, free[w])
 		}
 	}
 }
 
-// Moves must come to an end: each one lowers the cost.
-func TestRegroupComesToAnEnd(t *testing.T) {
+// Repeated passes must terminate: each move lowers the cost.
+func TestRegroupTerminates(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for round := range 50 {
-		tasks, free := crowd(rng, 6)
+		tasks, free := mixedFleet(rng, 6)
 		moves := 0
-		for look := 0; ; look++ {
-			found := Regroup(tasks, free, groups, look, 1+round%3)
+		for pass := 0; ; pass++ {
+			found := Regroup(tasks, free, groupDifference, pass, 1+round%3)
 			if len(found) == 0 {
 				break
 			}
-			move(t, tasks, free, found)
+			applyMoves(t, tasks, free, found)
 			if moves += len(found); moves > 100 {
-				t.Fatal("no end of moves")
+				t.Fatal("more than 100 moves")
 			}
 		}
 	}
 }
 
-// On 240 workers serving images are mixed as they are on 11. One move at a look
-// sorted the small fleet out within seconds and took minutes for the large one,
-// whose serving tasks went over their targets all the while. With one move for
-// each twenty workers both take about as long.
-func TestRegroupSortsAFleetAsSoonAsAFewWorkers(t *testing.T) {
-	mixed := func(workers, most, looks int) float64 {
-		tasks, free := crowd(rand.New(rand.NewPCG(3, 5)), workers)
-		for look := range looks {
-			move(t, tasks, free, Regroup(tasks, free, groups, look, most))
+// Serving images are mixed alike on 240 workers and on 11. One move per pass
+// separates the small fleet within seconds but takes minutes for the large
+// one, whose serving tasks are over their targets meanwhile. With one move for
+// each 20 workers both take about as long.
+func TestRegroupScalesToALargeFleet(t *testing.T) {
+	mixed := func(workers, maxMoves, passes int) float64 {
+		tasks, free := mixedFleet(rand.New(rand.NewPCG(3, 5)), workers)
+		for pass := range passes {
+			applyMoves(t, tasks, free, Regroup(tasks, free, groupDifference, pass, maxMoves))
 		}
-		g := newGrouping(tasks, free, groups)
+		g := newGrouping(tasks, free, groupDifference)
 		return float64(len(g.mixed())) / float64(workers)
 	}
-	const looks = 20
-	few, fleet := mixed(11, 1, looks), mixed(240, 12, looks)
-	t.Logf("mixed after %d looks: %.2f of 11 workers, %.2f of 240, with one move at a look %.2f", looks, few, fleet, mixed(240, 1, looks))
+	const passes = 20
+	few, fleet := mixed(11, 1, passes), mixed(240, 12, passes)
+	t.Logf("mixed after %d passes: %.2f of 11 workers, %.2f of 240, with one move per pass %.2f", passes, few, fleet, mixed(240, 1, passes))
 	if fleet > few+0.1 {
 		t.Errorf("%.2f of 240 workers are mixed, %.2f of 11", fleet, few)
 	}
@@ -368,17 +369,17 @@
 		m.Solve(50 * time.Millisecond)
 	}
 	if d, known := m.Difference("a", "b"); !known || d < 0.7 {
-		t.Errorf("images that others press on differ by %v", d)
+		t.Errorf("images with different pressing images differ by %v", d)
 	}
 	if d, _ := m.Difference("a", "a"); d != 0 {
 		t.Errorf("an image differs from itself by %v", d)
 	}
 }
 
-// A model is solved four times a second at most. Of the deployments at hand the
-// largest has ten serving and eighteen filling images: 0.42 ms, and 1.09 while
-// beliefs were worked out anew for pairs without samples and for each pair of
-// serving images. 30 by 64 takes 9.2 ms.
+// A model is solved at most four times a second. The largest known deployment
+// has ten serving and eighteen filling images: 0.42 ms, or 1.09 if beliefs are
+// recomputed for pairs without samples and for each pair of serving images. 30
+// by 64 images take 9.2 ms.
 func BenchmarkSolve(b *testing.B) {
 	for _, size := range []struct{ serving, filling int }{{5, 9}, {10, 18}, {30, maxImages}} {
 		b.Run(fmt.Sprintf("serving:%d,filling:%d", size.serving, size.filling), func(b *testing.B) {
--- a/decide/pressure/regroup_bench_test.go
+++ b/decide/pressure/regroup_bench_test.go
@@ -9,13 +9,12 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Two or three times a second a scheduler of 73 workers with 440 serving tasks
-// of ten images looks for tasks to regroup. While each difference was worked
-// out from the likelihoods of eighteen filling images at each question, a look
-// took 163 ms, and short jobs waited for the scheduler; with the means of earlier
-// code 49 ms, and kept with the solution 14 (one after the other, beside other
-// work). With images by number, four
-// moves at a look are found in 7.8 ms.
+// A scheduler of 73 workers with 440 serving tasks of ten images regroups two
+// or three times a second. If each difference is computed from the likelihoods
+// of eighteen filling images when needed, a pass takes 163 ms and delays short
+// jobs; from mean weights 49 ms, and with cached differences 14 ms (one after
+// the other, beside other work). With numbered images, four moves per pass are
+// found in 7.8 ms.
 func BenchmarkRegroup(b *testing.B) {
 	const workers, images = 73, 10
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -29,7 +28,7 @@
 	var tasks []Task
 	free := make([]workload.Resources, workers)
 	for w := range free {
-		free[w] = room(rng.IntN(4))
+		free[w] = resources(rng.IntN(4))
 		for range 6 {
 			tasks = append(tasks, serve(fmt.Sprint("s", rng.IntN(images)), w))
 		}
@@ -38,7 +37,7 @@
 		d, _ := m.Difference(x, y)
 		return d
 	}
-	for look := 0; b.Loop(); look++ {
-		Regroup(tasks, free, difference, look, 4)
+	for pass := 0; b.Loop(); pass++ {
+		Regroup(tasks, free, difference, pass, 4)
 	}
 }
