--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -12,26 +12,26 @@
 	return workload.Queue{Priority: priority, Stretch: 2, TargetLatency: time.Second}
 }
 
-func estimates(steps []workload.Step) []time.Duration {
-	took := make([]time.Duration, len(steps))
+func estimatedDurations(steps []workload.Step) []time.Duration {
+	durations := make([]time.Duration, len(steps))
 	for i := range steps {
-		took[i] = steps[i].Estimate
+		durations[i] = steps[i].Estimate
 	}
-	return took
+	return durations
 }
 
-func TestChainIsTheLongestWayThroughTheSteps(t *testing.T) {
+func TestChainIsTheLongestPath(t *testing.T) {
 	steps := []workload.Step{
 		{Estimate: time.Second}, {Estimate: 3 * time.Second}, {Estimate: time.Second, After: []int{0}}, {Estimate: time.Second, After: []int{0, 1}},
 	}
-	took := estimates(steps)
+	durations := estimatedDurations(steps)
 	none := func(int) bool { return false }
-	if got, want := Chain(steps, took, none), time.Duration(uneven*float64(4*time.Second)); got.Round(time.Millisecond) != want.Round(time.Millisecond) {
+	if got, want := Chain(steps, durations, none), time.Duration(longestTaskFactor*float64(4*time.Second)); got.Round(time.Millisecond) != want.Round(time.Millisecond) {
 		t.Errorf("chain %v, want %v", got, want)
 	}
 	done := func(i int) bool { return i < 2 }
-	if got, want := Chain(steps, took, done), time.Duration(uneven*float64(time.Second)); got != want {
-		t.Errorf("chain of what is left %v, want %v", got, want)
+	if got, want := Chain(steps, durations, done), time.Duration(longestTaskFactor*float64(time.Second)); got != want {
+		t.Errorf("chain of the unfinished steps %v, want %v", got, want)
 	}
 }
 
@@ -72,10 +72,10 @@
 	}
 }
 
-// A minute with one and a half times the work that there is room for, in jobs
-// of 4 s on one place. In the order of acceptance the queue grows until all
-// end late; in this order those that can still end in time do.
-func TestHeavyMinuteServesWhatCanStillEndInTime(t *testing.T) {
+// A minute with 1.5 times as much work as capacity, in jobs of 4 s on one
+// slot. In the order of acceptance the queue grows until all jobs end late;
+// ranked, those that can still end in time do.
+func TestOverloadServesJobsThatCanEndInTime(t *testing.T) {
 	const jobs, every, work = 15, 2666 * time.Millisecond, 4 * time.Second
 	served := func(ranked bool) int {
 		inTime := 0
@@ -111,17 +111,17 @@
 	}
 }
 
-// Three jobs share the room of one: in the order of their deadlines the large
-// one, which came first, takes all of it and the small ones end late. The
-// least work left comes first within a class; a job that can end in time comes
-// before one that can't, however small that is.
-func TestLeastWorkLeftComesFirst(t *testing.T) {
+// Three jobs share capacity for one. In the order of their deadlines the large
+// one, which arrived first, uses all of it and the small ones end late. The
+// least remaining work comes first within a class; a job that can end in time
+// comes before one that can't, however small that is.
+func TestLeastRemainingWorkComesFirst(t *testing.T) {
 	step := func(count int) workload.Step {
 		return workload.Step{Count: count, Need: workload.Resources{CPU: 7000}, Estimate: 2 * time.Second, Fills: true}
 	}
 	steps := []workload.Step{step(4), step(10), {Count: 3, Need: workload.Resources{CPU: 1000}, Estimate: time.Second}}
-	if got := Work(steps, estimates(steps), func(i int) int { return steps[i].Count - 1 }); got != 12*14 {
-		t.Errorf("work left %v, want %v core-seconds", got, 12*14)
+	if got := Work(steps, estimatedDurations(steps), func(i int) int { return steps[i].Count - 1 }); got != 12*14 {
+		t.Errorf("remaining work %v, want %v core-seconds", got, 12*14)
 	}
 	large := Key{Work: 800, By: 5 * time.Second}
 	small := Key{Work: 60, By: 9 * time.Second}
