--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement chooses the worker of a task. It is a pure function of
-// what the caller knows: filter by what must hold, score what is left.
+// Package placement chooses the worker of a task. It is a pure function of its
+// input: it filters by hard constraints and scores the rest.
 package placement
 
 import "persimmonrock.example/structs/workload"
@@ -7,77 +7,77 @@
 // Candidate is one worker as the scheduler sees it.
 type Candidate struct {
 	Capacity workload.Resources
-	// Free is the counted room that is left.
+	// Free is the capacity that no task has reserved.
 	Free workload.Resources
 	// Leftover is the reserved CPU that filling tasks may count on being unused.
 	Leftover int
-	// FillLoad is the CPU that the filling tasks there use or will.
+	// FillLoad is the CPU that the filling tasks there use or will use.
 	FillLoad int
-	// Pressed holds, for a filling step, the load that the filling tasks
-	// there put on the most pressed serving task beside one more task of the
-	// step. It is 0 where nothing serves.
+	// Pressed is, for a filling step, the load of filling tasks on the most
+	// affected serving task there, with one more task of the step. It is 0
+	// without serving tasks.
 	Pressed float64
-	// Presses says that a task of the step is known to press on a serving
-	// task there, or that whether it does is being tried elsewhere.
+	// Presses is set if a task of the step is known to press on a serving task
+	// there (see package pressure), or if that is under trial elsewhere.
 	Presses bool
 	// Serving is the number of tasks with a tail target there.
 	Serving int
-	// Mix is, for a serving step, how differently the images of the serving
-	// tasks there and its own are pressed on, summed over the images.
+	// Mix is, for a serving step, the sum of pressure.Model.Difference between
+	// its image and those of the serving tasks there.
 	Mix float64
-	// SameImage says that tasks of the step's image serve there.
+	// SameImage is set if tasks of the step's image serve there.
 	SameImage bool
 	Rack      string
 	Labels    []string
-	// Suspect workers failed or lost tasks lately; they are used last.
+	// Suspect workers failed or lost tasks recently; they are used last.
 	Suspect bool
-	// Slow workers let tasks that end by themselves get on far slower than
-	// others do; those are placed elsewhere first.
+	// Slow is set if tasks that end by themselves progress far slower there
+	// than elsewhere; these are placed elsewhere first.
 	Slow bool
 	// OfStep is the number of the step's tasks there.
 	OfStep int
-	// Barred excludes the worker, whatever its room.
+	// Barred excludes the worker, whatever its free capacity.
 	Barred bool
-	// Shunned excludes it for tasks that end by themselves, of which each has
-	// a bounded number of attempts. Lasting ones have no such bound, and must
-	// not wait beside free room.
+	// Shunned excludes it for tasks that end by themselves, each of which has
+	// a bounded number of attempts. Lasting tasks have no such bound, and must
+	// not wait beside free capacity.
 	Shunned bool
 }
 
-// Request is what a task needs.
+// Request is a task to place.
 type Request struct {
 	Step *workload.Step
-	// Avoid is the index of a worker where the task failed before, or -1.
+	// Avoid is the index of the worker on which the task failed before, or -1.
 	Avoid int
-	// Never excludes the worker at Avoid, whatever else there is.
+	// Never excludes the worker at Avoid even if no other fits.
 	Never bool
-	// Rack is where most of a coupled step runs, if anywhere.
+	// Rack is the rack of most tasks of a coupled step, if any.
 	Rack string
 }
 
-// Weights of the score. Room is a share of the capacity, 0 to 1; the others
-// outweigh it in the order given.
+// Weights of the score. The free share of the capacity scores 0 to 1; the
+// others outweigh it in the order given.
 const (
 	suspectPenalty = 32.0
 	rackPenalty    = 16.0
 	avoidPenalty   = 8.0
-	// apartBonus keeps serving and filling work apart: filling work disturbs
+	// separationBonus separates serving and filling work: filling work raises
 	// the tail of serving tasks beside it, and has to be slowed for it.
-	apartBonus = 4.0
-	// fillPenalty keeps serving tasks off a worker in proportion to the
-	// filling work there.
+	separationBonus = 4.0
+	// fillPenalty penalizes a worker for serving tasks in proportion to its
+	// filling work.
 	fillPenalty = 2.0
-	// mixPenalty keeps serving tasks of different images apart. A filling
-	// image presses on about a third of the serving images: beside one of
-	// them two thirds of the filling work run at full speed, beside three
-	// less than a third.
-	mixPenalty = 1.5
-	sameBonus  = 1.5
-	// pressureFree is the load on a serving task that its tail bears at most
-	// times: its target stands at a load of about 0.78, and its own goes up
-	// to 0.63.
-	pressureFree = 0.12
-	// pressurePenalty weighs the load above that against free room.
+	// mixPenalty separates serving tasks of different images. A filling image
+	// presses on about a third of the serving images: beside one of them two
+	// thirds of the filling work run at full speed, beside three less than a
+	// third.
+	mixPenalty     = 1.5
+	sameImageBonus = 1.5
+	// toleratedPressure is the load of filling tasks that a serving task bears
+	// at most times: its tail reaches the target at a load of about 0.78, and
+	// its own load reaches 0.63.
+	toleratedPressure = 0.12
+	// pressurePenalty weighs the load above that against free capacity.
 	pressurePenalty = 12.0
 )
 
@@ -105,8 +105,8 @@
 	return !s.Fills || w.FillLoad+s.Need.CPU <= unused(w)
 }
 
-// CouldTake reports whether the worker could run a task of the step if it had
-// room.
+// CouldTake reports whether the worker could run a task of the step with
+// enough free capacity.
 func CouldTake(s *workload.Step, w *Candidate) bool {
 	if s.Spread > 0 && w.OfStep >= s.Spread {
 		return false
@@ -114,13 +114,13 @@
 	return s.Need.Fits(w.Capacity) && (s.Label == "" || contains(w.Labels, s.Label))
 }
 
-// unused is the CPU that filling tasks may expect.
+// unused is the CPU that filling tasks can expect to use.
 func unused(w *Candidate) int {
 	return w.Free.CPU + w.Leftover
 }
 
 func score(r Request, i int, w *Candidate) float64 {
-	s := room(r.Step, w)
+	s := capacityScore(r.Step, w)
 	if w.Suspect || w.Slow && !r.Step.Fills && !r.Step.Lasting {
 		s -= suspectPenalty
 	}
@@ -136,22 +136,22 @@
 	return s
 }
 
-// room scores a worker by what is there already. Serving tasks are packed
-// by image, other counted tasks go beside them, and filling tasks to
-// the workers without serving ones, the emptiest first.
-func room(s *workload.Step, w *Candidate) float64 {
+// capacityScore scores a worker by its tasks and free capacity. Serving tasks
+// are packed by image, other reserving tasks go beside them, and filling tasks
+// to workers without serving ones, the emptiest first.
+func capacityScore(s *workload.Step, w *Candidate) float64 {
 	free := share(w.Free.CPU, w.Capacity.CPU) + share(w.Free.Memory, w.Capacity.Memory)/4
 	switch {
 	case s.Fills:
-		return share(unused(w)-w.FillLoad, w.Capacity.CPU) - pressurePenalty*max(0, w.Pressed-pressureFree)
+		return share(unused(w)-w.FillLoad, w.Capacity.CPU) - pressurePenalty*max(0, w.Pressed-toleratedPressure)
 	case s.TailTarget > 0:
 		free = -free - fillPenalty*share(w.FillLoad, w.Capacity.CPU) - mixPenalty*w.Mix
 		if w.SameImage {
-			free += sameBonus
+			free += sameImageBonus
 		}
 	}
 	if w.Serving > 0 {
-		return apartBonus + free
+		return separationBonus + free
 	}
 	return free
 }
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -6,13 +6,13 @@
 	"persimmonrock.example/structs/workload"
 )
 
-var whole = workload.Resources{CPU: 16000, Memory: 64000}
+var fullCapacity = workload.Resources{CPU: 16000, Memory: 64000}
 
 func worker() Candidate {
-	return Candidate{Capacity: whole, Free: whole, Rack: "r1", Labels: []string{"a", "r1"}}
+	return Candidate{Capacity: fullCapacity, Free: fullCapacity, Rack: "r1", Labels: []string{"a", "r1"}}
 }
 
-func change(f func(*Candidate)) Candidate {
+func workerWith(f func(*Candidate)) Candidate {
 	c := worker()
 	f(&c)
 	return c
@@ -31,8 +31,8 @@
 	spread.Spread = 2
 	near := plain
 	near.DataRack = "r2"
-	full := change(func(c *Candidate) { c.Free = workload.Resources{CPU: 1000, Memory: 64000} })
-	half := change(func(c *Candidate) { c.Free.CPU = 8000 })
+	full := workerWith(func(c *Candidate) { c.Free = workload.Resources{CPU: 1000, Memory: 64000} })
+	half := workerWith(func(c *Candidate) { c.Free.CPU = 8000 })
 	cases := []struct {
 		name    string
 		step    workload.Step
@@ -41,26 +41,26 @@
 		want    int
 	}{
 		{"no worker", plain, -1, nil, -1},
-		{"no room", plain, -1, []Candidate{full}, -1},
-		{"no memory", plain, -1, []Candidate{change(func(c *Candidate) { c.Free.Memory = 10 })}, -1},
+		{"no capacity", plain, -1, []Candidate{full}, -1},
+		{"no memory", plain, -1, []Candidate{workerWith(func(c *Candidate) { c.Free.Memory = 10 })}, -1},
 		{"the emptiest", plain, -1, []Candidate{half, worker()}, 1},
-		{"not a barred one", plain, -1, []Candidate{half, change(func(c *Candidate) { c.Barred = true })}, 0},
+		{"not a barred one", plain, -1, []Candidate{half, workerWith(func(c *Candidate) { c.Barred = true })}, 0},
 		{"label", labelled, -1, []Candidate{worker()}, -1},
-		{"label found", labelled, -1, []Candidate{worker(), change(func(c *Candidate) { c.Labels = []string{"gold"} })}, 1},
-		{"spread", spread, -1, []Candidate{change(func(c *Candidate) { c.OfStep = 2 })}, -1},
-		{"near its data", near, -1, []Candidate{worker(), change(func(c *Candidate) { c.Rack = "r2"; c.Free.CPU = 3000 })}, 1},
-		{"a suspect one last", plain, -1, []Candidate{change(func(c *Candidate) { c.Suspect = true }), half}, 1},
-		{"a suspect one if need be", plain, -1, []Candidate{change(func(c *Candidate) { c.Suspect = true }), full}, 0},
+		{"label found", labelled, -1, []Candidate{worker(), workerWith(func(c *Candidate) { c.Labels = []string{"gold"} })}, 1},
+		{"spread", spread, -1, []Candidate{workerWith(func(c *Candidate) { c.OfStep = 2 })}, -1},
+		{"near its data", near, -1, []Candidate{worker(), workerWith(func(c *Candidate) { c.Rack = "r2"; c.Free.CPU = 3000 })}, 1},
+		{"a suspect one last", plain, -1, []Candidate{workerWith(func(c *Candidate) { c.Suspect = true }), half}, 1},
+		{"a suspect one if no other fits", plain, -1, []Candidate{workerWith(func(c *Candidate) { c.Suspect = true }), full}, 0},
 		{"not where it failed", plain, 0, []Candidate{worker(), half}, 1},
-		{"serving tasks together", serves, -1, []Candidate{worker(), change(func(c *Candidate) { c.Serving = 2; c.Free.CPU = 6000 })}, 1},
+		{"serving tasks together", serves, -1, []Candidate{worker(), workerWith(func(c *Candidate) { c.Serving = 2; c.Free.CPU = 6000 })}, 1},
 		{"serving tasks by image", serves, -1, []Candidate{
-			change(func(c *Candidate) { c.Serving = 2; c.Mix = 1 }), change(func(c *Candidate) { c.Serving = 2; c.SameImage = true }),
+			workerWith(func(c *Candidate) { c.Serving = 2; c.Mix = 1 }), workerWith(func(c *Candidate) { c.Serving = 2; c.SameImage = true }),
 		}, 1},
-		{"others beside serving tasks", plain, -1, []Candidate{worker(), change(func(c *Candidate) { c.Serving = 1; c.Free.CPU = 9000 })}, 1},
-		{"filling work needs no counted room", fills, -1, []Candidate{change(func(c *Candidate) { c.Free.CPU = 0; c.Leftover = 7200 })}, 0},
-		{"but unused processor time", fills, -1, []Candidate{change(func(c *Candidate) { c.Free.CPU = 0; c.Leftover = 7200; c.FillLoad = 7000 })}, -1},
+		{"others beside serving tasks", plain, -1, []Candidate{worker(), workerWith(func(c *Candidate) { c.Serving = 1; c.Free.CPU = 9000 })}, 1},
+		{"filling work needs no reserved capacity", fills, -1, []Candidate{workerWith(func(c *Candidate) { c.Free.CPU = 0; c.Leftover = 7200 })}, 0},
+		{"but unused processor time", fills, -1, []Candidate{workerWith(func(c *Candidate) { c.Free.CPU = 0; c.Leftover = 7200; c.FillLoad = 7000 })}, -1},
 		{"filling work away from what it presses on", fills, -1, []Candidate{
-			change(func(c *Candidate) { c.Serving = 2; c.Pressed = 0.4 }), change(func(c *Candidate) { c.Serving = 2; c.FillLoad = 8000 }),
+			workerWith(func(c *Candidate) { c.Serving = 2; c.Pressed = 0.4 }), workerWith(func(c *Candidate) { c.Serving = 2; c.FillLoad = 8000 }),
 		}, 1},
 	}
 	for _, c := range cases {
@@ -70,7 +70,8 @@
 	}
 }
 
-// The letter's size: 1,000 workers. One placement has to stay under 20 µs.
+// The largest supported fleet: 1,000 workers. One placement must take less
+// than 20 µs.
 func BenchmarkChoose(b *testing.B) {
 	workers := make([]Candidate, 1000)
 	for i := range workers {
