--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -7,37 +7,38 @@
 	"persimmonrock.example/structs"
 )
 
-// historyKept covers the longest lag and window of a measurement.
-const historyKept = 60 * time.Second
+// historyRetention covers the longest lag and window of a measurement together.
+const historyRetention = 60 * time.Second
 
-// notSeen is the recent use of a customer that has asked for nothing yet.
-const notSeen = 1e-9
+// noRecentUse is the recent use of a customer without calls: 0 would mean that
+// it is unknown.
+const noRecentUse = 1e-9
 
 type demandKey struct {
 	service  structs.Service
 	customer structs.Customer
 }
 
-// agentState is what one agent keeps.
+// agentState is the state kept for one agent.
 type agentState struct {
 	history *decide.History
 	model   *decide.Interference
 	memory  decide.ReliefMemory
 	demand  map[structs.Customer]*decide.Demand
-	// common is the demand of all urgent calls within their customers' rights
-	// together, within the present number.
-	common decide.Demand
-	// services is the demand for one service's slots.
-	services map[demandKey]*decide.Demand
-	of       []decide.SlotUse
-	uses     []decide.SlotUse
-	owed     int
-	together []decide.Together
-}
-
-// Predictive makes every decision with package decide: learnt interference,
-// weighted dominant shares, borrowed slots that are given back, throttling
-// before eviction, learnt sizes, quarantine and a retry budget.
+	// combined is the demand of all urgent calls together, those of each
+	// customer counted up to its quota.
+	combined decide.Demand
+	// services is the demand of each customer for each service's slots.
+	services    map[demandKey]*decide.Demand
+	serviceUses []decide.SlotUse
+	uses        []decide.SlotUse
+	shortfall   int
+	together    []decide.Together
+}
+
+// Predictive makes every decision with package decide. It uses learnt
+// interference, weighted dominant shares, borrowed slots that are given back,
+// throttling before eviction, learnt sizes, quarantine and a retry budget.
 type Predictive struct {
 	planner   decide.Planner
 	shared    *decide.Interference
@@ -53,7 +54,7 @@
 	p := &Predictive{shared: decide.NewInterference(), contracts: contracts}
 	for range instances {
 		p.agents = append(p.agents, &agentState{
-			history:  decide.NewHistory(historyKept),
+			history:  decide.NewHistory(historyRetention),
 			model:    decide.NewInterference(),
 			demand:   make(map[structs.Customer]*decide.Demand),
 			services: make(map[demandKey]*decide.Demand),
@@ -72,11 +73,11 @@
 
 func (s *agentState) slotUses(now time.Duration, a *Agent, contracts map[structs.Customer]structs.Contract) []decide.SlotUse {
 	s.uses = append(s.uses[:0], a.Uses...)
-	all := decide.SlotUse{Expected: s.common.Expected(now)}
+	all := decide.SlotUse{Expected: s.combined.Expected(now)}
 	for i := range s.uses {
 		u := &s.uses[i]
 		u.Right = decide.Quota(contracts[u.Customer], a.ID, a.Total)
-		u.Recent = notSeen
+		u.Recent = noRecentUse
 		if d := s.demand[u.Customer]; d != nil {
 			u.Expected = d.Expected(now)
 			u.Recent = d.Recent(now)
@@ -92,15 +93,15 @@
 func (p *Predictive) AdmitUrgent(now time.Duration, a *Agent, c structs.Contract) bool {
 	s := p.agents[a.Index]
 	uses := s.slotUses(now, a, p.contracts)
-	right := decide.Quota(c, a.ID, a.Total)
-	ok, _ := decide.AdmitUrgent(uses, c, right, a.Free)
-	urgent := urgentOf(uses, c.Customer)
-	s.demandOf(c.Customer).Observe(now, urgent+1)
-	if urgent < max(right, 1) {
-		s.common.Observe(now, uses[len(uses)-1].Urgent+1)
+	quota := decide.Quota(c, a.ID, a.Total)
+	ok, _ := decide.AdmitUrgent(uses, c, quota, a.Free)
+	urgent := urgentSlots(uses, c.Customer)
+	s.demandFor(c.Customer).Observe(now, urgent+1)
+	if urgent < max(quota, 1) {
+		s.combined.Observe(now, uses[len(uses)-1].Urgent+1)
 	}
-	if !ok && a.Free.Slots < 1 && urgent < right {
-		s.owed++
+	if !ok && a.Free.Slots < 1 && urgent < quota {
+		s.shortfall++
 	}
 	return s.admitToService(now, a, c, p.contracts) && ok
 }
@@ -110,11 +111,11 @@
 	for i := range a.ServiceUses {
 		slots.Slots += a.ServiceUses[i].Urgent
 	}
-	s.of = append(s.of[:0], a.ServiceUses...)
-	for i := range s.of {
-		u := &s.of[i]
+	s.serviceUses = append(s.serviceUses[:0], a.ServiceUses...)
+	for i := range s.serviceUses {
+		u := &s.serviceUses[i]
 		u.Right = decide.Quota(contracts[u.Customer], a.ID+structs.InstanceID(a.Service), slots)
-		u.Recent = notSeen
+		u.Recent = noRecentUse
 		if d := s.services[demandKey{a.Service, u.Customer}]; d != nil {
 			u.Expected = d.Expected(now)
 			u.Recent = d.Recent(now)
@@ -124,13 +125,13 @@
 	if s.services[key] == nil {
 		s.services[key] = &decide.Demand{}
 	}
-	s.services[key].Observe(now, urgentOf(s.of, c.Customer)+1)
-	right := decide.Quota(c, a.ID+structs.InstanceID(a.Service), slots)
-	ok, _ := decide.AdmitUrgent(s.of, c, right, structs.Resources{Slots: a.ServiceFree})
+	s.services[key].Observe(now, urgentSlots(s.serviceUses, c.Customer)+1)
+	quota := decide.Quota(c, a.ID+structs.InstanceID(a.Service), slots)
+	ok, _ := decide.AdmitUrgent(s.serviceUses, c, quota, structs.Resources{Slots: a.ServiceFree})
 	return ok
 }
 
-func (s *agentState) demandOf(c structs.Customer) *decide.Demand {
+func (s *agentState) demandFor(c structs.Customer) *decide.Demand {
 	d := s.demand[c]
 	if d == nil {
 		d = &decide.Demand{}
@@ -139,7 +140,7 @@
 	return d
 }
 
-func urgentOf(uses []decide.SlotUse, c structs.Customer) int {
+func urgentSlots(uses []decide.SlotUse, c structs.Customer) int {
 	for i := range uses {
 		if uses[i].Customer == c {
 			return uses[i].Urgent
@@ -190,10 +191,10 @@
 		Services:    a.Pressure,
 		Tasks:       a.Tasks,
 		MemoryBytes: a.Total.MemoryBytes,
-		SlotsOwed:   s.owed,
-		CallsOwed:   s.owed,
+		SlotsOwed:   s.shortfall,
+		CallsOwed:   s.shortfall,
 	}
-	s.owed = 0
+	s.shortfall = 0
 	for i := range st.Tasks {
 		t := &st.Tasks[i]
 		_, t.Runtime = p.sizes.Estimate(t.Customer, t.Kind, structs.Resources{}, t.Runtime)
