--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -9,7 +9,7 @@
 	"persimmonrock.example/wire"
 )
 
-func (s *world) submit(i int) {
+func (s *simulation) submit(i int) {
 	c := s.w.jobs[i].customer
 	if len(s.waiting[c]) >= s.w.contracts[c].BatchQueue {
 		return
@@ -17,14 +17,14 @@
 	s.enqueue(i)
 }
 
-func (s *world) enqueue(i int) {
+func (s *simulation) enqueue(i int) {
 	s.jobs[i].queued = true
 	c := s.w.jobs[i].customer
 	s.waiting[c] = append(s.waiting[c], i)
 }
 
-func (s *world) cancel(i int) {
-	s.jobs[i].final = true
+func (s *simulation) cancel(i int) {
+	s.jobs[i].ended = true
 	for at := range s.nodes {
 		for k, t := range s.nodes[at].tasks {
 			if t.job == i {
@@ -37,9 +37,9 @@
 	}
 }
 
-// advance brings the tasks of a node to the present and ends those that are
-// complete.
-func (s *world) advance(at int) {
+// advance brings the tasks of a node up to the current time and ends those that
+// are complete or fail.
+func (s *simulation) advance(at int) {
 	n := &s.nodes[at]
 	if n.updated == s.now {
 		return
@@ -51,7 +51,7 @@
 		j := &s.w.jobs[t.job]
 		t.done += t.rate * (s.now - from).Seconds()
 		s.result.work[j.customer] += t.rate * (s.now - from).Seconds()
-		if s.now-t.savedAt >= checkpoints {
+		if s.now-t.savedAt >= checkpointEvery {
 			t.saved, t.savedAt = t.done, s.now
 		}
 		switch {
@@ -65,14 +65,15 @@
 	}
 }
 
-// reschedule works out every task's rate and the node's next task end.
-func (s *world) reschedule(at int) {
+// reschedule computes the rate of every task and schedules the node's next task
+// end.
+func (s *simulation) reschedule(at int) {
 	n := &s.nodes[at]
 	n.version++
-	crowd := s.crowding(n)
+	overcommit := s.overcommitment(n)
 	next := time.Duration(1 << 62)
 	for _, t := range n.tasks {
-		t.rate = t.speed / crowd
+		t.rate = t.speed / overcommit
 		left := s.w.jobs[t.job].work.Seconds() - t.done
 		end := s.now + time.Duration(left/t.rate*float64(time.Second)) + 1
 		if t.fails {
@@ -85,40 +86,40 @@
 	}
 }
 
-func (s *world) remove(at, k int) {
+func (s *simulation) remove(at, k int) {
 	n := &s.nodes[at]
 	t := n.tasks[k]
 	j := &s.w.jobs[t.job]
 	n.tasks = append(n.tasks[:k], n.tasks[k+1:]...)
-	n.claimed = minusResources(n.claimed, t.need)
+	n.claimed = subtractResources(n.claimed, t.need)
 	n.batch[j.customer] -= t.need.Slots
-	s.held[j.customer] = minusResources(s.held[j.customer], t.need)
+	s.held[j.customer] = subtractResources(s.held[j.customer], t.need)
 	s.p.Changed(s.now, at, s.kindNames[j.kind], -t.speed)
 }
 
-func (s *world) completeTask(at, k int) {
+func (s *simulation) completeTask(at, k int) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
 	s.remove(at, k)
-	s.jobs[t.job].final = true
+	s.jobs[t.job].ended = true
 	s.result.Done[j.customer]++
 	s.result.doneWork[j.customer] += j.work.Seconds()
-	s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.real, s.now-t.started)
+	s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, s.now-t.started)
 	s.p.Ended(s.now, s.nodes[at].in.id, s.kindNames[j.kind], true)
 }
 
-func (s *world) failTask(at, k int) {
+func (s *simulation) failTask(at, k int) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
 	s.remove(at, k)
 	st := &s.jobs[t.job]
 	st.failures++
 	s.result.Failures++
-	st.waitAvoid = s.nodes[at].in.id
+	st.avoid = s.nodes[at].in.id
 	s.p.Ended(s.now, s.nodes[at].in.id, s.kindNames[j.kind], false)
 	if st.failures >= maxFailures {
-		st.final = true
-		if j.kind != s.w.badKind {
+		st.ended = true
+		if j.kind != s.w.failingKind {
 			s.result.WrongFailures++
 		}
 		return
@@ -126,9 +127,9 @@
 	s.enqueue(t.job)
 }
 
-// stopTask ends a run early: what was done since the last checkpoint is lost.
-// A planned stop still makes a checkpoint of all but the last seconds.
-func (s *world) stopTask(at, k int, planned bool) {
+// stopTask ends a run early. The work since the last checkpoint and
+// restartWork are lost. Stops that are not planned are kills for memory.
+func (s *simulation) stopTask(at, k int, planned bool) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
 	s.remove(at, k)
@@ -141,21 +142,21 @@
 		s.result.Evictions++
 	} else {
 		s.result.Killed++
-		s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.real, 0)
+		s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, 0)
 	}
 	s.enqueue(t.job)
 }
 
-// killForMemory does what the platform does when memory runs out: it kills the
-// task that uses most.
-func (s *world) killForMemory(at int) {
+// killForMemory kills the largest task until the rest fits, as the platform
+// does when memory runs out.
+func (s *simulation) killForMemory(at int) {
 	n := &s.nodes[at]
 	for {
 		used, worst := int64(0), -1
 		for k, t := range n.tasks {
-			b := s.w.jobs[t.job].real.MemoryBytes
+			b := s.w.jobs[t.job].actual.MemoryBytes
 			used += b
-			if worst < 0 || b > s.w.jobs[n.tasks[worst].job].real.MemoryBytes {
+			if worst < 0 || b > s.w.jobs[n.tasks[worst].job].actual.MemoryBytes {
 				worst = k
 			}
 		}
@@ -166,8 +167,8 @@
 	}
 }
 
-// plan is one round of the queue's owner.
-func (s *world) plan() {
+// planBatch is one planning round of the queue's owner.
+func (s *simulation) planBatch() {
 	s.events.push(s.now+planEvery, eventPlan, 0, 0)
 	v := s.fillBatchView()
 	if len(v.Queue) == 0 {
@@ -188,7 +189,7 @@
 	}
 }
 
-func (s *world) fillBatchView() *decide.BatchView {
+func (s *simulation) fillBatchView() *decide.BatchView {
 	v := &s.batchView
 	v.Now, v.Contracts = s.now, s.contracts
 	if v.Held == nil {
@@ -203,7 +204,7 @@
 		v.Held[s.w.contracts[c].Customer] = s.held[c]
 		kept := s.waiting[c][:0]
 		for _, i := range s.waiting[c] {
-			if s.jobs[i].final || !s.jobs[i].queued || s.jobs[i].parked {
+			if s.jobs[i].ended || !s.jobs[i].queued || s.jobs[i].parked {
 				continue
 			}
 			kept = append(kept, i)
@@ -218,7 +219,7 @@
 				Kind:     s.kindNames[j.kind],
 				Need:     j.declared,
 				Order:    uint64(i),
-				Avoid:    s.jobs[i].waitAvoid,
+				Avoid:    s.jobs[i].avoid,
 			})
 		}
 		s.waiting[c] = kept
@@ -226,7 +227,7 @@
 	return v
 }
 
-func (s *world) fillInstance(in *decide.Instance, i int) {
+func (s *simulation) fillInstance(in *decide.Instance, i int) {
 	n := &s.nodes[i]
 	a := s.fillAgent(i)
 	in.ID, in.Zone, in.Rack, in.Total, in.Free = n.in.id, n.in.zone, n.in.rack, a.Total, a.Free
@@ -234,19 +235,19 @@
 	in.Reserve = s.p.Reserve(s.now, a)
 	in.Batch = s.batchLoads(n, in.Batch)
 	in.Services = in.Services[:0]
-	for k := range n.minions {
-		m := &n.minions[k]
-		in.Services = append(in.Services, wire.ServiceLoad{Service: s.svcNames[m.service], Slots: minionSlots, InUse: m.inUse, ServiceTime: m.recent})
+	for k := range n.backends {
+		b := &n.backends[k]
+		in.Services = append(in.Services, wire.ServiceLoad{Service: s.svcNames[b.service], Slots: backendSlots, InUse: b.inUse, ServiceTime: b.recentDuration})
 	}
 }
 
-func (s *world) startTask(i, at int, need structs.Resources) {
+func (s *simulation) startTask(i, at int, need structs.Resources) {
 	st := &s.jobs[i]
 	j := &s.w.jobs[i]
 	n := &s.nodes[at]
 	need.Slots = max(1, need.Slots)
 	a := s.fillAgent(at)
-	if st.final || !st.queued || a.Free.Slots < need.Slots || !s.p.AdmitBatch(s.now, a, s.w.contracts[j.customer], need) {
+	if st.ended || !st.queued || a.Free.Slots < need.Slots || !s.p.AdmitBatch(s.now, a, s.w.contracts[j.customer], need) {
 		s.result.NotStarted++
 		return
 	}
@@ -254,73 +255,73 @@
 	st.queued = false
 	st.epoch++
 	t := &task{job: i, speed: 1, started: s.now, done: st.done, saved: st.done, savedAt: s.now, need: need, epoch: st.epoch}
-	broken := s.now >= n.in.brokenFrom && s.now < n.in.brokenTo
-	t.fails = broken || s.w.sizes[j.kind].failsEverywhere
+	failing := s.now >= n.in.failsFrom && s.now < n.in.failsUntil
+	t.fails = failing || s.w.sizes[j.kind].failsEverywhere
 	n.tasks = append(n.tasks, t)
-	n.claimed = plusResources(n.claimed, need)
+	n.claimed = addResources(n.claimed, need)
 	n.batch[j.customer] += need.Slots
-	s.held[j.customer] = plusResources(s.held[j.customer], need)
+	s.held[j.customer] = addResources(s.held[j.customer], need)
 	s.p.Changed(s.now, at, s.kindNames[j.kind], 1)
 	s.killForMemory(at)
 	s.reschedule(at)
 }
 
-// tick is an agent's second: close the window, send load and measurements,
-// and relieve.
-func (s *world) tick(at int) {
+// tickAgent is an agent's work of each second: send load and measurements, and
+// relieve.
+func (s *simulation) tickAgent(at int) {
 	s.events.push(s.now+tickEvery, eventAgentTick, at, 0)
 	s.advance(at)
 	n := &s.nodes[at]
 	report := loadReport{node: at, taken: s.now}
-	for k := range n.minions {
-		report.inUse = append(report.inUse, n.minions[k].inUse)
+	for k := range n.backends {
+		report.inUse = append(report.inUse, n.backends[k].inUse)
 	}
-	s.loads = append(s.loads, report)
-	s.events.push(s.now+loadDelay, eventLoad, len(s.loads)-1, 0)
-	if s.now-n.from >= window {
+	s.loadReports = append(s.loadReports, report)
+	s.events.push(s.now+loadDelay, eventLoad, len(s.loadReports)-1, 0)
+	if s.now-n.windowStart >= measurementWindow {
 		s.closeWindow(at)
 	}
 	a := s.fillAgent(at)
 	s.fillTasks(n, a)
 	for _, act := range s.p.Relieve(s.now, a) {
-		s.apply(at, act)
+		s.applyAction(at, act)
 	}
 	s.reschedule(at)
 }
 
-func (s *world) closeWindow(at int) {
+func (s *simulation) closeWindow(at int) {
 	n := &s.nodes[at]
-	for k := range n.minions {
-		m := &n.minions[k]
-		if m.count >= 3 {
-			s.measures = append(s.measures, policy.Measurement{
-				Instance: at, Service: s.svcNames[m.service], From: n.from, To: s.now,
-				ServiceTime: m.sum / time.Duration(m.count), Calls: m.count, Slots: minionSlots,
+	for k := range n.backends {
+		b := &n.backends[k]
+		if b.durationCount >= 3 {
+			s.measurements = append(s.measurements, policy.Measurement{
+				Instance: at, Service: s.svcNames[b.service], From: n.windowStart, To: s.now,
+				ServiceTime: b.durationSum / time.Duration(b.durationCount), Calls: b.durationCount, Slots: backendSlots,
 			})
-			s.events.push(s.now+measureLag, eventMeasured, len(s.measures)-1, k)
+			s.events.push(s.now+measureLag, eventMeasured, len(s.measurements)-1, k)
 		}
-		m.sum, m.count = 0, 0
+		b.durationSum, b.durationCount = 0, 0
 	}
-	n.from = s.now
+	n.windowStart = s.now
 }
 
-func (s *world) measured(i int) {
-	m := s.measures[i]
+func (s *simulation) deliverMeasurement(i int) {
+	m := s.measurements[i]
 	n := &s.nodes[m.Instance]
-	for k := range n.minions {
-		if s.svcNames[n.minions[k].service] == m.Service {
-			n.minions[k].recent = m.ServiceTime
+	for k := range n.backends {
+		if s.svcNames[n.backends[k].service] == m.Service {
+			n.backends[k].recentDuration = m.ServiceTime
 		}
 	}
 	s.p.Measured(s.now, m)
 }
 
-func (s *world) fillTasks(n *node, a *policy.Agent) {
-	for k := range n.minions {
-		m := &n.minions[k]
+func (s *simulation) fillTasks(n *node, a *policy.Agent) {
+	for k := range n.backends {
+		b := &n.backends[k]
 		a.Pressure = append(a.Pressure, decide.ServicePressure{
-			Service: s.svcNames[m.service], Target: s.w.contracts[0].LatencyTarget.Std(),
-			Time: m.recent, InUse: m.inUse, Slots: minionSlots,
+			Service: s.svcNames[b.service], Target: s.w.contracts[0].LatencyTarget.Std(),
+			Time: b.recentDuration, InUse: b.inUse, Slots: backendSlots,
 		})
 	}
 	for _, t := range n.tasks {
@@ -331,13 +332,13 @@
 			Speed: t.speed, Slots: t.need.Slots,
 		}
 		if s.now-t.started >= usageLag {
-			r.MemoryBytes = j.real.MemoryBytes
+			r.MemoryBytes = j.actual.MemoryBytes
 		}
 		a.Tasks = append(a.Tasks, r)
 	}
 }
 
-func (s *world) apply(at int, act decide.Action) {
+func (s *simulation) applyAction(at int, act decide.Action) {
 	n := &s.nodes[at]
 	for k, t := range n.tasks {
 		if s.w.jobs[t.job].id != act.Job {
@@ -356,14 +357,14 @@
 	}
 }
 
-func plusResources(a, b structs.Resources) structs.Resources {
+func addResources(a, b structs.Resources) structs.Resources {
 	a.Slots += b.Slots
 	a.MilliCores += b.MilliCores
 	a.MemoryBytes += b.MemoryBytes
 	return a
 }
 
-func minusResources(a, b structs.Resources) structs.Resources {
+func subtractResources(a, b structs.Resources) structs.Resources {
 	a.Slots -= b.Slots
 	a.MilliCores -= b.MilliCores
 	a.MemoryBytes -= b.MemoryBytes
--- a/decide/model/events.go
+++ b/decide/model/events.go
@@ -7,7 +7,7 @@
 const (
 	eventCall eventKind = iota
 	eventCallDone
-	eventCallAgain
+	eventCallRetry
 	eventJob
 	eventTaskEnd
 	eventAgentTick
@@ -17,7 +17,7 @@
 	eventCancel
 )
 
-// event is one point of virtual time. Which fields count depends on kind.
+// event is one point of virtual time. The meaning of a and b depends on kind.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -25,8 +25,8 @@
 	a, b  int
 }
 
-// queue is a binary heap by time, then by order of insertion, so that a run
-// is the same each time.
+// queue is a binary heap by time, then by order of insertion, so that a run is
+// deterministic.
 type queue struct {
 	events []event
 	order  uint64
--- a/decide/model/model_test.go
+++ b/decide/model/model_test.go
@@ -11,11 +11,11 @@
 
 type contracts = map[structs.Customer]structs.Contract
 
-func predictive(n int, c contracts) policy.Policy                 { return policy.NewPredictive(n, c) }
-func leastLoaded(int, contracts) policy.Policy                    { return baseline.LeastLoaded{} }
-func staticSplit(int, contracts) policy.Policy                    { return baseline.StaticSplit{Batch: 0.5} }
-func threshold(int, contracts) policy.Policy                      { return baseline.NewThresholdEviction() }
-func run(o Options, b func(int, contracts) policy.Policy) *Result { return Run(Generate(o), b) }
+func predictive(n int, c contracts) policy.Policy                     { return policy.NewPredictive(n, c) }
+func leastLoaded(int, contracts) policy.Policy                        { return baseline.LeastLoaded{} }
+func staticSplit(int, contracts) policy.Policy                        { return baseline.StaticSplit{Batch: 0.5} }
+func threshold(int, contracts) policy.Policy                          { return baseline.NewThresholdEviction() }
+func run(o Options, build func(int, contracts) policy.Policy) *Result { return Run(Generate(o), build) }
 
 func TestSameSeedGivesTheSameRun(t *testing.T) {
 	t.Parallel()
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEachCallAndJobIsCountedOnceAndNoInstanceIsOverfilled(t *testing.T) {
+func TestCallsAreCountedOnceAndNoInstanceIsOvercommitted(t *testing.T) {
 	t.Parallel()
 	for name, b := range map[string]func(int, contracts) policy.Policy{
 		"predictive": predictive, "least loaded": leastLoaded, "static split": staticSplit, "threshold": threshold,
@@ -37,7 +37,7 @@
 		w := Generate(Options{Seed: 3, Duration: 20 * time.Second, Load: 2, Flood: true})
 		r := Run(w, b)
 		if r.Broken != 0 {
-			t.Errorf("%s: %d times an instance held more than it can", name, r.Broken)
+			t.Errorf("%s: %d times an instance exceeded its capacity", name, r.Broken)
 		}
 		due := 0
 		for _, c := range w.calls {
@@ -54,10 +54,10 @@
 	}
 }
 
-// The comparison itself is report/cmd/compare; this only keeps a change from
-// losing its point unseen. The bounds are loose, because three minutes are mostly
-// learning: against the best plain policy of each seed.
-func TestPredictionBeatsPlainPoliciesWhereDisturbanceDecides(t *testing.T) {
+// The full comparison is report/cmd/compare. This test only detects the loss
+// of the advantage over the best plain policy of each seed. The bounds are
+// loose, because three minutes are mostly learning.
+func TestPredictiveBeatsPlainPoliciesOnTailAndEvictions(t *testing.T) {
 	t.Parallel()
 	var own, plain time.Duration
 	evictions, plainEvictions := 0, 0
--- a/decide/model/result.go
+++ b/decide/model/result.go
@@ -6,18 +6,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what one run measured. Times are of urgent calls from the first
-// attempt to the whole answer; a call without an answer counts with its whole
-// deadline, so that refusing slow calls can't make the figures better.
+// Result holds the measurements of one run. Times are of urgent calls, from
+// the first attempt to the whole answer; a call without an answer counts with
+// its whole deadline, so that refusing slow calls can't improve the result.
 type Result struct {
 	Policy string
 	Seed   uint64
-	// Urgent has all calls, ByCustomer those of each customer, in microseconds.
+	// Urgent holds all calls, ByCustomer those of each customer, in
+	// microseconds.
 	Urgent     *hdrhistogram.Histogram
 	ByCustomer [customers]*hdrhistogram.Histogram
-	// Calls ended with an answer or without; InTime within their deadline.
+	// Calls counts ended calls, InTime those answered within their deadline.
 	Calls, InTime, Unanswered int
-	// Refusals counts times a caller was told to come back.
+	// Refusals counts the times that a caller was refused and asked to retry.
 	Refusals, Attempts int
 	// Done is the number of finished batch jobs by customer.
 	Done [customers]int
@@ -25,10 +26,10 @@
 	Evictions, Killed, Throttles, Failures, WrongFailures, NotStarted, Parked int
 	// WorkLost is in seconds of undisturbed work, by evictions and kills.
 	WorkLost float64
-	// Jain is Jain's index over customers of batch work done against what the
-	// customer was entitled to.
+	// Jain is Jain's index over customers of batch work done relative to the
+	// entitlement.
 	Jain float64
-	// Broken counts moments at which an instance held more than it can.
+	// Broken counts admission checks that found an instance overcommitted.
 	Broken int
 
 	w              *Workload
@@ -36,20 +37,20 @@
 }
 
 const (
-	lowest  = int64(100)
-	highest = int64(60_000_000)
-	digits  = 3
+	minMicros         = int64(100)
+	maxMicros         = int64(60_000_000)
+	significantDigits = 3
 )
 
 func newResult(w *Workload) *Result {
-	r := &Result{Seed: w.Options.Seed, w: w, Urgent: hdrhistogram.New(lowest, highest, digits)}
+	r := &Result{Seed: w.Options.Seed, w: w, Urgent: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for c := range r.ByCustomer {
-		r.ByCustomer[c] = hdrhistogram.New(lowest, highest, digits)
+		r.ByCustomer[c] = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 	}
 	return r
 }
 
-func (r *Result) answered(c int, latency, target time.Duration) {
+func (r *Result) recordAnswered(c int, latency, target time.Duration) {
 	r.record(c, latency)
 	r.Calls++
 	if latency <= target {
@@ -57,14 +58,14 @@
 	}
 }
 
-func (r *Result) missed(c int, target time.Duration) {
+func (r *Result) recordUnanswered(c int, target time.Duration) {
 	r.record(c, target)
 	r.Calls++
 	r.Unanswered++
 }
 
 func (r *Result) record(c int, latency time.Duration) {
-	us := min(latency.Microseconds(), highest)
+	us := min(latency.Microseconds(), maxMicros)
 	// The value is within the histogram's bounds, so no error can arise.
 	_ = r.Urgent.RecordValue(us)
 	_ = r.ByCustomer[c].RecordValue(us)
@@ -79,7 +80,7 @@
 	return n
 }
 
-// Work is the undisturbed seconds of batch work done and not lost.
+// Work is the batch work done and not lost, in seconds of undisturbed work.
 func (r *Result) Work() float64 {
 	sum := 0.0
 	for _, x := range r.work {
@@ -93,7 +94,7 @@
 	return time.Duration(r.Urgent.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// CustomerWork and CustomerQuantile are of one customer.
+// CustomerWork is Work of one customer.
 func (r *Result) CustomerWork(c int) float64 { return r.work[c] }
 
 // CustomerQuantile is a quantile of one customer's urgent calls.
@@ -101,13 +102,13 @@
 	return time.Duration(r.ByCustomer[c].ValueAtQuantile(q)) * time.Microsecond
 }
 
-// InTimeShare is the part of calls answered within their deadline.
+// InTimeShare is the fraction of calls answered within their deadline.
 func (r *Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(r.Calls, 1)) }
 
-// AttemptsPerCall is the attempts sent to agents for each call.
+// AttemptsPerCall is the mean number of attempts sent to agents per call.
 func (r *Result) AttemptsPerCall() float64 { return float64(r.Attempts) / float64(max(r.Calls, 1)) }
 
-func (s *world) finish() {
+func (s *simulation) finish() {
 	for i := range s.nodes {
 		s.now = s.w.Options.Duration
 		s.advance(i)
@@ -129,5 +130,5 @@
 	r.Jain = sum * sum / (customers * squares)
 }
 
-// Customers is how many customers the fake has; number 0 floods.
+// Customers is the number of customers in the model; number 0 floods.
 const Customers = customers
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -7,13 +7,13 @@
 	"persimmonrock.example/wire"
 )
 
-func (s *world) startCall(i int) {
+func (s *simulation) startCall(i int) {
 	c := &s.w.calls[i]
 	s.p.Call(s.now, s.w.contracts[c.customer].Customer)
 	id := len(s.attempts)
-	if n := len(s.free); n > 0 {
-		id = s.free[n-1]
-		s.free = s.free[:n-1]
+	if n := len(s.freeAttempts); n > 0 {
+		id = s.freeAttempts[n-1]
+		s.freeAttempts = s.freeAttempts[:n-1]
 	} else {
 		s.attempts = append(s.attempts, attempt{})
 	}
@@ -21,10 +21,10 @@
 	s.tryCall(id)
 }
 
-// tryCall makes one attempt, and further ones after refusals that prove that
-// nothing ran, as far as the policy's budget goes. When none is admitted the
-// caller comes back after the Retry-After until its deadline.
-func (s *world) tryCall(id int) {
+// tryCall makes one attempt, and, within the policy's retry budget, further
+// ones after refusals, which prove that nothing ran. If none is admitted, the
+// caller retries after the Retry-After until its deadline.
+func (s *simulation) tryCall(id int) {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
 	target := s.w.contracts[c.customer].LatencyTarget.Std()
@@ -52,32 +52,32 @@
 		if s.admitCall(id, at) {
 			return
 		}
-		a.tried[try] = s.nodes[s.minionsOf[c.service][at].node].in.id
+		a.tried[try] = s.nodes[s.backendsOf[c.service][at].node].in.id
 	}
-	s.comeBack(id, max(wait, decide.RetryAfter(1, 1, 100*time.Millisecond, s.random.Uint64())), remaining)
+	s.retryLater(id, max(wait, decide.RetryAfter(1, 1, 100*time.Millisecond, s.random.Uint64())), remaining)
 }
 
-func (s *world) comeBack(id int, wait, remaining time.Duration) {
+func (s *simulation) retryLater(id int, wait, remaining time.Duration) {
 	s.result.Refusals++
 	if wait < remaining {
-		s.events.push(s.now+wait, eventCallAgain, id, 0)
+		s.events.push(s.now+wait, eventCallRetry, id, 0)
 		return
 	}
 	c := &s.w.calls[s.attempts[id].call]
-	s.result.missed(c.customer, s.w.contracts[c.customer].LatencyTarget.Std())
-	s.free = append(s.free, id)
+	s.result.recordUnanswered(c.customer, s.w.contracts[c.customer].LatencyTarget.Std())
+	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-func (s *world) candidates(c *call) []decide.Candidate {
+func (s *simulation) candidates(c *call) []decide.Candidate {
 	views := s.views[c.entry][c.service]
-	s.cands = s.cands[:0]
-	for i, p := range s.minionsOf[c.service] {
+	s.candidateBuffer = s.candidateBuffer[:0]
+	for i, p := range s.backendsOf[c.service] {
 		v := &views[i]
 		n := &s.nodes[p.node]
-		s.cands = append(s.cands, decide.Candidate{
+		s.candidateBuffer = append(s.candidateBuffer, decide.Candidate{
 			Instance:    n.in.id,
 			Zone:        n.in.zone,
-			Slots:       min(minionSlots, v.inUse+v.outstanding+v.free),
+			Slots:       min(backendSlots, v.inUse+v.outstanding+v.free),
 			InUse:       v.inUse,
 			ServiceTime: v.serviceTime,
 			Age:         s.now - v.at,
@@ -85,103 +85,105 @@
 			Outstanding: v.outstanding,
 		})
 	}
-	return s.cands
+	return s.candidateBuffer
 }
 
-// admitCall lets the agent decide and starts the call.
-func (s *world) admitCall(id, at int) bool {
+// admitCall starts the call if the agent admits it, and reports whether it
+// did.
+func (s *simulation) admitCall(id, at int) bool {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
-	p := s.minionsOf[c.service][at]
+	p := s.backendsOf[c.service][at]
 	n := &s.nodes[p.node]
-	m := &n.minions[p.minion]
+	b := &n.backends[p.backend]
 	agent := s.fillAgent(p.node)
-	agent.Service, agent.ServiceFree = s.svcNames[m.service], max(0, minionSlots-m.inUse)
+	agent.Service, agent.ServiceFree = s.svcNames[b.service], max(0, backendSlots-b.inUse)
 	for k := range customers {
-		agent.ServiceUses = append(agent.ServiceUses, decide.SlotUse{Customer: s.w.contracts[k].Customer, Urgent: m.by[k]})
+		agent.ServiceUses = append(agent.ServiceUses, decide.SlotUse{Customer: s.w.contracts[k].Customer, Urgent: b.byCustomer[k]})
 	}
 	if agent.Free.Slots < 0 {
 		s.result.Broken++
 	}
-	full := m.inUse >= minionSlots
+	full := b.inUse >= backendSlots
 	if full || !s.p.AdmitUrgent(s.now, agent, s.w.contracts[c.customer]) || agent.Free.Slots < 1 {
 		v := &s.views[c.entry][c.service][at]
-		s.see(v, p.node, p.minion)
-		v.inUse = max(0, m.inUse-v.outstanding)
+		s.updateView(v, p.node, p.backend)
+		v.inUse = max(0, b.inUse-v.outstanding)
 		return false
 	}
 	s.advance(p.node)
-	m.inUse++
-	m.by[c.customer]++
+	b.inUse++
+	b.byCustomer[c.customer]++
 	n.urgent[c.customer]++
 	s.held[c.customer].Slots++
-	s.p.Load(s.now, p.node, s.svcNames[c.service], m.inUse)
-	took := time.Duration(float64(c.work) * s.inflation(n, m))
-	a.node, a.minion, a.started = p.node, p.minion, s.now
+	s.p.Load(s.now, p.node, s.svcNames[c.service], b.inUse)
+	took := time.Duration(float64(c.work) * s.inflation(n, b))
+	a.node, a.backend, a.started = p.node, p.backend, s.now
 	s.views[c.entry][c.service][at].outstanding++
 	s.events.push(s.now+took, eventCallDone, id, 0)
 	s.reschedule(p.node)
 	return true
 }
 
-func (s *world) endCall(id int) {
+func (s *simulation) endCall(id int) {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
 	n := &s.nodes[a.node]
-	m := &n.minions[a.minion]
+	b := &n.backends[a.backend]
 	s.advance(a.node)
-	m.inUse--
-	m.by[c.customer]--
+	b.inUse--
+	b.byCustomer[c.customer]--
 	n.urgent[c.customer]--
 	s.held[c.customer].Slots--
-	s.p.Load(s.now, a.node, s.svcNames[c.service], m.inUse)
-	m.sum += s.now - a.started
-	m.count++
+	s.p.Load(s.now, a.node, s.svcNames[c.service], b.inUse)
+	b.durationSum += s.now - a.started
+	b.durationCount++
 	s.reschedule(a.node)
-	for i, p := range s.minionsOf[c.service] {
-		if p.node == a.node && p.minion == a.minion {
+	for i, p := range s.backendsOf[c.service] {
+		if p.node == a.node && p.backend == a.backend {
 			v := &s.views[c.entry][c.service][i]
 			v.outstanding--
-			s.see(v, a.node, a.minion)
-			v.inUse = max(0, m.inUse-v.outstanding)
+			s.updateView(v, a.node, a.backend)
+			v.inUse = max(0, b.inUse-v.outstanding)
 		}
 	}
 	latency := s.now - c.at + 2*hop + 2*clientHop
-	s.result.answered(c.customer, latency, s.w.contracts[c.customer].LatencyTarget.Std())
-	s.free = append(s.free, id)
+	s.result.recordAnswered(c.customer, latency, s.w.contracts[c.customer].LatencyTarget.Std())
+	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-// see copies the exact state of a minion into an entry's view, as the load on
-// an answer does.
-func (s *world) see(v *view, node, minion int) {
+// updateView copies the exact state of a backend into an entry's view, as the
+// load on an answer does.
+func (s *simulation) updateView(v *view, node, backend int) {
 	n := &s.nodes[node]
 	v.at = s.now
 	v.free = max(0, n.in.total.Slots-n.urgentSlots()-n.claimed.Slots)
-	v.serviceTime = n.minions[minion].recent
+	v.serviceTime = n.backends[backend].recentDuration
 	v.batch = s.batchLoads(n, v.batch)
 }
 
-// loadReport is a heartbeat on its way to the entries.
+// loadReport is a heartbeat in transit to the entries.
 type loadReport struct {
 	node  int
 	inUse []int
 	taken time.Duration
 }
 
-// receive applies a heartbeat at every entry. It is as old as loadDelay.
-func (s *world) receive(i int) {
-	r := &s.loads[i]
-	for k, m := range s.nodes[r.node].minions {
-		for at, p := range s.minionsOf[m.service] {
-			if p.node != r.node || p.minion != k {
+// receiveLoad applies a heartbeat, as old as loadDelay, at every entry without
+// newer state.
+func (s *simulation) receiveLoad(i int) {
+	r := &s.loadReports[i]
+	for k, b := range s.nodes[r.node].backends {
+		for at, p := range s.backendsOf[b.service] {
+			if p.node != r.node || p.backend != k {
 				continue
 			}
 			for e := range entries {
-				v := &s.views[e][m.service][at]
+				v := &s.views[e][b.service][at]
 				if v.at > r.taken {
 					continue
 				}
-				s.see(v, r.node, k)
+				s.updateView(v, r.node, k)
 				v.at = r.taken
 				v.inUse = max(0, r.inUse[k]-v.outstanding)
 			}
@@ -189,7 +191,7 @@
 	}
 }
 
-func (s *world) batchLoads(n *node, out []wire.BatchLoad) []wire.BatchLoad {
+func (s *simulation) batchLoads(n *node, out []wire.BatchLoad) []wire.BatchLoad {
 	out = out[:0]
 	var counts [kinds]int
 	for _, t := range n.tasks {
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -1,10 +1,10 @@
-// Package model is a small fake of instances, callers and batch jobs, to
+// Package model is a small simulation of instances, callers and batch jobs, to
 // compare policies on the same events. It runs in virtual time and is
-// deterministic for a seed. It is no simulator of a cluster: one queue owner,
-// fixed delays, and only the disturbances that the policies are to be judged
-// by: a hidden matrix of which batch kind slows which service, late reports,
-// waves of noisy jobs, load shifts, wrong sizes, failing workers, a flood by
-// one customer and waves of cancellations.
+// deterministic for a seed. It is no model of a whole cluster: it has one
+// queue owner, fixed delays, and only the disturbances that the policies are
+// compared by: a hidden matrix of the slowdown of each service by each batch
+// kind, late reports, waves of noisy jobs, load shifts, wrong sizes, failing
+// workers, a flood by one customer and waves of cancellations.
 package model
 
 import (
@@ -24,34 +24,36 @@
 	// Flood makes customer 0 send ten times its usual load for the middle
 	// half of the run.
 	Flood bool
-	// Load multiplies the rate of batch jobs; 1 leaves some room on average,
-	// 1.5 does not.
+	// Load multiplies the rate of batch jobs; 1 leaves some capacity free on
+	// average, 1.5 does not.
 	Load float64
-	// NoBatch leaves out all batch jobs, to see the undisturbed times.
+	// NoBatch leaves out all batch jobs, to measure the undisturbed times.
 	NoBatch bool
-	// Calm leaves out waves, shifts, failing workers and cancellations.
-	Calm bool
+	// NoDisturbances leaves out waves, shifts, failing workers, cancellations
+	// and jobs that can never run.
+	NoDisturbances bool
 }
 
-// Sizes of the fake fleet.
+// Sizes of the simulated fleet.
 const (
-	// batchRate is the jobs a second of all customers, by share.
+	// batchRate is the number of jobs a second for a share of 1.
 	batchRate = 2.5
-	// Each customer sends waveJobs of one kind within seconds, once in waveEvery.
+	// Each customer submits waveJobs of one kind within seconds, once in
+	// waveEvery.
 	waveEvery = 5 * time.Minute
 	waveJobs  = 40
 	// callSpread is the standard deviation of the logarithm of a call's size.
-	callSpread       = 0.15
-	zones            = 4
-	racksPerZone     = 2
-	instancesPerRack = 3
-	services         = 6
-	minionsPerKind   = 10
-	minionSlots      = 8
-	kinds            = 10
-	customers        = 6
-	entries          = 4
-	gigabyte         = int64(1_000_000_000)
+	callSpread         = 0.15
+	zones              = 4
+	racksPerZone       = 2
+	instancesPerRack   = 3
+	services           = 6
+	backendsPerService = 10
+	backendSlots       = 8
+	kinds              = 10
+	customers          = 6
+	entries            = 4
+	gigabyte           = int64(1_000_000_000)
 )
 
 // call is one urgent call, the same for every policy.
@@ -60,7 +62,7 @@
 	service  int
 	customer int
 	entry    int
-	// work is how long it takes undisturbed.
+	// work is the undisturbed duration.
 	work time.Duration
 }
 
@@ -72,8 +74,8 @@
 	kind     int
 	work     time.Duration
 	declared structs.Resources
-	real     structs.Resources
-	// cancelled is when its customer cancels it; 0 never.
+	actual   structs.Resources
+	// cancelled is the time at which the customer cancels the job; 0 for never.
 	cancelled time.Duration
 }
 
@@ -83,11 +85,11 @@
 	rack     string
 	total    structs.Resources
 	services []int
-	// broken is the time in which it fails every task it starts.
-	brokenFrom, brokenTo time.Duration
+	// Tasks that start from failsFrom until failsUntil fail.
+	failsFrom, failsUntil time.Duration
 }
 
-// Workload is everything that happens to a policy, and the hidden truth.
+// Workload holds all events and the parameters hidden from the policy.
 type Workload struct {
 	Options   Options
 	calls     []call
@@ -95,13 +97,14 @@
 	instances []instance
 	contracts []structs.Contract
 	bases     [services]time.Duration
-	// harm is the hidden matrix: what one task of a kind adds to a service's
-	// relative duration at middle load. From shiftAt on, harmLater holds.
-	harm, harmLater [services][kinds]float64
-	shiftAt         time.Duration
-	sizes           [kinds]jobSize
-	badKind         int
-	rates           [services]float64
+	// slowdown is the hidden matrix: the increase of a service's relative
+	// duration by one task of a kind at medium load. From shiftAt on,
+	// slowdownLater holds.
+	slowdown, slowdownLater [services][kinds]float64
+	shiftAt                 time.Duration
+	sizes                   [kinds]jobSize
+	failingKind             int
+	rates                   [services]float64
 }
 
 type jobSize struct {
@@ -118,22 +121,22 @@
 	return median * math.Exp(sigma*r.NormFloat64())
 }
 
-// Generate returns the workload of the options.
+// Generate returns the workload for the options.
 func Generate(o Options) *Workload {
-	w := &Workload{Options: o, shiftAt: o.Duration * 6 / 10, badKind: kinds - 1}
+	w := &Workload{Options: o, shiftAt: o.Duration * 6 / 10, failingKind: kinds - 1}
 	r := rand.New(rand.NewPCG(o.Seed, 1))
-	w.fleet(r)
-	w.matrix(r)
-	w.jobKinds(r)
-	w.agreements()
-	w.urgent(rand.New(rand.NewPCG(o.Seed, 2)))
+	w.addInstances(r)
+	w.drawSlowdowns(r)
+	w.drawJobSizes(r)
+	w.addContracts()
+	w.drawCalls(rand.New(rand.NewPCG(o.Seed, 2)))
 	if !o.NoBatch {
-		w.batch(rand.New(rand.NewPCG(o.Seed, 3)))
+		w.drawJobs(rand.New(rand.NewPCG(o.Seed, 3)))
 	}
 	return w
 }
 
-func (w *Workload) fleet(r *rand.Rand) {
+func (w *Workload) addInstances(r *rand.Rand) {
 	for z := range zones {
 		for k := range racksPerZone * instancesPerRack {
 			in := instance{
@@ -150,21 +153,22 @@
 	}
 	const perZone = racksPerZone * instancesPerRack
 	for s := range services {
-		for k := range minionsPerKind {
-			m := s*minionsPerKind + k
+		for k := range backendsPerService {
+			m := s*backendsPerService + k
 			in := &w.instances[m%zones*perZone+m/zones%perZone]
 			in.services = append(in.services, s)
 		}
 	}
-	if !w.Options.Calm {
-		bad := &w.instances[r.IntN(len(w.instances))]
-		bad.brokenFrom = w.Options.Duration / 5
-		bad.brokenTo = w.Options.Duration * 7 / 10
+	if !w.Options.NoDisturbances {
+		failing := &w.instances[r.IntN(len(w.instances))]
+		failing.failsFrom = w.Options.Duration / 5
+		failing.failsUntil = w.Options.Duration * 7 / 10
 	}
 }
 
-// matrix draws the hidden harms: most pairs hardly matter, three in ten hurt.
-func (w *Workload) matrix(r *rand.Rand) {
+// drawSlowdowns draws the hidden matrix: most slowdowns are negligible, three
+// in ten are not.
+func (w *Workload) drawSlowdowns(r *rand.Rand) {
 	draw := func() float64 {
 		if r.Float64() < 0.3 {
 			return 0.06 + 0.18*r.Float64()
@@ -174,20 +178,20 @@
 	for s := range services {
 		w.bases[s] = time.Duration((0.3 + 0.4*r.Float64()) * float64(time.Second))
 		for k := range kinds {
-			w.harm[s][k] = draw()
+			w.slowdown[s][k] = draw()
 		}
 	}
-	w.harmLater = w.harm
-	if w.Options.Calm {
+	w.slowdownLater = w.slowdown
+	if w.Options.NoDisturbances {
 		return
 	}
 	k := r.IntN(kinds - 1)
 	for s := range services {
-		w.harmLater[s][k] = draw()
+		w.slowdownLater[s][k] = draw()
 	}
 }
 
-func (w *Workload) jobKinds(r *rand.Rand) {
+func (w *Workload) drawJobSizes(r *rand.Rand) {
 	for k := range kinds {
 		z := &w.sizes[k]
 		z.runtime = time.Duration(lognormal(r, 50, 0.6) * float64(time.Second))
@@ -197,10 +201,10 @@
 		z.declaredMemory = lognormal(r, 1, 0.7)
 		z.declaredCores = lognormal(r, 1, 0.5)
 	}
-	w.sizes[w.badKind].failsEverywhere = true
+	w.sizes[w.failingKind].failsEverywhere = true
 }
 
-func (w *Workload) agreements() {
+func (w *Workload) addContracts() {
 	shares := [customers]float64{0.20, 0.20, 0.15, 0.15, 0.10, 0.10}
 	for c := range customers {
 		w.contracts = append(w.contracts, structs.Contract{
@@ -212,20 +216,20 @@
 	}
 }
 
-// flood reports whether customer 0 floods at time t.
-func (w *Workload) flood(t time.Duration) bool {
+// flooding reports whether customer 0 floods at time t.
+func (w *Workload) flooding(t time.Duration) bool {
 	d := w.Options.Duration
 	return w.Options.Flood && t >= d/4 && t < d*3/4
 }
 
-// urgent draws calls of each customer as a Poisson stream whose rate follows
-// load shifts; two services surge in turn. The last seventh is calm, so that
-// work put off in a surge can be caught up.
-func (w *Workload) urgent(r *rand.Rand) {
+// drawCalls draws the calls of each customer as a Poisson stream whose rate
+// follows load shifts; two services surge in turn. The last seventh has no
+// surge, so that work deferred in a surge can be made up.
+func (w *Workload) drawCalls(r *rand.Rand) {
 	const meanInUse = 1.7
 	d := w.Options.Duration
 	surge := func(s int, t time.Duration) float64 {
-		if w.Options.Calm {
+		if w.Options.NoDisturbances {
 			return 1
 		}
 		period := d / 7
@@ -236,23 +240,23 @@
 		return 1
 	}
 	for s := range services {
-		w.rates[s] = meanInUse * minionsPerKind / w.bases[s].Seconds()
+		w.rates[s] = meanInUse * backendsPerService / w.bases[s].Seconds()
 	}
-	const most = 1.9
+	const maxSurge = 1.9
 	for c := range customers {
 		own := rand.New(rand.NewPCG(r.Uint64(), uint64(c)))
 		for s := range services {
 			rate := w.rates[s] * w.contracts[c].Share / 0.9
-			peak := rate * most
+			peak := rate * maxSurge
 			for t := 0.0; ; {
 				t += own.ExpFloat64() / peak
 				at := time.Duration(t * float64(time.Second))
 				if at >= d {
 					break
 				}
-				keep, entry := own.Float64(), own.IntN(entries)
+				accept, entry := own.Float64(), own.IntN(entries)
 				work := time.Duration(lognormal(own, 1, callSpread) * float64(w.bases[s]))
-				if keep*most < surge(s, at) {
+				if accept*maxSurge < surge(s, at) {
 					w.calls = append(w.calls, call{at, s, c, entry, work})
 				}
 			}
@@ -275,16 +279,17 @@
 			}
 			work := time.Duration(lognormal(r, 1, callSpread) * float64(w.bases[s]))
 			entry := r.IntN(entries)
-			if w.flood(at) {
+			if w.flooding(at) {
 				w.calls = append(w.calls, call{at, s, 0, entry, work})
 			}
 		}
 	}
 }
 
-// batch draws each customer's jobs: a steady stream that together exceeds the
-// room, noisy waves of one kind, jobs that can never run, and cancellations.
-func (w *Workload) batch(r *rand.Rand) {
+// drawJobs draws each customer's jobs: steady streams that together exceed the
+// capacity, noisy waves of one kind, jobs that can never run, and
+// cancellations.
+func (w *Workload) drawJobs(r *rand.Rand) {
 	d := w.Options.Duration
 	for c := range customers {
 		own := rand.New(rand.NewPCG(r.Uint64(), uint64(c)))
@@ -296,8 +301,8 @@
 			}
 			w.addJob(own, max(0, time.Duration(t*float64(time.Second))), c, -1)
 		}
-		if !w.Options.Calm {
-			w.waves(own, c)
+		if !w.Options.NoDisturbances {
+			w.addWaves(own, c)
 		}
 	}
 	if w.Options.Flood {
@@ -312,7 +317,7 @@
 	}
 }
 
-func (w *Workload) waves(r *rand.Rand, c int) {
+func (w *Workload) addWaves(r *rand.Rand, c int) {
 	d := w.Options.Duration
 	for from := time.Duration(0); from < d; from += waveEvery {
 		at := from + time.Duration(r.Float64()*float64(waveEvery))
@@ -335,13 +340,13 @@
 	memory, cores := lognormal(r, 1, 0.15), lognormal(r, 1, 0.15)
 	if kind < 0 {
 		kind = r.IntN(kinds - 1)
-		if !w.Options.Calm && draw < 0.02 {
-			kind = w.badKind
+		if !w.Options.NoDisturbances && draw < 0.02 {
+			kind = w.failingKind
 		}
 	}
 	z := &w.sizes[kind]
 	j := job{at: at, customer: c, kind: kind, work: time.Duration(work * float64(z.runtime))}
-	j.real = structs.Resources{
+	j.actual = structs.Resources{
 		Slots:       z.slots,
 		MemoryBytes: int64(memory * float64(z.memory)),
 		MilliCores:  int(cores * float64(z.cores)),
@@ -351,7 +356,7 @@
 		MemoryBytes: int64(float64(z.memory) * z.declaredMemory),
 		MilliCores:  int(float64(z.cores) * z.declaredCores),
 	}
-	if !w.Options.Calm && draw > 0.995 {
+	if !w.Options.NoDisturbances && draw > 0.995 {
 		j.declared.MemoryBytes = 300 * gigabyte
 	}
 	w.jobs = append(w.jobs, j)
--- a/decide/model/world.go
+++ b/decide/model/world.go
@@ -11,24 +11,24 @@
 	"persimmonrock.example/wire"
 )
 
-// Delays of the fake.
+// Delays and limits of the simulation.
 const (
-	tickEvery    = time.Second
-	planEvery    = 200 * time.Millisecond
-	loadDelay    = 300 * time.Millisecond
-	window       = 4 * time.Second
-	measureLag   = 2 * time.Second
-	hop          = 1 * time.Millisecond
-	clientHop    = 3 * time.Millisecond
-	restartWork  = 3 * time.Second
-	checkpoints  = 30 * time.Second
-	planLimit    = 64
-	queueHead    = 60
-	maxAttempts  = 3
-	usageLag     = 5 * time.Second
-	callCores    = 1000
-	failureDelay = time.Second
-	maxFailures  = 5
+	tickEvery         = time.Second
+	planEvery         = 200 * time.Millisecond
+	loadDelay         = 300 * time.Millisecond
+	measurementWindow = 4 * time.Second
+	measureLag        = 2 * time.Second
+	hop               = 1 * time.Millisecond
+	clientHop         = 3 * time.Millisecond
+	restartWork       = 3 * time.Second
+	checkpointEvery   = 30 * time.Second
+	planLimit         = 64
+	queueHead         = 60
+	maxAttempts       = 3
+	usageLag          = 5 * time.Second
+	callMilliCores    = 1000
+	failureDelay      = time.Second
+	maxFailures       = 5
 )
 
 // task is one run of a job.
@@ -46,39 +46,40 @@
 }
 
 type jobState struct {
-	done      float64
-	failures  int
-	epoch     structs.Epoch
-	queued    bool
-	final     bool
-	parked    bool
-	waitAvoid structs.InstanceID
+	done     float64
+	failures int
+	epoch    structs.Epoch
+	queued   bool
+	ended    bool
+	parked   bool
+	avoid    structs.InstanceID
 }
 
-type minion struct {
-	service int
-	inUse   int
-	by      [customers]int
-	// sum and count are of calls that ended in the open window.
-	sum    time.Duration
-	count  int
-	recent time.Duration
+type backend struct {
+	service    int
+	inUse      int
+	byCustomer [customers]int
+	// durationSum and durationCount are of calls that ended in the open
+	// window.
+	durationSum    time.Duration
+	durationCount  int
+	recentDuration time.Duration
 }
 
-// node is one instance with what runs on it.
+// node is one instance with its load.
 type node struct {
-	in      *instance
-	minions []minion
-	tasks   []*task
-	urgent  [customers]int
-	batch   [customers]int
-	claimed structs.Resources
-	updated time.Duration
-	version int
-	from    time.Duration
+	in          *instance
+	backends    []backend
+	tasks       []*task
+	urgent      [customers]int
+	batch       [customers]int
+	claimed     structs.Resources
+	updated     time.Duration
+	version     int
+	windowStart time.Duration
 }
 
-// view is what one entry knows of one minion.
+// view is an entry's state of one backend.
 type view struct {
 	inUse       int
 	serviceTime time.Duration
@@ -90,44 +91,44 @@
 }
 
 type attempt struct {
-	call, node, minion int
-	started            time.Duration
-	tried              [maxAttempts]structs.InstanceID
+	call, node, backend int
+	started             time.Duration
+	tried               [maxAttempts]structs.InstanceID
 }
 
-type world struct {
-	w         *Workload
-	p         policy.Policy
-	now       time.Duration
-	events    queue
-	random    *rand.Rand
-	nodes     []node
-	views     [entries][services][]view
-	minionsOf [services][]place
-	attempts  []attempt
-	free      []int
-	jobs      []jobState
-	waiting   [customers][]int
-	held      [customers]structs.Resources
-	contracts map[structs.Customer]structs.Contract
-	agent     policy.Agent
-	cands     []decide.Candidate
-	batchView decide.BatchView
-	queueJobs []int
-	measures  []policy.Measurement
-	loads     []loadReport
-	byID      map[structs.InstanceID]int
-	result    *Result
-	kindNames [kinds]structs.Kind
-	svcNames  [services]structs.Service
+type simulation struct {
+	w               *Workload
+	p               policy.Policy
+	now             time.Duration
+	events          queue
+	random          *rand.Rand
+	nodes           []node
+	views           [entries][services][]view
+	backendsOf      [services][]backendRef
+	attempts        []attempt
+	freeAttempts    []int
+	jobs            []jobState
+	waiting         [customers][]int
+	held            [customers]structs.Resources
+	contracts       map[structs.Customer]structs.Contract
+	agent           policy.Agent
+	candidateBuffer []decide.Candidate
+	batchView       decide.BatchView
+	queueJobs       []int
+	measurements    []policy.Measurement
+	loadReports     []loadReport
+	byID            map[structs.InstanceID]int
+	result          *Result
+	kindNames       [kinds]structs.Kind
+	svcNames        [services]structs.Service
 }
 
-// place is where a minion of a service runs.
-type place struct{ node, minion int }
+// backendRef locates a backend by the indexes of its node and within it.
+type backendRef struct{ node, backend int }
 
-// Run plays the workload against the policy that build returns.
+// Run runs the workload with the policy that build returns.
 func Run(w *Workload, build func(instances int, contracts map[structs.Customer]structs.Contract) policy.Policy) *Result {
-	s := newWorld(w, build)
+	s := newSimulation(w, build)
 	for i := range w.calls {
 		s.events.push(w.calls[i].at, eventCall, i, 0)
 	}
@@ -153,8 +154,8 @@
 	return s.result
 }
 
-func newWorld(w *Workload, build func(int, map[structs.Customer]structs.Contract) policy.Policy) *world {
-	s := &world{
+func newSimulation(w *Workload, build func(int, map[structs.Customer]structs.Contract) policy.Policy) *simulation {
+	s := &simulation{
 		w:         w,
 		random:    rand.New(rand.NewPCG(w.Options.Seed, 99)),
 		jobs:      make([]jobState, len(w.jobs)),
@@ -175,26 +176,26 @@
 		in := &w.instances[i]
 		n := node{in: in}
 		for _, svc := range in.services {
-			s.minionsOf[svc] = append(s.minionsOf[svc], place{i, len(n.minions)})
-			n.minions = append(n.minions, minion{service: svc})
+			s.backendsOf[svc] = append(s.backendsOf[svc], backendRef{i, len(n.backends)})
+			n.backends = append(n.backends, backend{service: svc})
 		}
 		s.nodes = append(s.nodes, n)
 		s.byID[in.id] = i
 	}
 	for e := range entries {
 		for svc := range services {
-			s.views[e][svc] = make([]view, len(s.minionsOf[svc]))
+			s.views[e][svc] = make([]view, len(s.backendsOf[svc]))
 		}
 	}
 	s.p = build(len(s.nodes), s.contracts)
 	return s
 }
 
-func (s *world) handle(e event) {
+func (s *simulation) handle(e event) {
 	switch e.kind {
 	case eventCall:
 		s.startCall(e.a)
-	case eventCallAgain:
+	case eventCallRetry:
 		s.tryCall(e.a)
 	case eventCallDone:
 		s.endCall(e.a)
@@ -208,73 +209,74 @@
 			s.reschedule(e.a)
 		}
 	case eventAgentTick:
-		s.tick(e.a)
+		s.tickAgent(e.a)
 	case eventPlan:
-		s.plan()
+		s.planBatch()
 	case eventMeasured:
-		s.measured(e.a)
+		s.deliverMeasurement(e.a)
 	case eventLoad:
-		s.receive(e.a)
+		s.receiveLoad(e.a)
 	}
 }
 
-// inflation is the hidden truth: how much slower service svc is on node n now.
-func (s *world) inflation(n *node, m *minion) float64 {
-	harm := &s.w.harm[m.service]
+// inflation is the true slowdown of b on n now, hidden from the policy.
+func (s *simulation) inflation(n *node, b *backend) float64 {
+	slowdown := &s.w.slowdown[b.service]
 	if s.now >= s.w.shiftAt {
-		harm = &s.w.harmLater[m.service]
+		slowdown = &s.w.slowdownLater[b.service]
 	}
-	load := float64(m.inUse) / minionSlots
+	load := float64(b.inUse) / backendSlots
 	byLoad := 0.6 + 0.9*load
 	sum := 1 + 0.2*load*load
 	for _, t := range n.tasks {
-		sum += t.speed * harm[s.w.jobs[t.job].kind] * byLoad
+		sum += t.speed * slowdown[s.w.jobs[t.job].kind] * byLoad
 	}
-	return sum * s.crowding(n)
+	return sum * s.overcommitment(n)
 }
 
-// crowding is how far the processors are overcommitted, at least 1.
-func (s *world) crowding(n *node) float64 {
+// overcommitment is the ratio of cores in use to all, at least 1.
+func (s *simulation) overcommitment(n *node) float64 {
 	used := 0.0
 	for _, t := range n.tasks {
-		used += t.speed * float64(s.w.jobs[t.job].real.MilliCores)
+		used += t.speed * float64(s.w.jobs[t.job].actual.MilliCores)
 	}
-	for i := range n.minions {
-		used += float64(n.minions[i].inUse * callCores)
+	for i := range n.backends {
+		used += float64(n.backends[i].inUse * callMilliCores)
 	}
 	return max(1, used/float64(n.in.total.MilliCores))
 }
 
 func (n *node) urgentSlots() int {
 	sum := 0
-	for i := range n.minions {
-		sum += n.minions[i].inUse
+	for i := range n.backends {
+		sum += n.backends[i].inUse
 	}
 	return sum
 }
 
-// takenMemory is what the tasks claim, or use where that is measured and more.
-func (s *world) takenMemory(n *node) int64 {
+// claimedMemory is the memory that the tasks claim, or their measured use if
+// larger.
+func (s *simulation) claimedMemory(n *node) int64 {
 	taken := int64(0)
 	for _, t := range n.tasks {
 		most := t.need.MemoryBytes
 		if s.now-t.started >= usageLag {
-			most = max(most, s.w.jobs[t.job].real.MemoryBytes)
+			most = max(most, s.w.jobs[t.job].actual.MemoryBytes)
 		}
 		taken += most
 	}
 	return taken
 }
 
-// fillAgent sets the scratch agent view of node i.
-func (s *world) fillAgent(i int) *policy.Agent {
+// fillAgent sets the reused view of node i.
+func (s *simulation) fillAgent(i int) *policy.Agent {
 	n := &s.nodes[i]
 	a := &s.agent
 	a.Index, a.ID, a.Zone, a.Total = i, n.in.id, n.in.zone, n.in.total
 	a.Free = structs.Resources{
 		Slots:       n.in.total.Slots - n.urgentSlots() - n.claimed.Slots,
 		MilliCores:  n.in.total.MilliCores - n.claimed.MilliCores,
-		MemoryBytes: max(0, n.in.total.MemoryBytes-s.takenMemory(n)),
+		MemoryBytes: max(0, n.in.total.MemoryBytes-s.claimedMemory(n)),
 	}
 	a.Uses = a.Uses[:0]
 	for c := range customers {
