--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -18,7 +18,7 @@
 	return structs.Contract{Customer: c, Share: share}
 }
 
-func TestUrgentChoiceSkipsUnusableAndGoesRemoteOnlyWhenItMust(t *testing.T) {
+func TestChooseUrgentSkipsUnusableAndPrefersLocal(t *testing.T) {
 	q := UrgentQuery{Service: "s", Zone: "a", Remaining: time.Second, Random: 7}
 	free := Candidate{Instance: "free", Zone: "a", Slots: 8, ServiceTime: 10 * time.Millisecond}
 	full := free
@@ -34,14 +34,14 @@
 		want    int
 		refusal structs.RefusalType
 	}{
-		"none":         {nil, -1, structs.RefusedUnknownService},
-		"free local":   {[]Candidate{full, leaving, remote, free}, 3, ""},
-		"local full":   {[]Candidate{full, leaving, remote}, 2, ""},
-		"local late":   {[]Candidate{late, remote}, 1, ""},
-		"all late":     {[]Candidate{late}, -1, structs.RefusedDeadline},
-		"all full":     {[]Candidate{full, full}, -1, structs.RefusedNoCapacity},
-		"all leaving":  {[]Candidate{leaving}, -1, structs.RefusedDraining},
-		"over by ours": {[]Candidate{{Zone: "a", Slots: 2, InUse: 1, Outstanding: 1}}, -1, structs.RefusedNoCapacity},
+		"none":                  {nil, -1, structs.RefusedUnknownService},
+		"free local":            {[]Candidate{full, leaving, remote, free}, 3, ""},
+		"local full":            {[]Candidate{full, leaving, remote}, 2, ""},
+		"local late":            {[]Candidate{late, remote}, 1, ""},
+		"all late":              {[]Candidate{late}, -1, structs.RefusedDeadline},
+		"all full":              {[]Candidate{full, full}, -1, structs.RefusedNoCapacity},
+		"all leaving":           {[]Candidate{leaving}, -1, structs.RefusedDraining},
+		"full with outstanding": {[]Candidate{{Zone: "a", Slots: 2, InUse: 1, Outstanding: 1}}, -1, structs.RefusedNoCapacity},
 	} {
 		got, hold := ChooseUrgent(q, c.cs, nil)
 		if got != c.want || hold.Refusal != c.refusal {
@@ -50,10 +50,10 @@
 	}
 }
 
-// An operator sees a queue that stands still although workers are free. The
-// first job asks for more memory than any worker has, and the scheduler waits
-// for room that never comes. The cause is a queue served strictly in order.
-func TestUnplaceableJobBlocksNobodyBehindIt(t *testing.T) {
+// Failure guarded against: a queue makes no progress although workers are free,
+// because it is served strictly in order and its first job needs more memory than
+// any worker has.
+func TestUnplaceableJobDoesNotBlockQueue(t *testing.T) {
 	v := &BatchView{
 		Instances: []Instance{{ID: "w1", Total: slots(4, 60), Free: slots(4, 60)}},
 		Contracts: map[structs.Customer]structs.Contract{"x": contract("x", 1)},
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestReportsThatMoveNoDecision(t *testing.T) {
+func TestReportVerdicts(t *testing.T) {
 	good := wire.Load{Instance: "w", Incarnation: 2, Sequence: 5, Total: slots(8, 8), Free: slots(3, 2)}
 	var r Reports
 	if v := r.Accept(time.Second, time.Second, &good); v != ReportAccepted {
@@ -84,9 +84,9 @@
 		taken time.Duration
 		want  ReportVerdict
 	}{
-		{good, 0, ReportTwice},
+		{good, 0, ReportDuplicate},
 		{change(func(l *wire.Load) { l.Sequence = 4 }), 0, ReportOld},
-		{change(func(l *wire.Load) { l.Incarnation = 1 }), 0, ReportDead},
+		{change(func(l *wire.Load) { l.Incarnation = 1 }), 0, ReportReplaced},
 		{change(func(l *wire.Load) {}), time.Hour, ReportFuture},
 		{change(func(l *wire.Load) { l.Free.Slots = 9 }), 0, ReportAbsurd},
 		{change(func(l *wire.Load) { l.Free.MemoryBytes = -1 }), 0, ReportAbsurd},
@@ -100,10 +100,10 @@
 	}
 }
 
-// A caller sees calls sent to a dead instance, because a report of its former
-// agent arrived after that of the new one. Good and bad reports come mixed;
-// what is left over after judging must be what the good ones alone say.
-func TestBadReportsMoveNoDecision(t *testing.T) {
+// Failure guarded against: calls are sent to a dead instance because a report of
+// its former agent arrived after one of the new agent. With good and bad reports
+// mixed, decisions must be the same as with the good reports alone.
+func TestBadReportsChangeNoDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var mixed, clean Reports
 		var seen, want []Candidate
@@ -149,18 +149,18 @@
 				t.Fatalf("after report %d: %d instead of %d", n, got, wanted)
 			}
 		}
-		if c := mixed.Counters(); c.Accepted != clean.Counters().Accepted || c.Twice == 0 {
+		if c := mixed.Counters(); c.Accepted != clean.Counters().Accepted || c.Duplicate == 0 {
 			t.Fatalf("%+v", c)
 		}
 	})
 }
 
-// An operator sees reports wait for ever beside free workers. Calls were slow
-// while a process was paused, and the tasks that ran beside them are taken for
-// the cause, on every instance; as none starts any more, nothing is measured
-// that says otherwise. One starts every trialEvery; and where no call has run
-// for long there is nobody to disturb.
-func TestKindTakenForHarmfulIsTriedAgain(t *testing.T) {
+// Failure guarded against: jobs wait forever beside free workers. Calls were slow
+// while a process was paused, and the kind that ran beside them is predicted to be
+// harmful on every instance; since its tasks no longer start, no measurement
+// corrects the prediction. One task must start every trialInterval. Where no call
+// has run for long, tasks start at once, since no call can be disturbed.
+func TestKindPredictedHarmfulIsTriedAgain(t *testing.T) {
 	m := NewInterference()
 	for range 40 {
 		m.Observe(Sample{Service: "s", Band: BandLow, ServiceTime: 10 * time.Millisecond, Calls: 20})
@@ -181,33 +181,33 @@
 		}
 		return placed
 	}
-	if n := count(service, 1, trialEvery-time.Second); n != 0 {
-		t.Errorf("%d placed before a trial is due", n)
+	if n := count(service, 1, trialInterval-time.Second); n != 0 {
+		t.Errorf("%d placed before a trial was due", n)
 	}
-	if n := count(service, 1, 5*trialEvery); n != 5 {
-		t.Errorf("%d placed in 5 times trialEvery, want 5", n)
+	if n := count(service, 1, 5*trialInterval); n != 5 {
+		t.Errorf("%d placed in 5 times trialInterval, want 5", n)
 	}
-	if n := count(service, 0.01, 5*trialEvery); n != 0 {
+	if n := count(service, 0.01, 5*trialInterval); n != 0 {
 		t.Errorf("%d placed for a customer beyond its share", n)
 	}
-	quiet := service
-	quiet.InUse, quiet.ServiceTime = 0, 0
-	if n := count(quiet, 1, 0); n != 2 {
+	idle := service
+	idle.InUse, idle.ServiceTime = 0, 0
+	if n := count(idle, 1, 0); n != 2 {
 		t.Errorf("%d of 2 placed where no call has run for long", n)
 	}
 }
 
-// The first calls of a service took 4 s while their backend server began its
-// work, and the next have deadlines of 2 s. From what was learnt alone every
-// later call would be refused, and since none is tried nothing would ever
-// correct it. A call is refused as late only while the instance's own calls
-// say so: their measured time shrinks when there are none.
-func TestSlowBeginningDoesNotRefuseCallsForEver(t *testing.T) {
+// Failure guarded against: the first calls of a service took 4 s while their
+// backend server started, and later calls have deadlines of 2 s. By the learnt
+// time alone every later call would be refused, and since none is tried, no
+// measurement would correct it. A call may be refused as late only because of the
+// instance's measured time, which shrinks while there are no calls.
+func TestSlowFirstCallsDoNotRefuseLaterOnes(t *testing.T) {
 	m := NewInterference()
 	for range 4 {
 		m.Observe(Sample{Service: "assay-check", Band: BandHigh, ServiceTime: 4 * time.Second, Calls: 1})
 	}
-	sampled := func(measured time.Duration, batch ...wire.BatchLoad) []Candidate {
+	candidates := func(measured time.Duration, batch ...wire.BatchLoad) []Candidate {
 		return []Candidate{{Instance: "i1", Zone: "hill", Slots: 4, ServiceTime: measured, Batch: batch}}
 	}
 	q := UrgentQuery{Service: "assay-check", Zone: "hill", Remaining: 2 * time.Second, Random: 1}
@@ -216,13 +216,13 @@
 		cs   []Candidate
 		late bool
 	}{
-		{"calls there still take as long", sampled(4 * time.Second), true},
-		{"half of it and still too long", sampled(2500 * time.Millisecond), true},
-		{"nothing has confirmed it for a while", sampled(time.Second), false},
-		{"nothing for very long", sampled(0), false},
-		{"a new instance", sampled(0, wire.BatchLoad{Kind: "grade-report", Running: 2}), false},
-		{"what runs beside it makes it late", sampled(1900*time.Millisecond, wire.BatchLoad{Kind: "grade-report", Running: 10}), true},
-		{"another one is in time", append(sampled(4*time.Second), sampled(time.Second)...), false},
+		{"measured time unchanged", candidates(4 * time.Second), true},
+		{"measured time shrunk but above the deadline", candidates(2500 * time.Millisecond), true},
+		{"measured time shrunk below the deadline", candidates(time.Second), false},
+		{"no measured time after long idleness", candidates(0), false},
+		{"new instance with batch tasks", candidates(0, wire.BatchLoad{Kind: "grade-report", Running: 2}), false},
+		{"late because of batch tasks", candidates(1900*time.Millisecond, wire.BatchLoad{Kind: "grade-report", Running: 10}), true},
+		{"second candidate in time", append(candidates(4*time.Second), candidates(time.Second)...), false},
 	}
 	for _, c := range cases {
 		_, hold := ChooseUrgent(q, c.cs, m)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -17,7 +17,7 @@
 	benchServices  = 30
 	tasksPerWorker = 28
 	queuedPerRound = 4 * benchCustomers
-	startsPerRound = 23 // 450 a second in rounds of 50 ms
+	startsPerRound = 23 // 450 per second in rounds of 50 ms
 )
 
 func benchModel() *Interference {
@@ -133,8 +133,8 @@
 	})
 }
 
-// BenchmarkState reports the memory of what an entry keeps for decisions at
-// the planned size: snapshot, planner, learner, sizes, health and budgets.
+// BenchmarkState reports the memory of the state that an entry keeps for
+// decisions: snapshot, planner, learner, sizes, health, reports and budgets.
 func BenchmarkState(b *testing.B) {
 	for _, workers := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -8,16 +8,16 @@
 	"persimmonrock.example/structs"
 )
 
-func running(job string, kind structs.Kind, ran time.Duration, speed float64) RunningTask {
+func runningTask(job string, kind structs.Kind, ran time.Duration, speed float64) RunningTask {
 	return RunningTask{Job: structs.JobID(job), Kind: kind, Ran: ran, Speed: speed, Slots: 1, Progress: 0.5, Runtime: 10 * time.Minute}
 }
 
-// relief drives Relieve as an agent would: each second, with service times
-// that follow the speeds after lag.
-func relief(t *testing.T, harm float64, seconds int) (throttles, evictions, restores int, first ActionKind) {
-	m := learnt(300, 0.4)
+// simulateRelief calls Relieve as an agent does, each second, with service times
+// that follow the task speeds with a delay of 3 s.
+func simulateRelief(t *testing.T, harm float64, seconds int) (throttles, evictions, restores int, first ActionKind) {
+	m := trainedModel(300, 0.4)
 	var memory ReliefMemory
-	tasks := []RunningTask{running("a", "bad", time.Minute, 1), running("b", "bad", time.Minute, 1), running("c", "bad", time.Minute, 1), running("d", "good", time.Minute, 1)}
+	tasks := []RunningTask{runningTask("a", "bad", time.Minute, 1), runningTask("b", "bad", time.Minute, 1), runningTask("c", "bad", time.Minute, 1), runningTask("d", "good", time.Minute, 1)}
 	var past []float64
 	for s := range seconds {
 		level := 1.0
@@ -64,31 +64,31 @@
 }
 
 func TestReliefThrottlesFirstAndEvictsLast(t *testing.T) {
-	if th, ev, _, first := relief(t, 0.6, 120); th == 0 || ev != 0 || first != ActionThrottle {
-		t.Errorf("harm that throttling cures: %d throttles, %d evictions, first %s", th, ev, first)
+	if th, ev, _, first := simulateRelief(t, 0.6, 120); th == 0 || ev != 0 || first != ActionThrottle {
+		t.Errorf("harm for which throttling suffices: %d throttles, %d evictions, first %s", th, ev, first)
 	}
-	if th, ev, _, first := relief(t, 12, 120); th == 0 || ev == 0 || first != ActionThrottle {
-		t.Errorf("harm that it doesn't: %d throttles, %d evictions, first %s", th, ev, first)
+	if th, ev, _, first := simulateRelief(t, 12, 120); th == 0 || ev == 0 || first != ActionThrottle {
+		t.Errorf("harm for which throttling does not suffice: %d throttles, %d evictions, first %s", th, ev, first)
 	}
-	if th, ev, re, _ := relief(t, 0.1, 120); th+ev+re != 0 {
+	if th, ev, re, _ := simulateRelief(t, 0.1, 120); th+ev+re != 0 {
 		t.Errorf("no harm: %d throttles, %d evictions, %d restores", th, ev, re)
 	}
 }
 
-// A customer's batch job crawls and its service is slow by turns. The agent
-// throttles, sees the service recover seconds later, restores, and so on for
-// ever. The gap between the two limits and the settling time stop it.
-func TestReliefDoesNotSwingBetweenThrottleAndRestore(t *testing.T) {
-	if th, ev, re, _ := relief(t, 0.5, 600); th+re+ev > 20 {
+// Failure guarded against: the agent throttles, the service recovers seconds
+// later, the agent restores the speed, and this repeats forever. The gap between
+// the two limits and the settling time prevent the oscillation.
+func TestReliefDoesNotOscillate(t *testing.T) {
+	if th, ev, re, _ := simulateRelief(t, 0.5, 600); th+re+ev > 20 {
 		t.Errorf("%d throttles, %d restores, %d evictions in 600 s", th, re, ev)
 	}
 }
 
-func TestVictimLosesLeastForTheRelief(t *testing.T) {
-	costly, cheap, young := running("costly", "k", time.Hour, 1), running("cheap", "k", time.Hour, 1), running("young", "k", time.Second, 1)
+func TestVictimHasLeastCostForItsRelief(t *testing.T) {
+	costly, cheap, young := runningTask("costly", "k", time.Hour, 1), runningTask("cheap", "k", time.Hour, 1), runningTask("young", "k", time.Second, 1)
 	cheap.Saved = 0.49
 	costly.Borrowed, cheap.Borrowed, young.Borrowed = true, true, true
-	own := running("own", "k", time.Hour, 1)
+	own := runningTask("own", "k", time.Hour, 1)
 	own.Saved = 0.5
 	var memory ReliefMemory
 	st := ReliefState{Tasks: []RunningTask{costly, cheap, young, own}, SlotsOwed: 1}
@@ -96,24 +96,24 @@
 	if acts := Relieve(0, st, m, &memory); len(acts) != 0 {
 		t.Errorf("a slot owed for an instant: %+v", acts)
 	}
-	acts := Relieve(owedFor, st, m, &memory)
-	if len(acts) != 1 || acts[0].Job != "cheap" || acts[0].Reason != ReasonGiveBack {
+	acts := Relieve(reclaimDelay, st, m, &memory)
+	if len(acts) != 1 || acts[0].Job != "cheap" || acts[0].Reason != ReasonReclaim {
 		t.Errorf("slot owed: %+v", acts)
 	}
 	for i := range st.Tasks {
 		st.Tasks[i].MemoryBytes = 10 * gigabyte
 	}
 	st.MemoryBytes, st.SlotsOwed = 35*gigabyte, 0
-	acts = Relieve(owedFor, st, m, &ReliefMemory{})
+	acts = Relieve(reclaimDelay, st, m, &ReliefMemory{})
 	if len(acts) != 1 || acts[0].Job != "own" || acts[0].Reason != ReasonMemory {
 		t.Errorf("out of memory: %+v", acts)
 	}
 }
 
-// An operator sees half the fleet in quarantine after one customer submits a
-// broken job kind, or a kind parked because one worker has a full disk. From
-// one failure the two look alike.
-func TestBrokenWorkerAndBrokenKindAreToldApart(t *testing.T) {
+// Failure guarded against: half the fleet is in quarantine after one customer
+// submits a broken job kind, or a kind is parked because one worker has a full
+// disk. A single failure fits both cases.
+func TestBrokenWorkerAndBrokenKindAreDistinguished(t *testing.T) {
 	var h Health
 	worker := func(i int) structs.InstanceID { return structs.InstanceID(fmt.Sprint("w", i)) }
 	now := time.Duration(0)
@@ -135,7 +135,7 @@
 			t.Errorf("%s: parked %v, %s", kind, parked, hold.Reason)
 		}
 	}
-	// A task that was started before the worker broke ends well: no proof.
+	// A task started before the worker broke succeeds, which proves nothing.
 	h.Report(now, worker(7), "k0", true)
 	h.Report(now, worker(7), "k0", true)
 	if q, _, _ := h.Worker(now, worker(7)); !q {
@@ -156,20 +156,20 @@
 		t.Error("not released after its probes succeeded")
 	}
 	if h.Report(now-time.Hour, worker(1), "k0", false) || h.Report(now, "", "k0", false) {
-		t.Error("a bad report was taken")
+		t.Error("a bad report was accepted")
 	}
 }
 
-// A prospector's checks are refused for 21 seconds after a quiet minute, though
-// their customer has a right to the slots: all were lent to tasks that had just
-// started, and a task ran for 20 seconds at least. Slots owed to calls come back
-// after owedFor; for a queued task no young one is stopped.
-func TestSlotsLentToTasksJustStartedComeBackForCalls(t *testing.T) {
-	first := func(calls int) time.Duration {
+// Failure guarded against: after an idle minute, calls within their customer's
+// quota are refused for 21 seconds, because new tasks have borrowed all slots and
+// run for at least 20 seconds. A slot owed to calls must be reclaimed after
+// reclaimDelay; a slot owed to a queued task evicts no new task.
+func TestBorrowedSlotsOfNewTasksAreReclaimedForCalls(t *testing.T) {
+	firstEviction := func(calls int) time.Duration {
 		var memory ReliefMemory
 		for s := range 60 {
 			now := time.Duration(s) * time.Second
-			young := running("young", "k", now, 1)
+			young := runningTask("young", "k", now, 1)
 			young.Borrowed = true
 			st := ReliefState{Tasks: []RunningTask{young}, SlotsOwed: 1, CallsOwed: calls}
 			if acts := Relieve(now, st, NewInterference(), &memory); len(acts) > 0 {
@@ -178,10 +178,10 @@
 		}
 		return time.Hour
 	}
-	if at := first(1); at != owedFor {
-		t.Errorf("a slot owed to calls comes back after %s, want %s", at, owedFor)
+	if at := firstEviction(1); at != reclaimDelay {
+		t.Errorf("a slot owed to calls is reclaimed after %s, want %s", at, reclaimDelay)
 	}
-	if at := first(0); at < minRun || at > minRun+owedFor {
-		t.Errorf("a slot owed to a task comes back after %s, want %s", at, minRun)
+	if at := firstEviction(0); at < minRunTime || at > minRunTime+reclaimDelay {
+		t.Errorf("a slot owed to a task is reclaimed after %s, want %s", at, minRunTime)
 	}
 }
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	demandBuckets = 5
-	demandBucket  = time.Second
-	meanPart      = 0.3
+	demandBuckets     = 5
+	demandBucketWidth = time.Second
+	meanWeight        = 0.3
 )
 
-// Demand follows how many slots something needed at once within the last five
-// seconds. A slot is therefore lent at the latest five seconds after its
-// owner's last need. The zero value is ready for use.
+// Demand tracks the number of slots needed at once over the last five seconds.
+// A slot can therefore be lent at the latest five seconds after its owner last
+// needed it. The zero value is ready for use.
 type Demand struct {
-	peak  [demandBuckets]int
-	sum   [demandBuckets]int
-	count [demandBuckets]int
-	at    int64
+	peak    [demandBuckets]int
+	sum     [demandBuckets]int
+	count   [demandBuckets]int
+	current int64
 }
 
 // Observe records at time now that inUse slots are needed.
 func (d *Demand) Observe(now time.Duration, inUse int) {
 	d.advance(now)
-	i := int(d.at % demandBuckets)
+	i := int(d.current % demandBuckets)
 	d.peak[i] = max(d.peak[i], inUse)
 	d.sum[i] += inUse
 	d.count[i]++
 }
 
-// Peak returns the greatest need of the window that ends at now.
+// Peak returns the largest observation in the window that ends at now.
 func (d *Demand) Peak(now time.Duration) int {
 	d.advance(now)
 	most := 0
@@ -37,7 +37,7 @@
 	return most
 }
 
-// Mean returns the mean of what was observed in the window that ends at now.
+// Mean returns the mean of the observations in the window that ends at now.
 func (d *Demand) Mean(now time.Duration) float64 {
 	d.advance(now)
 	sum, count := 0, 0
@@ -51,28 +51,28 @@
 	return float64(sum) / float64(count)
 }
 
-// Recent is SlotUse.Recent, where each observation counted the slot that was
-// asked for as well. It is above 0, since 0 stands for not known.
+// Recent returns SlotUse.Recent if each observation included the slot being
+// requested. It is above 0, since 0 means unknown.
 func (d *Demand) Recent(now time.Duration) float64 {
-	const known = 1e-9
-	return max(known, d.Mean(now)-1)
+	const leastKnown = 1e-9
+	return max(leastKnown, d.Mean(now)-1)
 }
 
-// Expected is how many slots to keep ready: between mean and peak. Keeping
-// the whole peak leaves most of those slots idle, and a call that finds none
-// here mostly finds one on another instance.
+// Expected returns the number of slots to keep ready, between mean and peak.
+// Keeping the whole peak leaves most of those slots idle, and a call that finds
+// none here usually finds one on another instance.
 func (d *Demand) Expected(now time.Duration) int {
-	return int(meanPart*d.Mean(now) + (1-meanPart)*float64(d.Peak(now)) + 0.5)
+	return int(meanWeight*d.Mean(now) + (1-meanWeight)*float64(d.Peak(now)) + 0.5)
 }
 
 func (d *Demand) advance(now time.Duration) {
-	to := max(int64(now/demandBucket), d.at)
-	if to-d.at >= demandBuckets {
-		*d = Demand{at: to}
+	to := max(int64(now/demandBucketWidth), d.current)
+	if to-d.current >= demandBuckets {
+		*d = Demand{current: to}
 	}
-	for d.at < to {
-		d.at++
-		i := d.at % demandBuckets
+	for d.current < to {
+		d.current++
+		i := d.current % demandBuckets
 		d.peak[i], d.sum[i], d.count[i] = 0, 0, 0
 	}
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,13 +1,13 @@
-// Package decide holds every decision about where work runs, and none of the
-// means to carry it out: it does no I/O, reads no clock and has no global
-// state. Time is an argument, counted as a time.Duration since any fixed start
-// that the caller keeps to; randomness is an argument too. So each decision can
-// be replayed, benchmarked and compared with other policies.
+// Package decide decides where work runs but carries nothing out: it does no
+// I/O, reads no clock and has no global state. Time is an argument, a
+// time.Duration since a fixed origin that the caller chooses; randomness is an
+// argument too. Each decision can therefore be replayed, benchmarked and
+// compared with other policies.
 //
-// No type in this package locks. The caller keeps each value under the lock of
-// the state that it belongs to.
+// No type in this package locks. The caller guards each value with the lock of
+// the state that the value belongs to.
 //
 // Units: memory in bytes, processor time in thousandths of a core, loads and
-// shares as parts of 1. An inflation is a duration divided by the duration of
-// the same work on an otherwise empty instance; 1 means undisturbed.
+// shares as fractions of 1. An inflation is a duration divided by the duration
+// of the same work on an otherwise empty instance; 1 means undisturbed.
 package decide
--- a/decide/fairness_test.go
+++ b/decide/fairness_test.go
@@ -10,7 +10,7 @@
 	"persimmonrock.example/structs"
 )
 
-func TestRightsNeverExceedTheShareInSum(t *testing.T) {
+func TestSumOfQuotasDoesNotExceedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var fleet []InstanceSlots
 		total := 0
@@ -23,7 +23,7 @@
 		sum := 0
 		for i, n := range QuotaIn(c, fleet) {
 			if n < 0 || n > fleet[i].Slots {
-				t.Fatalf("%d slots by right of %d", n, fleet[i].Slots)
+				t.Fatalf("quota of %d slots on an instance with %d", n, fleet[i].Slots)
 			}
 			sum += n
 		}
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestSmallShareHasWholeSlotsSomewhere(t *testing.T) {
+func TestSmallShareHasWholeSlotsOnSomeInstances(t *testing.T) {
 	sum, some := 0, 0
 	for i := range 1000 {
 		n := Quota(contract("small", 0.01), structs.InstanceID(fmt.Sprint("w", i)), slots(8, 1))
@@ -47,39 +47,39 @@
 
 func TestAdmission(t *testing.T) {
 	idle := []SlotUse{{Customer: "x"}, {Customer: "y"}}
-	owed := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Right: 2}, {Customer: "y", Right: 4, Expected: 3}}
-	burst := []SlotUse{{Customer: "x", Urgent: 4, Recent: 0.3, Right: 2}, owed[1]}
-	notKnown := []SlotUse{{Customer: "x", Urgent: 4, Right: 2}, owed[1]}
+	reserved := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Right: 2}, {Customer: "y", Right: 4, Expected: 3}}
+	burst := []SlotUse{{Customer: "x", Urgent: 4, Recent: 0.3, Right: 2}, reserved[1]}
+	recentUnknown := []SlotUse{{Customer: "x", Urgent: 4, Right: 2}, reserved[1]}
 	ownBatch := []SlotUse{{Customer: "x", Batch: 4, Right: 4, Expected: 2}}
 	ownFlood := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Expected: 5, Right: 8}}
-	common := []SlotUse{owed[1], {Customer: "z", Right: 4, Expected: 3}, {Urgent: 0, Expected: 2}}
+	common := []SlotUse{reserved[1], {Customer: "z", Right: 4, Expected: 3}, {Urgent: 0, Expected: 2}}
 	x := contract("x", 0.25)
 	for name, c := range map[string]struct {
 		uses  []SlotUse
-		right int
+		quota int
 		free  int
 		batch int
 		want  bool
 	}{
-		"within right":                            {idle, 2, 1, 0, true},
-		"no slot":                                 {idle, 2, 0, 0, false},
-		"borrows what nobody needs":               {[]SlotUse{{Customer: "x", Urgent: 4, Right: 2}}, 2, 1, 0, true},
-		"flood leaves what is owed":               {owed, 2, 3, 0, false},
-		"burst may have it for a moment":          {burst, 2, 1, 0, true},
-		"recent use not known, leaves owed":       {notKnown, 2, 3, 0, false},
-		"recent use not known, beyond owed":       {notKnown, 2, 4, 0, true},
-		"batch within what is free":               {idle, 2, 2, 2, true},
-		"batch leaves what is owed":               {owed, 2, 3, 1, false},
-		"batch beyond what is owed":               {burst, 2, 4, 1, true},
-		"no batch on top of a flood of calls":     {owed, 2, 9, 1, false},
-		"flood's batch within its right":          {ownFlood, 8, 9, 1, true},
-		"batch leaves own calls' slots":           {ownBatch, 4, 2, 1, false},
-		"common peak bounds what batch must keep": {common, 2, 3, 1, true},
+		"within quota":                             {idle, 2, 1, 0, true},
+		"no slot":                                  {idle, 2, 0, 0, false},
+		"borrows unreserved slot":                  {[]SlotUse{{Customer: "x", Urgent: 4, Right: 2}}, 2, 1, 0, true},
+		"flood leaves reserved slots":              {reserved, 2, 3, 0, false},
+		"burst may borrow reserved slot":           {burst, 2, 1, 0, true},
+		"recent use unknown, within reserved":      {recentUnknown, 2, 3, 0, false},
+		"recent use unknown, beyond reserved":      {recentUnknown, 2, 4, 0, true},
+		"batch within free slots":                  {idle, 2, 2, 2, true},
+		"batch leaves reserved slots":              {reserved, 2, 3, 1, false},
+		"batch beyond reserved slots":              {burst, 2, 4, 1, true},
+		"no borrowing batch beside flood of calls": {reserved, 2, 9, 1, false},
+		"flood's batch within its quota":           {ownFlood, 8, 9, 1, true},
+		"batch leaves own calls' slots":            {ownBatch, 4, 2, 1, false},
+		"common peak bounds reserved slots":        {common, 2, 3, 1, true},
 	} {
 		free := slots(c.free, 1)
-		ok, hold := AdmitUrgent(c.uses, x, c.right, free)
+		ok, hold := AdmitUrgent(c.uses, x, c.quota, free)
 		if c.batch > 0 {
-			ok, hold = AdmitBatch(c.uses, x, c.right, structs.Resources{Slots: c.batch}, free)
+			ok, hold = AdmitBatch(c.uses, x, c.quota, structs.Resources{Slots: c.batch}, free)
 		}
 		if ok != c.want || ok == hold.Held() {
 			t.Errorf("%s: %v %+v", name, ok, hold)
@@ -90,8 +90,8 @@
 	}
 }
 
-// One customer submits a thousand jobs a moment before another submits five.
-// Served in order of arrival the five would wait for the thousand.
+// Failure guarded against: one customer submits a thousand jobs a moment before
+// another submits five, and in order of arrival the five wait for the thousand.
 func TestFloodOfJobsLeavesOthersTheirShare(t *testing.T) {
 	v := &BatchView{Contracts: map[structs.Customer]structs.Contract{"flood": contract("flood", 0.5), "calm": contract("calm", 0.25)}}
 	v.Instances = []Instance{{ID: "w", Total: slots(24, 100), Free: slots(24, 100)}}
@@ -114,11 +114,11 @@
 	}
 	placed, holds := p.PlaceBatch(v, nil, 1000)
 	if got := len(placed); got != 5+16 || holds["f999"].Reason != "waits: share of customer flood used up" {
-		t.Fatalf("placed %d of 24, want 5 and what leaves room for others; %+v", got, holds["f999"])
+		t.Fatalf("placed %d of 24, want 21, which leaves free slots for others; %+v", got, holds["f999"])
 	}
 }
 
-func TestNoInstanceIsOverfilledAndNothingWaitsBehindAnUnplaceableJob(t *testing.T) {
+func TestPlacementsFitAndUnplaceableJobsBlockNoOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := &BatchView{Contracts: map[structs.Customer]structs.Contract{"a": contract("a", 0.5), "b": contract("b", 0.5)}}
 		n := rapid.IntRange(1, 12).Draw(t, "instances")
@@ -167,10 +167,10 @@
 			}
 		}
 		for id, h := range holds {
-			if !impossible[id] && h.Reason == ReasonTurn {
+			if !impossible[id] && h.Reason == ReasonNoFit {
 				for i, in := range v.Instances {
 					if !in.Draining && fits(slots(1, 1), free[in.ID]) {
-						t.Fatalf("%s waits by right while instance %d has room", id, i)
+						t.Fatalf("%s waits within its share while instance %d has free capacity", id, i)
 					}
 				}
 			}
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestRetriesStayUnderATenthInAnOutage(t *testing.T) {
+func TestRetriesStayUnderATenthOfCallsInOutage(t *testing.T) {
 	var b RetryBudget
 	calls, attempts := 0, 0
 	for now := time.Duration(0); now < 2*time.Minute; now += 10 * time.Millisecond {
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestRetryAfterGrowsWithTheQueueAndIsSpread(t *testing.T) {
+func TestRetryAfterGrowsWithQueueAndIsJittered(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for i := range uint64(100) {
 		short, long := RetryAfter(1, 10, 100*time.Millisecond, i), RetryAfter(1000, 10, 100*time.Millisecond, i)
--- a/decide/health.go
+++ b/decide/health.go
@@ -9,72 +9,74 @@
 
 // Tuning of Health.
 const (
-	healthHalfLife  = 10 * time.Minute
-	minFailures     = 3.0
-	badWorkerRate   = 0.6
-	badKindRate     = 0.8
-	minKindWorkers  = 3
-	excessFailures  = 2.5
-	firstProbe      = 30 * time.Second
-	lastProbe       = 30 * time.Minute
-	probesToRelease = 2
-	maxHealthRows   = 65_536
-	okBelow         = 0.05
+	healthHalfLife    = 10 * time.Minute
+	minFailures       = 3.0
+	badWorkerRate     = 0.6
+	badKindRate       = 0.8
+	minKindWorkers    = 3
+	excessFailures    = 2.5
+	initialProbeDelay = 30 * time.Second
+	maxProbeDelay     = 30 * time.Minute
+	probesToRelease   = 2
+	maxHealthCells    = 65_536
+	// decayTolerance allows for the decay of recent whole counts.
+	decayTolerance = 0.05
 )
 
-type outcome struct {
-	good, bad float64
-	at        time.Duration
+type outcomes struct {
+	successes, failures float64
+	at                  time.Duration
 }
 
-func (o *outcome) decay(now time.Duration) {
+func (o *outcomes) decay(now time.Duration) {
 	if now <= o.at {
 		return
 	}
 	f := math.Exp2(-float64(now-o.at) / float64(healthHalfLife))
-	o.good *= f
-	o.bad *= f
+	o.successes *= f
+	o.failures *= f
 	o.at = now
 }
 
-func (o *outcome) total() float64 { return o.good + o.bad }
+func (o *outcomes) total() float64 { return o.successes + o.failures }
 
 type quarantine struct {
 	probeAt   time.Duration
 	backoff   time.Duration
 	successes int
-	// sent says that a probe is out. Tasks that were started before the worker
-	// broke may still end well and prove nothing.
-	sent bool
+	// probeSent is set while the result of a probe is pending. Tasks started
+	// before the worker broke may still succeed and prove nothing.
+	probeSent bool
 }
 
-// HealthCounters counts verdicts.
+// HealthCounters counts reports, probes and verdicts.
 type HealthCounters struct {
 	Reports, Dropped, Quarantined, Released, Probes, KindsParked uint64
 }
 
-// Health tells workers that fail everything from job kinds that fail
-// everywhere. From one failure the two look alike; each outcome is therefore
-// counted by worker and kind, and a worker is only blamed for failures beyond
-// what its mix of kinds does on the other workers. The zero value is ready.
+// Health distinguishes workers that fail all tasks from job kinds that fail on
+// all workers. A single failure fits both; outcomes are therefore counted per
+// worker and kind, and only failures beyond those that its mix of kinds has on
+// other workers count against a worker. The zero value is ready for use.
 type Health struct {
-	cells    map[structs.InstanceID]map[structs.Kind]*outcome
-	byKind   map[structs.Kind]map[structs.InstanceID]*outcome
-	bad      map[structs.InstanceID]*quarantine
-	parked   map[structs.Kind]Hold
-	rows     int
-	last     time.Duration
-	counters HealthCounters
+	cells        map[structs.InstanceID]map[structs.Kind]*outcomes
+	byKind       map[structs.Kind]map[structs.InstanceID]*outcomes
+	quarantines  map[structs.InstanceID]*quarantine
+	parked       map[structs.Kind]Hold
+	cellCount    int
+	newestReport time.Duration
+	counters     HealthCounters
 }
 
-// Counters returns the verdicts so far.
+// Counters returns the counts so far.
 func (h *Health) Counters() HealthCounters { return h.counters }
 
-// Report records how one run of a task of kind ended on instance. ok is false
-// for a run that ended in an error, not for one that was stopped. It reports
-// false for a report from before the last one by more than the half-life.
+// Report records the outcome of one run of a task of kind k on instance. ok is
+// false for a run that ended in an error, not for one that was stopped. Report
+// returns false if it drops the report, for example because it is older than the
+// newest one by more than the half-life.
 func (h *Health) Report(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) bool {
-	if instance == "" || k == "" || now < 0 || now < h.last-healthHalfLife {
+	if instance == "" || k == "" || now < 0 || now < h.newestReport-healthHalfLife {
 		h.counters.Dropped++
 		return false
 	}
@@ -83,62 +85,62 @@
 		h.counters.Dropped++
 		return false
 	}
-	h.last = max(h.last, now)
+	h.newestReport = max(h.newestReport, now)
 	h.counters.Reports++
 	c.decay(now)
 	if ok {
-		c.good++
+		c.successes++
 	} else {
-		c.bad++
+		c.failures++
 	}
 	h.judgeWorker(now, instance, k, ok)
 	h.judgeKind(now, k)
 	return true
 }
 
-func (h *Health) cell(instance structs.InstanceID, k structs.Kind) *outcome {
+func (h *Health) cell(instance structs.InstanceID, k structs.Kind) *outcomes {
 	if h.cells == nil {
-		h.cells = make(map[structs.InstanceID]map[structs.Kind]*outcome)
-		h.byKind = make(map[structs.Kind]map[structs.InstanceID]*outcome)
-		h.bad = make(map[structs.InstanceID]*quarantine)
+		h.cells = make(map[structs.InstanceID]map[structs.Kind]*outcomes)
+		h.byKind = make(map[structs.Kind]map[structs.InstanceID]*outcomes)
+		h.quarantines = make(map[structs.InstanceID]*quarantine)
 		h.parked = make(map[structs.Kind]Hold)
 	}
 	if c := h.cells[instance][k]; c != nil {
 		return c
 	}
-	if h.rows >= maxHealthRows {
+	if h.cellCount >= maxHealthCells {
 		return nil
 	}
-	h.rows++
-	c := &outcome{}
+	h.cellCount++
+	c := &outcomes{}
 	if h.cells[instance] == nil {
-		h.cells[instance] = make(map[structs.Kind]*outcome)
+		h.cells[instance] = make(map[structs.Kind]*outcomes)
 	}
 	if h.byKind[k] == nil {
-		h.byKind[k] = make(map[structs.InstanceID]*outcome)
+		h.byKind[k] = make(map[structs.InstanceID]*outcomes)
 	}
 	h.cells[instance][k] = c
 	h.byKind[k][instance] = c
 	return c
 }
 
-// rateElsewhere is how often k fails on workers other than instance, those in
-// quarantine left out, drawn towards one half while little is known.
-func (h *Health) rateElsewhere(now time.Duration, k structs.Kind, instance structs.InstanceID) float64 {
-	good, bad := 0.5, 0.5
+// failureRateElsewhere returns the failure rate of k on workers other than
+// instance and not in quarantine, shrunk towards one half for few outcomes.
+func (h *Health) failureRateElsewhere(now time.Duration, k structs.Kind, instance structs.InstanceID) float64 {
+	successes, failures := 0.5, 0.5
 	for other, c := range h.byKind[k] {
-		if other == instance || h.bad[other] != nil {
+		if other == instance || h.quarantines[other] != nil {
 			continue
 		}
 		c.decay(now)
-		good += c.good
-		bad += c.bad
+		successes += c.successes
+		failures += c.failures
 	}
-	return bad / (good + bad)
+	return failures / (successes + failures)
 }
 
 func (h *Health) judgeWorker(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) {
-	if q := h.bad[instance]; q != nil {
+	if q := h.quarantines[instance]; q != nil {
 		h.judgeProbe(now, instance, k, q, ok)
 		return
 	}
@@ -148,80 +150,80 @@
 	failed, total, expected := 0.0, 0.0, 0.0
 	for kind, c := range h.cells[instance] {
 		c.decay(now)
-		failed += c.bad
+		failed += c.failures
 		total += c.total()
-		expected += c.total() * h.rateElsewhere(now, kind, instance)
+		expected += c.total() * h.failureRateElsewhere(now, kind, instance)
 	}
-	if failed < minFailures-okBelow || failed/total < badWorkerRate {
+	if failed < minFailures-decayTolerance || failed/total < badWorkerRate {
 		return
 	}
-	// Three standard deviations would take dozens of failures; a fixed excess
-	// of whole failures beyond the expected ones decides sooner and is still
-	// out of reach for kinds that fail elsewhere too.
+	// Three standard deviations would take dozens of failures. A fixed excess of
+	// whole failures over the expected ones decides sooner, and kinds that fail
+	// elsewhere too still do not reach it.
 	if failed-expected < excessFailures*failed/(failed+1) || failed < 2*expected {
 		return
 	}
-	h.bad[instance] = &quarantine{probeAt: now + firstProbe, backoff: firstProbe}
+	h.quarantines[instance] = &quarantine{probeAt: now + initialProbeDelay, backoff: initialProbeDelay}
 	h.counters.Quarantined++
 }
 
 func (h *Health) judgeProbe(now time.Duration, instance structs.InstanceID, k structs.Kind, q *quarantine, ok bool) {
-	if !q.sent {
+	if !q.probeSent {
 		return
 	}
-	q.sent = false
+	q.probeSent = false
 	if ok {
 		q.successes++
 		q.probeAt = now
 		if q.successes >= probesToRelease {
-			delete(h.bad, instance)
+			delete(h.quarantines, instance)
 			for _, c := range h.cells[instance] {
-				c.bad = 0
+				c.failures = 0
 			}
 			h.counters.Released++
 		}
 		return
 	}
-	if h.rateElsewhere(now, k, instance) >= badWorkerRate {
+	if h.failureRateElsewhere(now, k, instance) >= badWorkerRate {
 		q.probeAt = now
 		return
 	}
 	q.successes = 0
-	q.backoff = min(2*q.backoff, lastProbe)
+	q.backoff = min(2*q.backoff, maxProbeDelay)
 	q.probeAt = now + q.backoff
 }
 
 func (h *Health) judgeKind(now time.Duration, k structs.Kind) {
-	workers, good, bad := 0, 0.0, 0.0
+	workers, successes, failures := 0, 0.0, 0.0
 	for instance, c := range h.byKind[k] {
-		if h.bad[instance] != nil {
+		if h.quarantines[instance] != nil {
 			continue
 		}
 		c.decay(now)
-		good += c.good
-		bad += c.bad
-		if c.bad >= 1-okBelow {
+		successes += c.successes
+		failures += c.failures
+		if c.failures >= 1-decayTolerance {
 			workers++
 		}
 	}
-	fails := workers >= minKindWorkers && bad/(good+bad) >= badKindRate
-	_, was := h.parked[k]
+	fails := workers >= minKindWorkers && failures/(successes+failures) >= badKindRate
+	_, wasParked := h.parked[k]
 	switch {
-	case fails && !was:
+	case fails && !wasParked:
 		h.counters.KindsParked++
 		h.parked[k] = Hold{
 			Reason:  "parked: jobs of kind " + string(k) + " fail on every worker",
 			Refusal: structs.RefusedUnsupportedKind,
 		}
-	case !fails && was:
+	case !fails && wasParked:
 		delete(h.parked, k)
 	}
 }
 
-// Worker reports whether instance is in quarantine at time now, and if so
+// Worker reports whether instance is in quarantine at time now and, if so,
 // whether one task may be sent to it as a probe.
 func (h *Health) Worker(now time.Duration, instance structs.InstanceID) (quarantined, probe bool, hold Hold) {
-	q := h.bad[instance]
+	q := h.quarantines[instance]
 	if q == nil {
 		return false, false, Hold{}
 	}
@@ -232,29 +234,29 @@
 	return true, now >= q.probeAt, hold
 }
 
-// Probing notes that a probe was sent to instance; the next follows only
-// after its report, or after the backoff if that never comes.
+// Probing records that a probe was sent to instance. The next probe is due only
+// after the report of this one, or after the backoff if no report arrives.
 func (h *Health) Probing(now time.Duration, instance structs.InstanceID) {
-	q := h.bad[instance]
+	q := h.quarantines[instance]
 	if q == nil {
 		return
 	}
 	h.counters.Probes++
-	q.sent = true
-	q.backoff = min(2*q.backoff, lastProbe)
+	q.probeSent = true
+	q.backoff = min(2*q.backoff, maxProbeDelay)
 	q.probeAt = now + q.backoff
 }
 
-// Kind reports whether jobs of kind shall be parked, and why.
+// Kind reports whether jobs of kind k must be parked, and why.
 func (h *Health) Kind(k structs.Kind) (parked bool, hold Hold) {
 	hold, parked = h.parked[k]
 	return parked, hold
 }
 
-// ReleaseKind forgets the failures of k, when an operator releases its jobs.
+// ReleaseKind clears the failures of k after an operator releases its jobs.
 func (h *Health) ReleaseKind(k structs.Kind) {
 	for _, c := range h.byKind[k] {
-		c.bad = 0
+		c.failures = 0
 	}
 	delete(h.parked, k)
 }
--- a/decide/history.go
+++ b/decide/history.go
@@ -6,63 +6,63 @@
 	"persimmonrock.example/structs"
 )
 
-// seriesKey names one level that a History follows: the running tasks of a
-// kind, or the slots in use of a service.
+// seriesKey identifies one level that a History tracks: the running tasks of a
+// kind or, with isLoad, the slots in use of a service.
 type seriesKey struct {
-	name string
-	load bool
+	name   string
+	isLoad bool
 }
 
-// change says that a level was before until at.
-type change struct {
+// levelChange records that a level had the value before until the time at.
+type levelChange struct {
 	at     time.Duration
 	series seriesKey
 	before float64
 }
 
-// History remembers what ran on an instance, so that a measurement that
-// arrives late is attributed to what ran in the measured window. The zero
-// value is not usable; see NewHistory.
+// History records what ran on an instance, so that a late measurement is
+// attributed to the tasks that ran in the measured window. The zero value is not
+// usable; see NewHistory.
 type History struct {
-	keep    time.Duration
-	changes []change
-	levels  map[seriesKey]float64
-	// last is the time of the newest change, since that of the oldest window
-	// that can still be answered.
-	last, since time.Duration
-	dropped     uint64
+	retention time.Duration
+	changes   []levelChange
+	levels    map[seriesKey]float64
+	// newestChange is the time of the newest change, since the start of the
+	// oldest window that the history still covers.
+	newestChange, since time.Duration
+	dropped             uint64
 }
 
 // maxChanges bounds the memory of one history to about 200 KB.
 const maxChanges = 4096
 
-// NewHistory returns a history that goes back by keep.
-func NewHistory(keep time.Duration) *History {
-	return &History{keep: keep, levels: make(map[seriesKey]float64)}
+// NewHistory returns a history that covers the last retention.
+func NewHistory(retention time.Duration) *History {
+	return &History{retention: retention, levels: make(map[seriesKey]float64)}
 }
 
-// Dropped counts changes and windows that were refused: out of order,
+// Dropped returns the number of refused changes and windows: out of order,
 // negative, in the future or no longer covered.
 func (h *History) Dropped() uint64 { return h.dropped }
 
-// Add records at time now that the number of running tasks of kind, each
-// weighted by its speed, changed by delta. Times must not go backwards.
+// Add records at time now that the number of running tasks of kind k, each
+// weighted by its speed, changed by delta. Times must not decrease.
 func (h *History) Add(now time.Duration, k structs.Kind, delta float64) {
 	key := seriesKey{name: string(k)}
 	h.set(now, key, h.levels[key]+delta)
 }
 
-// SetLoad records at time now how many slots of service are in use.
+// SetLoad records at time now the number of slots of service s in use.
 func (h *History) SetLoad(now time.Duration, s structs.Service, inUse int) {
 	h.set(now, seriesKey{string(s), true}, float64(inUse))
 }
 
 func (h *History) set(now time.Duration, key seriesKey, level float64) {
-	if now < h.last || level < -1e-6 {
+	if now < h.newestChange || level < -1e-6 {
 		h.dropped++
 		return
 	}
-	h.last = now
+	h.newestChange = now
 	if level < 1e-6 {
 		level = 0
 	}
@@ -71,17 +71,17 @@
 		return
 	}
 	h.levels[key] = level
-	h.changes = append(h.changes, change{now, key, before})
+	h.changes = append(h.changes, levelChange{now, key, before})
 	h.trim(now)
 }
 
 func (h *History) trim(now time.Duration) {
 	full := len(h.changes) > maxChanges
-	if !full && h.changes[0].at >= now-2*h.keep {
+	if !full && h.changes[0].at >= now-2*h.retention {
 		return
 	}
 	first := 0
-	for first < len(h.changes) && h.changes[first].at < now-h.keep {
+	for first < len(h.changes) && h.changes[first].at < now-h.retention {
 		first++
 	}
 	if full {
@@ -94,21 +94,21 @@
 	h.changes = append(h.changes[:0], h.changes[first:]...)
 }
 
-// Window returns the mean levels between from and to: of each kind that ran,
-// appended to out[:0], and of the slots of service in use. It reports false
-// for a window that is empty, ends after now, or begins before the history.
+// Window returns mean levels between from and to: of the tasks of each kind that
+// ran, appended to out[:0], and of the slots of service s in use. It returns
+// false for a window that is empty, ends after now, or begins before the history.
 func (h *History) Window(now, from, to time.Duration, s structs.Service, out []Together) (kinds []Together, inUse float64, ok bool) {
 	out = out[:0]
-	if from < h.since || from < now-h.keep || to <= from || to > now {
+	if from < h.since || from < now-h.retention || to <= from || to > now {
 		h.dropped++
 		return out, 0, false
 	}
 	for key, level := range h.levels {
-		if key.load && key.name != string(s) {
+		if key.isLoad && key.name != string(s) {
 			continue
 		}
 		mean := h.mean(from, to, key, level)
-		if key.load {
+		if key.isLoad {
 			inUse = mean
 		} else if mean > 0 {
 			out = append(out, Together{Kind: structs.Kind(key.name), Count: mean})
@@ -117,7 +117,7 @@
 	return out, inUse, true
 }
 
-// mean walks back from the newest change to from.
+// mean iterates over the changes from the newest back to from.
 func (h *History) mean(from, to time.Duration, key seriesKey, level float64) float64 {
 	sum, end := 0.0, to
 	for i := len(h.changes) - 1; i >= 0 && end > from; i-- {
--- a/decide/hold.go
+++ b/decide/hold.go
@@ -7,27 +7,27 @@
 	"persimmonrock.example/structs"
 )
 
-// Hold says why something was not placed or admitted.
+// Hold is the reason why a job or call was not placed or admitted.
 type Hold struct {
 	// Reason is for operators: "waits: share of customer X used up".
 	Reason string
-	// Refusal is the stable cause, or "" for a job that simply waits its turn.
+	// Refusal is the stable cause, or "" for a job that only waits its turn.
 	Refusal structs.RefusalType
-	// RetryAfter is when asking again helps; 0 when the caller shall work it
-	// out from its queue (see RetryAfter) or when asking again never helps.
+	// RetryAfter is the time after which a retry may succeed; 0 if the caller
+	// must compute it from its queue (see RetryAfter) or if no retry can succeed.
 	RetryAfter time.Duration
 }
 
-// Held reports whether h holds something back.
+// Held reports whether h contains a reason.
 func (h Hold) Held() bool { return h.Reason != "" }
 
-// Reasons without a parameter. Operators find their meaning in
+// Reasons without a parameter, explained for operators in
 // docs/notes/decisions.md.
 const (
-	ReasonTurn          = "waits: no free place fits now"
+	ReasonNoFit         = "waits: no free place fits now"
 	ReasonNoBackend     = "no backend server offers the service"
 	ReasonBusy          = "all slots of the service are in use"
-	ReasonLate          = "no backend server would answer before the deadline"
+	ReasonDeadline      = "no backend server would answer before the deadline"
 	ReasonLeaving       = "every backend server of the service is leaving"
 	ReasonExcluded      = "every usable backend server was tried"
 	ReasonNoWorkers     = "waits: no worker is known"
@@ -51,20 +51,20 @@
 	}
 }
 
-// holdImpossible names the resource that no instance has enough of, also when
-// it is empty. most is the largest amount of each that one instance has.
-func holdImpossible(need, most structs.Resources) Hold {
+// holdImpossible names the resource of which no instance has enough even when
+// empty. largest holds the largest amount of each resource on any one instance.
+func holdImpossible(need, largest structs.Resources) Hold {
 	h := Hold{Refusal: structs.RefusedNoCapacity}
 	switch {
-	case need.MemoryBytes > most.MemoryBytes:
+	case need.MemoryBytes > largest.MemoryBytes:
 		h.Reason = fmt.Sprintf("no worker has %d GB", (need.MemoryBytes+gigabyte-1)/gigabyte)
-	case need.MilliCores > most.MilliCores:
+	case need.MilliCores > largest.MilliCores:
 		h.Reason = fmt.Sprintf("no worker has %d cores", (need.MilliCores+999)/1000)
-	case need.Accelerators > most.Accelerators:
+	case need.Accelerators > largest.Accelerators:
 		h.Reason = fmt.Sprintf("no worker has %d accelerators", need.Accelerators)
-	case need.Slots > most.Slots:
+	case need.Slots > largest.Slots:
 		h.Reason = fmt.Sprintf("no worker has %d slots", need.Slots)
-	case need.Connections > most.Connections:
+	case need.Connections > largest.Connections:
 		h.Reason = fmt.Sprintf("no worker has %d connections", need.Connections)
 	default:
 		h.Reason = "no worker has all that the job needs at once"
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -8,11 +8,11 @@
 	"persimmonrock.example/wire"
 )
 
-// LoadBand groups the load of a service's slots, because how much a batch task
-// disturbs a service depends on how busy the service is.
+// LoadBand is a range of a service's slot utilisation. The disturbance of a
+// service by a batch task depends on how busy the service is.
 type LoadBand uint8
 
-// The bands: below 1/3 of the slots in use, below 3/4, and above.
+// The bands: below 1/3 of the slots in use, below 3/4, and the rest.
 const (
 	BandLow LoadBand = iota
 	BandMiddle
@@ -20,7 +20,7 @@
 	bandCount
 )
 
-// BandOf returns the band of inUse out of total slots.
+// BandOf returns the band for inUse of total slots.
 func BandOf(inUse, total int) LoadBand {
 	switch {
 	case total <= 0 || 3*inUse < total:
@@ -33,34 +33,34 @@
 }
 
 // Together is the mean number of running tasks of one kind over the window of
-// a sample, each counted by the part of its speed that it was allowed.
+// a sample, each weighted by its throttle setting.
 type Together struct {
 	Kind  structs.Kind
 	Count float64
 }
 
-// Sample is one lagging measurement of a service on one instance, with what
-// ran beside it in the measured window (not when the sample arrived).
+// Sample is one delayed measurement of a service on one instance, with the
+// tasks that ran in the measured window (not when the sample arrived).
 type Sample struct {
 	Service structs.Service
 	Band    LoadBand
 	// ServiceTime is the mean or median duration of the calls that ended in
 	// the window.
 	ServiceTime time.Duration
-	// Calls is how many calls that is; more weigh more.
+	// Calls is the number of those calls; more calls give more weight.
 	Calls    int
 	Together []Together
 }
 
-// InterferenceCounters counts what was learnt and what was dropped.
+// InterferenceCounters counts learnt and dropped samples.
 type InterferenceCounters struct {
 	Samples uint64
 	// Dropped counts samples with negative or absurd values.
 	Dropped uint64
-	// RegimeChanges counts how often a service's measurements left what had
-	// been learnt so persistently that it was opened up again.
+	// RegimeChanges counts how often a service's measurements deviated so
+	// persistently that the variances of its estimates were raised again.
 	RegimeChanges uint64
-	// Full counts pairs that were not learnt for lack of room.
+	// Full counts pairs left out of a sample because the table is full.
 	Full uint64
 }
 
@@ -73,7 +73,7 @@
 	driftVariance  = 0.00002
 	varianceFloor  = 1e-6
 	shrinkEvidence = 4.0
-	// priorWeight is how many well-known pairs of a kind the prior counts as.
+	// priorWeight is the weight of the prior, in well-known pairs of a kind.
 	priorWeight     = 0.5
 	maxInflation    = 50.0
 	maxCount        = 10_000
@@ -81,15 +81,15 @@
 	regimeSlack     = 0.75
 	regimeThreshold = 8.0
 	regimeReset     = 0.25
-	// regimeBaseReset is far smaller: the undisturbed time has a part in every
-	// sample, and reopened as far as the pairs it takes the blame for theirs.
+	// regimeBaseReset is far smaller: the undisturbed time is part of every
+	// sample, and with as much variance as the pairs it absorbs their residuals.
 	regimeBaseReset   = 0.02
 	maxSampleDuration = time.Hour
-	// maxSurprise bounds, in standard deviations, what one sample can move.
-	maxSurprise = 3.0
-	// Bounds of a task's harm and of a service's undisturbed time against its
-	// first measurement. They keep a run of bad samples from driving two terms
-	// apart without end, which only together explain what was measured.
+	// maxDeviation bounds the residual of one sample, in standard deviations.
+	maxDeviation = 3.0
+	// Bounds of a task's harm and of a service's undisturbed time, relative to
+	// its first measurement. They keep a series of bad samples from driving two
+	// terms apart without limit while their sum still fits the measurements.
 	lowestHarm, highestHarm = -0.02, 5.0
 	lowestBase, highestBase = 0.1, 3.0
 )
@@ -100,6 +100,7 @@
 	mean, variance, evidence float64
 }
 
+// pair holds the harm of one kind to one service, per load band.
 type pair struct {
 	bands [bandCount]estimate
 }
@@ -113,20 +114,21 @@
 }
 
 type serviceState struct {
-	// scale is a reference duration; all else is relative to it.
+	// scale is a reference duration in seconds; all estimates are relative to it.
 	scale float64
 	base  [bandCount]estimate
-	// high and low are the two sides of a CUSUM of normalised residuals.
-	high, low float64
-	pairs     map[structs.Kind]*pair
+	// cusumHigh and cusumLow are the two sides of a CUSUM of normalised residuals.
+	cusumHigh, cusumLow float64
+	pairs               map[structs.Kind]*pair
 }
 
-// Interference learns how much one running task of a kind inflates a service,
-// per load band. The zero value is not usable; see NewInterference.
+// Interference learns the harm of kinds to services, per load band: the increase
+// of a service's inflation by one running task of the kind. The zero value is not
+// usable; see NewInterference.
 //
-// A sample's service time is taken as base + sum of count*harm over the kinds
-// that ran beside it. Blame for a residual goes to each term by how uncertain
-// it still is, so that a well-known pair isn't blamed for a new one.
+// A sample's service time is modelled as base + sum of count*harm over the kinds
+// that ran beside it. A residual is distributed over the terms by their
+// uncertainty, so that a well-known pair isn't charged with a new one's effect.
 type Interference struct {
 	services map[structs.Service]*serviceState
 	pairs    int
@@ -135,7 +137,7 @@
 	counters InterferenceCounters
 }
 
-// NewInterference returns a learner that knows nothing yet.
+// NewInterference returns a learner without samples.
 func NewInterference() *Interference {
 	return &Interference{
 		services: make(map[structs.Service]*serviceState),
@@ -143,11 +145,11 @@
 	}
 }
 
-// Counters returns what was learnt and dropped so far.
+// Counters returns the counts so far.
 func (m *Interference) Counters() InterferenceCounters { return m.counters }
 
-// Observe learns from s and reports whether it was taken. A sample with
-// negative, infinite or absurd values is counted and moves nothing.
+// Observe learns from s and reports whether it accepted s. A sample with
+// negative, infinite or absurd values is counted and changes no estimate.
 func (m *Interference) Observe(s Sample) bool {
 	if !s.valid() {
 		m.counters.Dropped++
@@ -203,7 +205,7 @@
 	expected := base.mean
 	total := base.variance
 	for _, t := range s.Together {
-		p := m.pairOf(st, t.Kind)
+		p := m.pairFor(st, t.Kind)
 		if p == nil {
 			continue
 		}
@@ -214,11 +216,11 @@
 	}
 	noise := noiseVariance / math.Min(float64(s.Calls), 20) * math.Max(1, y*y)
 	total += noise
-	z := within((y-expected)/math.Sqrt(total), -maxSurprise, maxSurprise)
+	z := clamp((y-expected)/math.Sqrt(total), -maxDeviation, maxDeviation)
 	residual := z * math.Sqrt(total)
-	m.noticeRegime(st, s, z)
+	m.detectRegimeChange(st, s, z)
 	base.update(1, residual, total)
-	base.mean = within(base.mean, lowestBase, highestBase)
+	base.mean = clamp(base.mean, lowestBase, highestBase)
 	for _, t := range s.Together {
 		p := st.pairs[t.Kind]
 		if p == nil || t.Count == 0 {
@@ -231,7 +233,7 @@
 func (m *Interference) learnPair(e *estimate, t Together, b LoadBand, residual, total float64) {
 	before, weight := e.mean, e.weight()
 	e.update(t.Count, residual, total)
-	e.mean = within(e.mean, lowestHarm, highestHarm)
+	e.mean = clamp(e.mean, lowestHarm, highestHarm)
 	e.evidence += math.Min(t.Count, 1)
 	after := e.weight()
 	for _, k := range []*kindMean{&m.kinds[t.Kind][b], &m.overall} {
@@ -240,7 +242,7 @@
 	}
 }
 
-// weight is how much a pair counts towards the mean of its kind.
+// weight returns the weight of a pair in the mean of its kind, 0 to 1.
 func (e *estimate) weight() float64 { return math.Min(e.evidence, shrinkEvidence) / shrinkEvidence }
 
 func (e *estimate) update(x, residual, total float64) {
@@ -249,19 +251,19 @@
 	e.variance = math.Max(e.variance*(1-gain*x), varianceFloor)
 }
 
-func within(x, low, high float64) float64 { return math.Max(low, math.Min(high, x)) }
+func clamp(x, low, high float64) float64 { return math.Max(low, math.Min(high, x)) }
 
-// noticeRegime opens a service's estimates up again when residuals stay on one
-// side for longer than noise explains. Without it the variances have shrunk so
-// far that a change of the workload would take hours to be learnt, and calls
-// would go on being placed beside the wrong tasks.
-func (m *Interference) noticeRegime(st *serviceState, s Sample, z float64) {
-	st.high = math.Max(0, st.high+z-regimeSlack)
-	st.low = math.Max(0, st.low-z-regimeSlack)
-	if st.high < regimeThreshold && st.low < regimeThreshold {
+// detectRegimeChange raises the variances of a service's estimates again when
+// residuals keep one sign for longer than noise explains. With variances as small
+// as they become, a change of the workload would otherwise take hours to learn,
+// and calls would still be placed beside the wrong tasks.
+func (m *Interference) detectRegimeChange(st *serviceState, s Sample, z float64) {
+	st.cusumHigh = math.Max(0, st.cusumHigh+z-regimeSlack)
+	st.cusumLow = math.Max(0, st.cusumLow-z-regimeSlack)
+	if st.cusumHigh < regimeThreshold && st.cusumLow < regimeThreshold {
 		return
 	}
-	st.high, st.low = 0, 0
+	st.cusumHigh, st.cusumLow = 0, 0
 	m.counters.RegimeChanges++
 	for _, t := range s.Together {
 		p := st.pairs[t.Kind]
@@ -277,7 +279,7 @@
 	}
 }
 
-func (m *Interference) pairOf(st *serviceState, k structs.Kind) *pair {
+func (m *Interference) pairFor(st *serviceState, k structs.Kind) *pair {
 	if p := st.pairs[k]; p != nil {
 		return p
 	}
@@ -297,8 +299,8 @@
 	return p
 }
 
-// blend shrinks a pair of little evidence towards the mean of its kind.
-func (m *Interference) blend(e *estimate, k structs.Kind, b LoadBand) float64 {
+// shrinkToKind shrinks a pair of little evidence towards the mean of its kind.
+func (m *Interference) shrinkToKind(e *estimate, k structs.Kind, b LoadBand) float64 {
 	if e.evidence >= 8*shrinkEvidence {
 		return e.mean
 	}
@@ -318,7 +320,7 @@
 func (m *Interference) harm(st *serviceState, k structs.Kind, b LoadBand) float64 {
 	if st != nil {
 		if p := st.pairs[k]; p != nil {
-			return math.Max(0, m.blend(&p.bands[b], k, b))
+			return math.Max(0, m.shrinkToKind(&p.bands[b], k, b))
 		}
 	}
 	return math.Max(0, m.kindHarm(k, b))
@@ -331,8 +333,8 @@
 	return st.base[b].mean
 }
 
-// Predict returns the inflation of service by one running task of kind at the
-// load band: 1 for no harm. A pair never seen gets the kind's mean.
+// Predict returns the inflation of service s by one running task of kind k at
+// load band b: 1 for no harm. A pair without samples has the kind's mean.
 func (m *Interference) Predict(s structs.Service, k structs.Kind, b LoadBand) float64 {
 	if m == nil || b >= bandCount {
 		return 1
@@ -341,7 +343,7 @@
 	return 1 + m.harm(st, k, b)/st.baseMean(b)
 }
 
-// Inflation returns the predicted inflation of service beside all of batch.
+// Inflation returns the predicted inflation of service s by all tasks of batch.
 func (m *Interference) Inflation(s structs.Service, b LoadBand, batch []wire.BatchLoad) float64 {
 	if m == nil || b >= bandCount {
 		return 1
@@ -359,8 +361,8 @@
 	return math.Min(1+sum/st.baseMean(b), maxInflation)
 }
 
-// BaseTime returns how long a call of service takes undisturbed at the load
-// band, or 0 when no sample of the service was seen.
+// BaseTime returns the undisturbed duration of a call of service s at load band
+// b, or 0 without a sample of s.
 func (m *Interference) BaseTime(s structs.Service, b LoadBand) time.Duration {
 	if m == nil || b >= bandCount {
 		return 0
@@ -369,21 +371,21 @@
 	if st == nil {
 		return 0
 	}
-	return time.Duration(st.aloneTime(b) * float64(time.Second))
+	return time.Duration(st.undisturbedTime(b) * float64(time.Second))
 }
 
-// serviceModel is what is known of one service; both fields may be nil.
+// serviceModel is the learner with its state of one service; both may be nil.
 type serviceModel struct {
 	m  *Interference
 	st *serviceState
 }
 
-func (m *Interference) of(s structs.Service) serviceModel {
+func (m *Interference) modelOf(s structs.Service) serviceModel {
 	if m == nil {
 		return serviceModel{}
 	}
 	return serviceModel{m, m.services[s]}
 }
 
-// aloneTime is how long a call takes undisturbed, in seconds.
-func (st *serviceState) aloneTime(b LoadBand) float64 { return st.scale * st.base[b].mean }
+// undisturbedTime returns the undisturbed duration of a call, in seconds.
+func (st *serviceState) undisturbedTime(b LoadBand) float64 { return st.scale * st.base[b].mean }
--- a/decide/learning_test.go
+++ b/decide/learning_test.go
@@ -10,9 +10,9 @@
 	"persimmonrock.example/structs"
 )
 
-// measure is a service of 100 ms that each task of "bad" slows by harm and
-// each of "good" by nothing, with 5 % noise.
-func measure(m *Interference, seed uint64, bad, good, harm float64) {
+// observe adds a sample of a service of 100 ms that each task of kind "bad" slows
+// down by harm and each of kind "good" not at all, with 5 % noise.
+func observe(m *Interference, seed uint64, bad, good, harm float64) {
 	noise := 1 + 0.05*(2*unit(mix(seed))-1)
 	m.Observe(Sample{
 		Service: "s", Band: BandMiddle, Calls: 20,
@@ -21,17 +21,17 @@
 	})
 }
 
-func learnt(samples int, harm float64) *Interference {
+func trainedModel(samples int, harm float64) *Interference {
 	m := NewInterference()
 	for i := range samples {
 		r := mix(uint64(i))
-		measure(m, r, float64(r%4), float64(r>>8%4), harm)
+		observe(m, r, float64(r%4), float64(r>>8%4), harm)
 	}
 	return m
 }
 
-func TestLearnerTellsThePairThatHurtsFromTheOneThatRanBesideIt(t *testing.T) {
-	m := learnt(200, 0.2)
+func TestLearnerAttributesHarmToHarmfulKind(t *testing.T) {
+	m := trainedModel(200, 0.2)
 	if p := m.Predict("s", "bad", BandMiddle); math.Abs(p-1.2) > 0.04 {
 		t.Errorf("bad: %v, want 1.2", p)
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestSparsePairIsTakenForTheMeanOfItsKind(t *testing.T) {
-	m := learnt(200, 0.2)
+func TestSparsePairShrinksToMeanOfKind(t *testing.T) {
+	m := trainedModel(200, 0.2)
 	known := m.Predict("s", "bad", BandMiddle)
 	if p := m.Predict("new", "bad", BandMiddle); p < 1+(known-1)/2 || p > known {
 		t.Errorf("new service beside a bad kind: %v, want towards %v", p, known)
@@ -54,24 +54,24 @@
 	}
 }
 
-// A caller sees slow answers for hours after a new release of a batch kind.
-// The kind begins to hurt a service, and the learner, sure of what it learnt
-// over days, takes each slow answer for noise. Reopening the estimates when
-// residuals stay on one side is what brings the new value in quickly.
-func TestChangeOfRegimeIsLearntWithinFewSamples(t *testing.T) {
-	m := learnt(5000, 0.0)
+// Failure guarded against: calls are slow for hours after a new release of a
+// batch kind. The kind now harms a service, but with the small variances learnt
+// over days the learner treats each slow answer as noise. It must raise the
+// variances when residuals keep one sign.
+func TestRegimeChangeIsLearntWithinFewSamples(t *testing.T) {
+	m := trainedModel(5000, 0.0)
 	for i := range 40 {
-		measure(m, mix(uint64(i)+9), float64(1+i%3), float64(i%2), 0.5)
+		observe(m, mix(uint64(i)+9), float64(1+i%3), float64(i%2), 0.5)
 	}
 	if p := m.Predict("s", "bad", BandMiddle); p < 1.35 || m.Counters().RegimeChanges == 0 {
 		t.Errorf("after the change: %v with %+v, want 1.5", p, m.Counters())
 	}
 }
 
-// An operator sees every call of one service refused as too late. Two terms
-// that only together explain the measurements ran away in opposite directions,
-// until the predicted time of a call was hours.
-func TestLearnerStaysWithinBoundsWhateverItIsFed(t *testing.T) {
+// Failure guarded against: every call of one service is refused as late. Two
+// terms whose sum fits the measurements diverge in opposite directions until the
+// predicted duration of a call is hours.
+func TestLearnerStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewInterference()
 		for range rapid.IntRange(1, 200).Draw(t, "samples") {
@@ -97,9 +97,9 @@
 	})
 }
 
-// A task of kind "old" ended and "new" began just before the report of the
-// time in which "old" ran arrives.
-func TestLateMeasurementIsOfWhatRanThen(t *testing.T) {
+// The report of a window in which kind "old" ran arrives just after a task of
+// "old" ended and one of "new" started.
+func TestHistoryCoversMeasuredWindow(t *testing.T) {
 	h := NewHistory(time.Minute)
 	h.Add(0, "old", 2)
 	h.SetLoad(0, "s", 4)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestHistoryKeepsLongRunningTasksWhenItForgetsChanges(t *testing.T) {
+func TestHistoryKeepsLongRunningTasksWhenTrimmed(t *testing.T) {
 	h := NewHistory(10 * time.Second)
 	h.Add(0, "steady", 3)
 	now := time.Duration(0)
@@ -141,11 +141,11 @@
 	}
 }
 
-func TestSizesComeFromUseOnceThereIsEnoughOfIt(t *testing.T) {
+func TestSizesAreLearntFromEnoughRuns(t *testing.T) {
 	var s Sizes
 	declared := structs.Resources{Slots: 1, MemoryBytes: 300 * gigabyte, MilliCores: 100}
 	for i := range 20 {
-		if got, _ := s.Estimate("x", "k", declared, 0); i < sizeEnough && got != declared {
+		if got, _ := s.Estimate("x", "k", declared, 0); i < minSizeRuns && got != declared {
 			t.Fatalf("after %d runs: %+v", i, got)
 		}
 		s.Observe("x", "k", structs.Resources{MemoryBytes: int64(10+i%2) * gigabyte, MilliCores: 2000}, time.Minute)
@@ -156,7 +156,7 @@
 	}
 	for _, bad := range []structs.Resources{{MemoryBytes: -1}, {MemoryBytes: math.MaxInt64}, {MilliCores: math.MaxInt}} {
 		if s.Observe("x", "k", bad, 0) {
-			t.Errorf("%+v was taken", bad)
+			t.Errorf("%+v was accepted", bad)
 		}
 	}
 	if after, _ := s.Estimate("x", "k", declared, 0); after != got || s.Dropped() != 3 {
@@ -164,11 +164,11 @@
 	}
 }
 
-// An operator sees every call of one service refused as too late. Residuals
-// were taken against the shrunk prediction while the unshrunk term was updated:
-// as long as a pair was sparse its term had no effect on the next residual, and
-// ran away, until the predicted time of a call was hours.
-func TestSparsePairsDoNotRunAway(t *testing.T) {
+// Failure guarded against: every call of one service is refused as late. If
+// residuals are computed against the shrunk prediction while the unshrunk term is
+// updated, the term of a sparse pair has no effect on the next residual and
+// diverges until the predicted duration of a call is hours.
+func TestSparsePairsDoNotDiverge(t *testing.T) {
 	for seed := range uint64(20) {
 		m := NewInterference()
 		r := mix(seed)
@@ -196,9 +196,9 @@
 	}
 }
 
-// A wave of forty jobs declares a tenth of the memory that they use. The first
-// is killed, and so are the others one after the other, until four runs are
-// enough to learn from. One run proves that the declared size is too small.
+// Failure guarded against: forty jobs declare a tenth of the memory that they use
+// and are killed one after the other until four runs are enough to learn from.
+// One run proves that the declared size is too small.
 func TestOneRunProvesADeclaredSizeTooSmall(t *testing.T) {
 	var s Sizes
 	declared := structs.Resources{Slots: 1, MemoryBytes: gigabyte}
--- a/decide/planner.go
+++ b/decide/planner.go
@@ -8,24 +8,24 @@
 	"persimmonrock.example/wire"
 )
 
-// Instance is one instance as the owner of a queue shard knows it.
+// Instance is one instance as seen by the owner of a queue shard.
 type Instance struct {
 	ID   structs.InstanceID
 	Zone structs.DataCentre
 	Rack string
-	// Total and Free are from the last load report, less what was claimed
-	// since and the report may not show yet.
+	// Total and Free are from the last load report, less later claims that the
+	// report may not include yet.
 	Total, Free structs.Resources
 	Batch       []wire.BatchLoad
 	Services    []wire.ServiceLoad
-	// Reserve is how many slots urgent calls are expected to need beyond those
-	// in use; 0 lets the planner work it out from Services.
+	// Reserve is the number of slots that urgent calls are expected to need
+	// beyond those in use; if 0, the planner computes it from Services.
 	Reserve int
-	// Draining and Quarantined instances get nothing new; Suspect ones have
-	// not reported for too long.
+	// Draining, Quarantined and Suspect instances get no new tasks; Suspect ones
+	// have no recent load report.
 	Draining, Quarantined, Suspect bool
-	// Probe says that the instance gets one task at most in this round, because
-	// it may fail whatever it starts (see Health).
+	// Probe limits the instance to one task in this round, because it may fail
+	// every task that it starts (see Health).
 	Probe bool
 }
 
@@ -34,62 +34,61 @@
 	Job      structs.JobID
 	Customer structs.Customer
 	Kind     structs.Kind
-	// Need is what the job is expected to use (see Sizes).
+	// Need is the expected use of the job (see Sizes).
 	Need structs.Resources
-	// Order is the job's place within its customer's queue; lower goes first.
-	// The queue must be sorted by it within each customer.
+	// Order is the job's position within its customer's queue; lower goes first.
+	// The queue must be sorted by Order within each customer.
 	Order uint64
 	// Avoid is an instance on which the job failed last, or "".
 	Avoid structs.InstanceID
 }
 
-// BatchView is the snapshot that batch tasks are placed by. The planner
-// changes none of it.
+// BatchView is the input of one placement round. The planner does not modify it.
 type BatchView struct {
 	Now       time.Duration
 	Instances []Instance
 	Queue     []Waiting
-	// Held is what each customer holds over all instances, urgent and batch.
+	// Held is what each customer holds on all instances, urgent and batch.
 	Held      map[structs.Customer]structs.Resources
 	Contracts map[structs.Customer]structs.Contract
 }
 
 // Placement is the decision to start a job on an instance. Index is the job's
-// place in the view's queue.
+// index in the view's queue.
 type Placement struct {
 	Job      structs.JobID
 	Instance structs.InstanceID
 	Index    int
 }
 
-// PlannerCounters counts decisions. Trials are jobs that were placed beyond the
-// limit on disturbance.
+// PlannerCounters counts decisions. Trials are searches without the limit on
+// disturbance (see Planner.trialDue).
 type PlannerCounters struct {
 	Rounds, Placed, NoFit, Impossible, BadInput, Borrowed, Trials uint64
 }
 
-// Planner places batch tasks. It keeps buffers between rounds, so that a round
-// allocates nothing once they have grown. The zero value is ready for use.
+// Planner places batch tasks. It reuses its buffers, so that a round allocates
+// nothing once they have grown. The zero value is ready for use.
 type Planner struct {
-	counters  PlannerCounters
-	placed    []Placement
-	holds     map[structs.JobID]Hold
-	customers []customerState
-	byName    map[structs.Customer]int
-	next      []int32
-	sites     []site
-	scores    scorer
-	total     structs.Resources
-	most      structs.Resources
-	noFit     []structs.Resources
-	reasons   map[structs.Resources]Hold
-	shares    map[structs.Customer]Hold
-	fullScans int
-	// cursor is where the next search begins.
+	counters        PlannerCounters
+	placed          []Placement
+	holds           map[structs.JobID]Hold
+	customers       []customerState
+	customerIndex   map[structs.Customer]int
+	nextJob         []int32
+	sites           []site
+	scores          scorer
+	total           structs.Resources
+	largest         structs.Resources
+	noFit           []structs.Resources
+	impossibleHolds map[structs.Resources]Hold
+	shareHolds      map[structs.Customer]Hold
+	fullScans       int
+	// cursor determines the start of the next search.
 	cursor int
-	// blocked is set once a job within its customer's share found room only
-	// where it was predicted to disturb too much, blockedAt is when, or when the
-	// last trial was.
+	// blocked is set once a job within its customer's share fitted only where it
+	// was predicted to disturb a service too much. blockedAt is the time of that
+	// or of the last trial.
 	blocked   bool
 	blockedAt time.Duration
 }
@@ -97,57 +96,58 @@
 type customerState struct {
 	contract structs.Contract
 	held     structs.Resources
-	// first and last are the customer's jobs in the view's queue, linked by
-	// Planner.next; -1 ends the list.
-	first, last int32
-	weighted    float64
-	known       bool
+	// first and last are the ends of the list of the customer's jobs in the
+	// view's queue, linked by Planner.nextJob and ended by -1.
+	first, last   int32
+	weightedShare float64
+	hasContract   bool
 }
 
 // site is the part of an instance that changes within a round.
 type site struct {
 	free structs.Resources
-	// room is how many slots borrowed tasks leave free besides the reserve.
-	room   int
-	usable bool
+	// borrowReserve is the number of slots that borrowing tasks leave free
+	// besides the reserve for urgent calls.
+	borrowReserve int
+	usable        bool
 }
 
 const (
-	// sampleSize is how many fitting instances are compared for one job.
+	// sampleSize is the number of fitting instances compared for one job.
 	sampleSize = 32
-	// cursorStep moves the start of each search on by less than it compares, so
-	// that one round prepares only a part of a large fleet.
+	// cursorStep advances the start of each search by less than sampleSize, so
+	// that one round scores only a part of a large fleet.
 	cursorStep = 11
-	// maxFullScans bounds the work of a round in which hardly anything fits.
+	// maxFullScans bounds the work of a round in which hardly any job fits.
 	maxFullScans = 256
 	maxNoFit     = 16
-	// borrowRoom is the part of an instance's slots that tasks beyond their
-	// customer's share leave free: a lent slot comes back only when its task
-	// ends, while calls of others come at once.
-	borrowRoom = 0.15
-	maxReasons = 1024
-	// trialEvery is the least time between two trials of a planner.
-	trialEvery = 10 * time.Second
+	// borrowReservePart is the part of an instance's slots that tasks beyond their
+	// customer's share leave free: a borrowed slot is free again only when its
+	// task ends, while calls of others need one at once.
+	borrowReservePart = 0.15
+	maxCachedHolds    = 1024
+	// trialInterval is the minimum time between two trials of a planner.
+	trialInterval = 10 * time.Second
 )
 
-// Counters returns what was decided so far.
+// Counters returns the counts so far.
 func (p *Planner) Counters() PlannerCounters { return p.counters }
 
-// PlaceBatch chooses up to limit jobs to start, and says why the others that
-// it looked at wait. Customers take turns by weighted dominant share: next is
-// the one whose largest share of any resource is smallest against its
-// contract's share. A job that fits nowhere is passed over and blocks nobody.
-// Both results are valid until the next call.
+// PlaceBatch chooses up to limit jobs to start and returns the reasons why the
+// other jobs considered wait. Customers are served by weighted dominant share:
+// next is the one whose largest share of any resource is smallest relative to its
+// contract's share. A job that fits nowhere is skipped and blocks no other. Both
+// results are valid until the next call.
 func (p *Planner) PlaceBatch(v *BatchView, m *Interference, limit int) (placed []Placement, holds map[structs.JobID]Hold) {
 	p.counters.Rounds++
 	p.reset(v, m)
 	for len(p.placed) < limit {
-		c := p.neediest()
+		c := p.nextCustomer()
 		if c == nil {
 			break
 		}
 		i := c.first
-		c.first = p.next[i]
+		c.first = p.nextJob[i]
 		p.consider(v, c, int(i))
 	}
 	return p.placed, p.holds
@@ -159,9 +159,9 @@
 	p.fullScans = 0
 	if p.holds == nil {
 		p.holds = make(map[structs.JobID]Hold)
-		p.byName = make(map[structs.Customer]int)
-		p.reasons = make(map[structs.Resources]Hold)
-		p.shares = make(map[structs.Customer]Hold)
+		p.customerIndex = make(map[structs.Customer]int)
+		p.impossibleHolds = make(map[structs.Resources]Hold)
+		p.shareHolds = make(map[structs.Customer]Hold)
 	}
 	clear(p.holds)
 	p.resetSites(v)
@@ -170,30 +170,30 @@
 }
 
 func (p *Planner) resetSites(v *BatchView) {
-	p.total, p.most = structs.Resources{}, structs.Resources{}
+	p.total, p.largest = structs.Resources{}, structs.Resources{}
 	p.sites = p.sites[:0]
 	for i := range v.Instances {
 		in := &v.Instances[i]
 		s := site{free: in.Free}
 		s.usable = !in.Draining && !in.Quarantined && !in.Suspect
-		if !sane(in.Free) || !sane(in.Total) || !fits(in.Free, in.Total) {
+		if !nonNegative(in.Free) || !nonNegative(in.Total) || !fits(in.Free, in.Total) {
 			p.counters.BadInput++
 			s.usable = false
 		} else {
 			p.total = plus(p.total, in.Total)
-			p.most = larger(p.most, in.Total)
-			s.free.Slots -= reserve(in)
-			s.room = int(borrowRoom * float64(in.Total.Slots))
+			p.largest = maxEach(p.largest, in.Total)
+			s.free.Slots -= urgentReserve(in)
+			s.borrowReserve = int(borrowReservePart * float64(in.Total.Slots))
 		}
 		p.sites = append(p.sites, s)
 	}
 }
 
-// reserve keeps room for the urgent calls of an instance: half as many again as
-// run now, one at least for each service that has a slot left, and never more
-// than half of the instance: with more services than slots, batch tasks would
-// otherwise wait for ever beside an idle instance.
-func reserve(in *Instance) int {
+// urgentReserve returns the number of slots to keep free for the urgent calls of
+// an instance: half as many as calls run now, at least one for each service that
+// has a free slot, and at most half of the instance's slots. Without this bound,
+// an idle instance with more services than slots would run no batch tasks.
+func urgentReserve(in *Instance) int {
 	if in.Reserve > 0 {
 		return in.Reserve
 	}
@@ -209,12 +209,12 @@
 }
 
 func (p *Planner) resetCustomers(v *BatchView) {
-	clear(p.byName)
+	clear(p.customerIndex)
 	p.customers = p.customers[:0]
-	if cap(p.next) < len(v.Queue) {
-		p.next = make([]int32, 0, 2*len(v.Queue))
+	if cap(p.nextJob) < len(v.Queue) {
+		p.nextJob = make([]int32, 0, 2*len(v.Queue))
 	}
-	p.next = p.next[:len(v.Queue)]
+	p.nextJob = p.nextJob[:len(v.Queue)]
 	var last structs.Customer
 	at := -1
 	for i := range v.Queue {
@@ -223,42 +223,42 @@
 			at = p.customer(v, name)
 		}
 		c := &p.customers[at]
-		p.next[i] = -1
+		p.nextJob[i] = -1
 		if c.first < 0 {
 			c.first = int32(i)
 		} else {
-			p.next[c.last] = int32(i)
+			p.nextJob[c.last] = int32(i)
 		}
 		c.last = int32(i)
 	}
 }
 
 func (p *Planner) customer(v *BatchView, name structs.Customer) int {
-	if at, ok := p.byName[name]; ok {
+	if at, ok := p.customerIndex[name]; ok {
 		return at
 	}
 	c := customerState{first: -1}
-	c.contract, c.known = v.Contracts[name]
+	c.contract, c.hasContract = v.Contracts[name]
 	c.contract.Customer = name
-	c.known = c.known && validShare(c.contract.Share)
+	c.hasContract = c.hasContract && validShare(c.contract.Share)
 	c.held = v.Held[name]
-	p.weigh(&c)
+	p.updateWeightedShare(&c)
 	p.customers = append(p.customers, c)
-	p.byName[name] = len(p.customers) - 1
+	p.customerIndex[name] = len(p.customers) - 1
 	return len(p.customers) - 1
 }
 
-func (p *Planner) weigh(c *customerState) {
-	if c.known {
-		c.weighted = dominant(c.held, p.total) / c.contract.Share
+func (p *Planner) updateWeightedShare(c *customerState) {
+	if c.hasContract {
+		c.weightedShare = dominantShare(c.held, p.total) / c.contract.Share
 	}
 }
 
-func (p *Planner) neediest() *customerState {
+func (p *Planner) nextCustomer() *customerState {
 	var best *customerState
 	for i := range p.customers {
 		c := &p.customers[i]
-		if c.first >= 0 && (best == nil || c.weighted < best.weighted) {
+		if c.first >= 0 && (best == nil || c.weightedShare < best.weightedShare) {
 			best = c
 		}
 	}
@@ -269,10 +269,10 @@
 	w := &v.Queue[index]
 	need := w.Need
 	switch {
-	case !c.known:
+	case !c.hasContract:
 		p.holds[w.Job] = p.shareHold(c, holdNoContract)
 		return
-	case !sane(need):
+	case !nonNegative(need):
 		p.counters.BadInput++
 		p.holds[w.Job] = Hold{Reason: "declared size is negative", Refusal: structs.RefusedBadRequest}
 		return
@@ -281,9 +281,9 @@
 		return
 	}
 	need.Slots = max(need.Slots, 1)
-	if !fits(need, p.most) {
+	if !fits(need, p.largest) {
 		p.counters.Impossible++
-		p.holds[w.Job] = p.impossible(need)
+		p.holds[w.Job] = p.impossibleHold(need)
 		return
 	}
 	p.place(v, c, index, need)
@@ -291,29 +291,29 @@
 
 func (p *Planner) place(v *BatchView, c *customerState, index int, need structs.Resources) {
 	w := &v.Queue[index]
-	borrows := dominant(plus(c.held, need), p.total) > c.contract.Share
-	at, limited := -1, false
+	borrows := dominantShare(plus(c.held, need), p.total) > c.contract.Share
+	at, disturbed := -1, false
 	if !p.knownNoFit(need) {
-		most := ownInflation
+		maxDisturbed := maxOwnInflation
 		if borrows {
-			most = borrowedInflation
+			maxDisturbed = maxBorrowedInflation
 		}
-		at, limited = p.bestSite(v, w, need, borrows, most)
+		at, disturbed = p.bestSite(v, w, need, borrows, maxDisturbed)
 	}
-	if at < 0 && limited && !borrows && p.trialDue(v.Now) {
+	if at < 0 && disturbed && !borrows && p.trialDue(v.Now) {
 		at, _ = p.bestSite(v, w, need, borrows, math.MaxFloat64)
 		p.blockedAt = v.Now
 		p.counters.Trials++
 	}
 	if at < 0 {
-		p.hold(v, c, w, need, borrows)
+		p.recordHold(v, c, w, need, borrows)
 		return
 	}
 	p.sites[at].free = minus(p.sites[at].free, need)
 	p.sites[at].usable = !v.Instances[at].Probe
 	p.scores.add(v, at, w.Kind)
 	c.held = plus(c.held, need)
-	p.weigh(c)
+	p.updateWeightedShare(c)
 	p.counters.Placed++
 	if borrows {
 		p.counters.Borrowed++
@@ -324,25 +324,25 @@
 // trialDue reports whether one job may start where it is predicted to disturb
 // a service beyond the limit.
 //
-// Failure guarded against: a kind has been measured beside calls that were slow
-// for another reason, such as a paused process, and is taken for harmful on
-// every instance. No task of it is placed any more, so no measurement ever says
-// otherwise; it shows as jobs within their customer's share that wait for ever
-// beside free workers. The guard: one such job starts every trialEvery where it
-// is predicted to do the least harm, and is measured there; the agent throttles
-// it if it really disturbs.
+// Failure guarded against: a kind was measured beside calls that were slow for
+// another reason, such as a paused process, and is predicted to be harmful on
+// every instance. Its tasks are no longer placed, so no measurement corrects the
+// prediction, and jobs within their customer's share wait forever beside free
+// workers. As a guard, one such job starts every trialInterval where its
+// predicted harm is least; the agent throttles it if it disturbs a service.
 func (p *Planner) trialDue(now time.Duration) bool {
 	if !p.blocked {
 		p.blocked = true
 		p.blockedAt = now
 	}
-	return now-p.blockedAt >= trialEvery
+	return now-p.blockedAt >= trialInterval
 }
 
-// bestSite compares fitting instances from a start that moves on, so that a
-// large fleet costs no more than a small one while most of it has room. limited
-// says that an instance had room where a service would be disturbed beyond most.
-func (p *Planner) bestSite(v *BatchView, w *Waiting, need structs.Resources, borrows bool, most float64) (best int, limited bool) {
+// bestSite compares fitting instances from a start that advances with each call,
+// so that a large fleet costs no more than a small one while most instances have
+// free capacity. disturbed is set if the task fitted on an instance but would
+// disturb a service there beyond maxDisturbed.
+func (p *Planner) bestSite(v *BatchView, w *Waiting, need structs.Resources, borrows bool, maxDisturbed float64) (best int, disturbed bool) {
 	n := len(p.sites)
 	kind := p.scores.kind(w.Kind)
 	p.cursor = (p.cursor + cursorStep) % n
@@ -363,19 +363,19 @@
 			continue
 		}
 		possible = true
-		if borrows && s.free.Slots-need.Slots < s.room {
+		if borrows && s.free.Slots-need.Slots < s.borrowReserve {
 			continue
 		}
-		score, ok := p.scores.score(v, i, kind, need, s.free, most)
+		score, ok := p.scores.score(v, i, kind, need, s.free, maxDisturbed)
 		if !ok {
-			limited = true
+			disturbed = true
 			continue
 		}
 		if best < 0 || score < bestScore {
 			best, bestScore = i, score
 		}
 		if found++; found >= sampleSize {
-			return best, limited
+			return best, disturbed
 		}
 	}
 	if limit == n {
@@ -384,23 +384,23 @@
 			p.rememberNoFit(need)
 		}
 	}
-	return best, limited
+	return best, disturbed
 }
 
-// hold says why w waits. A need that exceeds every instance even when empty is
-// told apart from one that only finds no room now.
-func (p *Planner) hold(v *BatchView, c *customerState, w *Waiting, need structs.Resources, borrows bool) {
+// recordHold records why w waits. A need that exceeds every instance even when
+// empty has a reason of its own.
+func (p *Planner) recordHold(v *BatchView, c *customerState, w *Waiting, need structs.Resources, borrows bool) {
 	p.counters.NoFit++
 	if !possibleSomewhere(v, need) {
 		p.counters.Impossible++
-		p.holds[w.Job] = p.impossible(need)
+		p.holds[w.Job] = p.impossibleHold(need)
 		return
 	}
 	if borrows {
 		p.holds[w.Job] = p.shareHold(c, holdShare)
 		return
 	}
-	p.holds[w.Job] = Hold{Reason: ReasonTurn}
+	p.holds[w.Job] = Hold{Reason: ReasonNoFit}
 }
 
 func possibleSomewhere(v *BatchView, need structs.Resources) bool {
@@ -412,28 +412,28 @@
 	return false
 }
 
-func (p *Planner) impossible(need structs.Resources) Hold {
-	if h, ok := p.reasons[need]; ok {
+func (p *Planner) impossibleHold(need structs.Resources) Hold {
+	if h, ok := p.impossibleHolds[need]; ok {
 		return h
 	}
-	if len(p.reasons) >= maxReasons {
-		clear(p.reasons)
+	if len(p.impossibleHolds) >= maxCachedHolds {
+		clear(p.impossibleHolds)
 	}
-	h := holdImpossible(need, p.most)
-	p.reasons[need] = h
+	h := holdImpossible(need, p.largest)
+	p.impossibleHolds[need] = h
 	return h
 }
 
-func (p *Planner) shareHold(c *customerState, make func(structs.Customer) Hold) Hold {
-	h, ok := p.shares[c.contract.Customer]
-	if ok && (h.Refusal == structs.RefusedShare) == c.known {
+func (p *Planner) shareHold(c *customerState, newHold func(structs.Customer) Hold) Hold {
+	h, ok := p.shareHolds[c.contract.Customer]
+	if ok && (h.Refusal == structs.RefusedShare) == c.hasContract {
 		return h
 	}
-	if len(p.shares) >= maxReasons {
-		clear(p.shares)
+	if len(p.shareHolds) >= maxCachedHolds {
+		clear(p.shareHolds)
 	}
-	h = make(c.contract.Customer)
-	p.shares[c.contract.Customer] = h
+	h = newHold(c.contract.Customer)
+	p.shareHolds[c.contract.Customer] = h
 	return h
 }
 
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -6,11 +6,11 @@
 	"persimmonrock.example/structs"
 )
 
-// Quota returns how many slots the customer holds by right on the instance.
-// The part of a slot that is left over is rounded by a hash of customer and
-// instance, so that a share below one slot an instance still has whole slots
-// on some instances, and the mean over instances is share*slots. Where the
-// whole fleet is known, QuotaIn makes the sum exact.
+// Quota returns the number of slots guaranteed to the customer on the instance.
+// The fractional part of share*slots is rounded by a hash of customer and
+// instance, so that a share below one slot per instance still has whole slots on
+// some instances, and the mean over instances is share*slots. If the whole fleet
+// is known, QuotaIn makes the sum exact.
 func Quota(c structs.Contract, instance structs.InstanceID, total structs.Resources) int {
 	if !validShare(c.Share) || total.Slots <= 0 {
 		return 0
@@ -31,14 +31,14 @@
 	Slots    int
 }
 
-// QuotaIn returns the customer's slots by right on each instance of fleet, in
-// the order of fleet. Instances are walked in an order that differs by
-// customer, and each gets the whole slots by which the running sum of
-// share*slots grows; so the sum is the whole part of share*total, never above.
+// QuotaIn returns the customer's quota on each instance of fleet, in the order
+// of fleet. It visits the instances in an order that depends on the customer and
+// assigns to each the whole slots by which the running sum of share*slots grows.
+// The sum of the quotas is therefore share*total, rounded down.
 func QuotaIn(c structs.Contract, fleet []InstanceSlots) []int {
-	rights := make([]int, len(fleet))
+	quotas := make([]int, len(fleet))
 	if !validShare(c.Share) {
-		return rights
+		return quotas
 	}
 	order := make([]int, len(fleet))
 	keys := make([]uint64, len(fleet))
@@ -47,49 +47,49 @@
 		keys[i] = hashStrings(string(c.Customer), string(f.Instance))
 	}
 	sort.Slice(order, func(a, b int) bool { return keys[order[a]] < keys[order[b]] })
-	sum, given := 0, 0
+	sum, assigned := 0, 0
 	for _, i := range order {
 		sum += max(fleet[i].Slots, 0)
-		upTo := int(c.Share*float64(sum) + 1e-9)
-		rights[i] = upTo - given
-		given = upTo
+		cumulative := int(c.Share*float64(sum) + 1e-9)
+		quotas[i] = cumulative - assigned
+		assigned = cumulative
 	}
-	return rights
+	return quotas
 }
 
-// SlotUse is what one customer holds on an instance.
+// SlotUse is the use of slots by one customer on an instance.
 //
-// One row may have no customer: its Urgent and Expected are of all urgent
-// calls of the instance together. Customers' peaks seldom coincide, so the
-// common peak bounds what has to stay free far better than the sum of theirs.
+// One row may have no customer: its Urgent and Expected are those of all urgent
+// calls of the instance together. Customers' peaks seldom coincide, so the common
+// peak bounds the slots to keep free far better than the sum of theirs.
 type SlotUse struct {
 	Customer structs.Customer
 	// Urgent and Batch are slots in use.
 	Urgent, Batch int
-	// Right is the customer's Quota here, Share its contract's share.
+	// Right is the customer's Quota on this instance.
 	Right int
 	// Recent is the mean number of slots that its urgent calls held over the
-	// last seconds (see Demand.Recent). It tells a burst from a flood. 0 says
-	// that it is not known; then all that is owed to others stays free.
+	// last seconds (see Demand.Recent). It distinguishes a burst from a flood. 0
+	// means unknown; then all slots reserved for others stay free.
 	Recent float64
-	// Expected is how many slots its urgent calls have needed at once within
-	// the last seconds (see Demand). Rights that nobody is expected to use may
-	// be borrowed by others.
+	// Expected is the number of slots that its urgent calls are expected to need
+	// at once (see Demand.Expected). Others may borrow the rest of the quota.
 	Expected int
 }
 
 func (u *SlotUse) held() int { return u.Urgent + u.Batch }
 
-// owed is how many free slots must stay free for u: what its urgent calls are
-// expected to need beyond what they have, within its right. Its own batch
-// tasks do not lessen it: they are what has to yield (see Relieve).
-func (u *SlotUse) owed() int {
+// reserved returns the number of slots that must stay free for u: those that its
+// urgent calls are expected to need beyond those they hold, within its quota. Its
+// own batch tasks do not reduce it: they must yield to its calls (see Relieve).
+func (u *SlotUse) reserved() int {
 	return max(0, min(u.Expected, u.Right)-u.Urgent)
 }
 
-// owedToOthers sums what must stay free for others than c. common is what all
-// urgent calls together are expected to need beyond what they have.
-func owedToOthers(uses []SlotUse, c structs.Customer) (owed, common int, own *SlotUse) {
+// reservedForOthers returns the number of slots that must stay free for customers
+// other than c, the number that all urgent calls together are expected to need
+// beyond those they hold, and the row of c.
+func reservedForOthers(uses []SlotUse, c structs.Customer) (reserved, common int, own *SlotUse) {
 	common = 1 << 30
 	for i := range uses {
 		switch u := &uses[i]; u.Customer {
@@ -98,33 +98,33 @@
 		case "":
 			common = max(0, u.Expected-u.Urgent)
 		default:
-			owed += u.owed()
+			reserved += u.reserved()
 		}
 	}
-	return min(owed, common), common, own
+	return min(reserved, common), common, own
 }
 
 // AdmitUrgent decides at the agent whether one more urgent call of c starts.
-// right is the customer's Quota here. While all it holds, batch tasks included,
-// is within that, a free slot is enough; beyond it slots are lent: freely for
-// a burst, and to a customer whose calls alone have used up most of its right
-// for seconds only what others don't need (see keptFree).
+// quota is the customer's Quota on the instance. While the customer holds fewer
+// slots than that, batch tasks included, a free slot is enough. Beyond it the
+// customer borrows: freely for a burst, but only slots that others don't need once
+// its calls alone have used most of its share for seconds (see slotsKeptFree).
 //
-// It is asked twice for each call: about the slots of the instance, and with
-// uses and free of the service alone about the service's slots.
-func AdmitUrgent(uses []SlotUse, c structs.Contract, right int, free structs.Resources) (ok bool, hold Hold) {
+// The agent calls it twice for each call: for the slots of the instance, and for
+// the slots of the service, with uses and free of the service alone.
+func AdmitUrgent(uses []SlotUse, c structs.Contract, quota int, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
 		return false, holdNoContract(c.Customer)
 	}
 	if free.Slots < 1 {
 		return false, Hold{Reason: ReasonAdmissionFull, Refusal: structs.RefusedNoCapacity, RetryAfter: minRetryAfter}
 	}
-	owed, _, own := owedToOthers(uses, c.Customer)
+	reserved, _, own := reservedForOthers(uses, c.Customer)
 	held := 0
 	if own != nil {
 		held = own.held()
 	}
-	if held < right || free.Slots > keptFree(uses, c, free.Slots, owed) {
+	if held < quota || free.Slots > slotsKeptFree(uses, c, free.Slots, reserved) {
 		return true, Hold{}
 	}
 	h := holdShare(c.Customer)
@@ -133,21 +133,21 @@
 }
 
 const (
-	// A customer borrows freely up to burstAllowed times its share by recent
-	// mean, and leaves all that is owed to others from floodBegins on. Rights
-	// on one instance are small numbers: a customer may well be beyond its
-	// right here and within its contract over all instances.
-	burstAllowed = 0.5
-	floodBegins  = 0.9
-	// roomKept is the part of all slots that a flood leaves free besides what
-	// is owed. Calls take a freed slot faster than the queue's owner can place
-	// a task; without it a flood of calls starves the batch tasks of others.
-	roomKept = 0.5
+	// A customer borrows freely while its recent mean is at most burstLimit times
+	// its share, and leaves all slots reserved for others free from floodStart
+	// on. Quotas on one instance are small numbers: a customer may well exceed
+	// its quota here and be within its contract over all instances.
+	burstLimit = 0.5
+	floodStart = 0.9
+	// floodReservePart is the part of all slots that a flood leaves free besides
+	// the reserved ones. Calls occupy a freed slot faster than the queue's owner
+	// can place a task; otherwise a flood of calls starves others' batch tasks.
+	floodReservePart = 0.5
 )
 
-// keptFree is how many slots stay free when customer c with urgent calls
-// beyond its right asks for one more.
-func keptFree(uses []SlotUse, c structs.Contract, free, owed int) int {
+// slotsKeptFree returns the number of slots that must stay free when customer c
+// requests one more slot for an urgent call beyond its quota.
+func slotsKeptFree(uses []SlotUse, c structs.Contract, free, reserved int) int {
 	total, recent := free, 0.0
 	for i := range uses {
 		u := &uses[i]
@@ -160,45 +160,45 @@
 		}
 	}
 	if recent == 0 {
-		return owed
+		return reserved
 	}
-	right := c.Share * float64(total)
-	beyond := (recent/max(right, 1) - burstAllowed) / (floodBegins - burstAllowed)
+	quota := c.Share * float64(total)
+	beyond := (recent/max(quota, 1) - burstLimit) / (floodStart - burstLimit)
 	switch {
 	case beyond <= 0:
 		return 0
 	case beyond < 1:
-		return int(beyond * float64(owed))
+		return int(beyond * float64(reserved))
 	default:
-		return owed + int(roomKept*float64(total))
+		return reserved + int(floodReservePart*float64(total))
 	}
 }
 
-// AdmitBatch decides at the agent whether a claimed task of c starts. It must
-// fit, and leave free what urgent calls of anyone, c included, are expected to
-// need.
-func AdmitBatch(uses []SlotUse, c structs.Contract, right int, need, free structs.Resources) (ok bool, hold Hold) {
+// AdmitBatch decides at the agent whether a claimed task of c starts. It must fit
+// and leave free the slots that all urgent calls, those of c included, are
+// expected to need.
+func AdmitBatch(uses []SlotUse, c structs.Contract, quota int, need, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
 		return false, holdNoContract(c.Customer)
 	}
 	if !fits(need, free) {
 		return false, Hold{Reason: ReasonAdmissionFull, Refusal: structs.RefusedNoCapacity, RetryAfter: minRetryAfter}
 	}
-	owed, common, own := owedToOthers(uses, c.Customer)
+	reserved, common, own := reservedForOthers(uses, c.Customer)
 	held := 0
 	if own != nil {
-		owed = min(common, owed+max(0, own.Expected-own.Urgent))
+		reserved = min(common, reserved+max(0, own.Expected-own.Urgent))
 		held = own.held()
-		if held+need.Slots > right && floodsWithCalls(own, right) {
+		if held+need.Slots > quota && floodsWithCalls(own, quota) {
 			h := holdShare(c.Customer)
 			h.RetryAfter = minRetryAfter
 			return false, h
 		}
 	}
-	if free.Slots-need.Slots >= owed {
+	if free.Slots-need.Slots >= reserved {
 		return true, Hold{}
 	}
-	if held+need.Slots > right {
+	if held+need.Slots > quota {
 		h := holdShare(c.Customer)
 		h.RetryAfter = minRetryAfter
 		return false, h
@@ -207,34 +207,33 @@
 }
 
 const (
-	// callsAlone is the part of a customer's right that its calls, by recent
-	// mean, may take before nothing more is lent to its tasks.
-	callsAlone = 0.4
-	// leastRight is what a smaller right counts as: one call at a time is no
-	// flood.
-	leastRight = 2
+	// maxCallsPart is the part of a customer's quota that the recent mean of its
+	// calls may use before its tasks can borrow no more slots.
+	maxCallsPart = 0.4
+	// minFloodQuota replaces a smaller quota: one call at a time is no flood.
+	minFloodQuota = 2
 )
 
-// floodsWithCalls reports whether a customer's calls take so much of its right
-// that no slot is lent to its tasks on top.
+// floodsWithCalls reports whether a customer's calls use so much of its quota
+// that its tasks must not borrow slots in addition.
 //
-// Failure guarded against: a customer floods with calls and with jobs. Its calls
-// stay within its right, which they may use, and its tasks hold lent slots
-// beside them; the calls of others find no free slot and come back later. It shows as a p99 of theirs that rises by a
-// fifth. The guard holds because tasks borrow only while the calls leave most
-// of the right unused, as they do in normal times.
-func floodsWithCalls(u *SlotUse, right int) bool {
-	return u.Recent > callsAlone*float64(max(right, leastRight))
+// Failure guarded against: a customer sends floods of calls and of jobs. Its calls
+// stay within its quota and its tasks hold borrowed slots beside them; the calls
+// of others find no free slot and retry later, and their p99 rises by a fifth. As
+// a guard, tasks borrow only while the calls leave most of the quota unused, as
+// they do in normal operation.
+func floodsWithCalls(u *SlotUse, quota int) bool {
+	return u.Recent > maxCallsPart*float64(max(quota, minFloodQuota))
 }
 
-// fits reports whether need is within free and is no absurd amount.
+// fits reports whether need is within free and has no negative amount.
 func fits(need, free structs.Resources) bool {
 	return need.Slots <= free.Slots && need.MilliCores <= free.MilliCores &&
 		need.MemoryBytes <= free.MemoryBytes && need.Accelerators <= free.Accelerators &&
-		need.Connections <= free.Connections && sane(need)
+		need.Connections <= free.Connections && nonNegative(need)
 }
 
-// sane reports whether no amount is negative.
-func sane(r structs.Resources) bool {
+// nonNegative reports whether no amount is negative.
+func nonNegative(r structs.Resources) bool {
 	return r.Slots >= 0 && r.MilliCores >= 0 && r.MemoryBytes >= 0 && r.Accelerators >= 0 && r.Connections >= 0
 }
--- a/decide/random.go
+++ b/decide/random.go
@@ -1,6 +1,6 @@
 package decide
 
-// mix is the finaliser of SplitMix64: a bijection whose outputs look
+// mix is the finaliser of SplitMix64: a bijection whose outputs appear
 // independent for inputs that differ in one bit.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -7,22 +7,22 @@
 	"persimmonrock.example/wire"
 )
 
-// ReportVerdict says what became of a load report.
+// ReportVerdict is the result of the check of a load report.
 type ReportVerdict string
 
-// The verdicts. Only an accepted report may move a decision.
+// The verdicts. Only accepted reports may affect decisions.
 const (
-	ReportAccepted ReportVerdict = "accepted"
-	ReportTwice    ReportVerdict = "twice"
-	ReportOld      ReportVerdict = "old"
-	ReportDead     ReportVerdict = "dead_incarnation"
-	ReportFuture   ReportVerdict = "future"
-	ReportAbsurd   ReportVerdict = "absurd"
+	ReportAccepted  ReportVerdict = "accepted"
+	ReportDuplicate ReportVerdict = "twice"
+	ReportOld       ReportVerdict = "old"
+	ReportReplaced  ReportVerdict = "dead_incarnation"
+	ReportFuture    ReportVerdict = "future"
+	ReportAbsurd    ReportVerdict = "absurd"
 )
 
 // ReportCounters counts reports by verdict.
 type ReportCounters struct {
-	Accepted, Twice, Old, Dead, Future, Absurd uint64
+	Accepted, Duplicate, Old, Replaced, Future, Absurd uint64
 }
 
 type lastReport struct {
@@ -31,9 +31,9 @@
 	taken       time.Duration
 }
 
-// Reports tells load reports that may be used from those that may not: sent
-// twice, overtaken by a later one, of an incarnation that was replaced, from
-// the future, or with absurd values. The zero value is ready for use.
+// Reports rejects load reports that must not be used: duplicate, older than the
+// last one accepted, of a replaced incarnation, from the future, or with absurd
+// values. The zero value is ready for use.
 type Reports struct {
 	last     map[structs.InstanceID]lastReport
 	counters ReportCounters
@@ -46,12 +46,12 @@
 	maxBatchGroups = 1 << 14
 )
 
-// Counters returns the verdicts so far.
+// Counters returns the counts so far.
 func (r *Reports) Counters() ReportCounters { return r.counters }
 
-// Accept judges a report that was taken at time taken, where now is the time
-// of the receiver on the same clock. A receiver that doesn't know when it was
-// taken passes now for both.
+// Accept checks a report that was taken at time taken, where now is the time of
+// the receiver on the same clock. A receiver that doesn't know when the report
+// was taken passes now for both.
 func (r *Reports) Accept(now, taken time.Duration, l *wire.Load) ReportVerdict {
 	v := r.judge(now, taken, l)
 	switch v {
@@ -61,12 +61,12 @@
 			r.last = make(map[structs.InstanceID]lastReport)
 		}
 		r.last[l.Instance] = lastReport{l.Incarnation, l.Sequence, taken}
-	case ReportTwice:
-		r.counters.Twice++
+	case ReportDuplicate:
+		r.counters.Duplicate++
 	case ReportOld:
 		r.counters.Old++
-	case ReportDead:
-		r.counters.Dead++
+	case ReportReplaced:
+		r.counters.Replaced++
 	case ReportFuture:
 		r.counters.Future++
 	case ReportAbsurd:
@@ -87,20 +87,20 @@
 	case !known || l.Incarnation > last.incarnation:
 		return ReportAccepted
 	case l.Incarnation < last.incarnation:
-		return ReportDead
+		return ReportReplaced
 	case l.Sequence == last.sequence:
-		return ReportTwice
+		return ReportDuplicate
 	case l.Sequence < last.sequence:
 		return ReportOld
 	}
 	return ReportAccepted
 }
 
-// Forget drops what is known of an instance that is gone for good.
+// Forget deletes the state of an instance that was removed permanently.
 func (r *Reports) Forget(i structs.InstanceID) { delete(r.last, i) }
 
-// ForgetBefore drops what is known of instances whose last accepted report was
-// taken before t, so that replaced instances don't add up.
+// ForgetBefore deletes the state of instances whose last accepted report was
+// taken before t, so that replaced instances don't accumulate.
 func (r *Reports) ForgetBefore(t time.Duration) {
 	for i, last := range r.last {
 		if last.taken < t {
@@ -110,7 +110,7 @@
 }
 
 func absurd(l *wire.Load) bool {
-	if l.Instance == "" || !sane(l.Total) || !sane(l.Free) || !fits(l.Free, l.Total) || l.Total.Slots > maxSlots {
+	if l.Instance == "" || !nonNegative(l.Total) || !nonNegative(l.Free) || !fits(l.Free, l.Total) || l.Total.Slots > maxSlots {
 		return true
 	}
 	if len(l.Services) > maxServices || len(l.Batch) > maxBatchGroups {
--- a/decide/resources.go
+++ b/decide/resources.go
@@ -20,7 +20,7 @@
 	return a
 }
 
-func larger(a, b structs.Resources) structs.Resources {
+func maxEach(a, b structs.Resources) structs.Resources {
 	a.Slots = max(a.Slots, b.Slots)
 	a.MilliCores = max(a.MilliCores, b.MilliCores)
 	a.MemoryBytes = max(a.MemoryBytes, b.MemoryBytes)
@@ -29,16 +29,16 @@
 	return a
 }
 
-// dominant is the largest part of any resource that held is of total.
-func dominant(held, total structs.Resources) float64 {
-	d := part(held.Slots, total.Slots)
-	d = max(d, part(held.MilliCores, total.MilliCores))
-	d = max(d, part(int(held.MemoryBytes), int(total.MemoryBytes)))
-	d = max(d, part(held.Accelerators, total.Accelerators))
-	return max(d, part(held.Connections, total.Connections))
+// dominantShare returns the largest fraction held/total over all resources.
+func dominantShare(held, total structs.Resources) float64 {
+	d := fraction(held.Slots, total.Slots)
+	d = max(d, fraction(held.MilliCores, total.MilliCores))
+	d = max(d, fraction(int(held.MemoryBytes), int(total.MemoryBytes)))
+	d = max(d, fraction(held.Accelerators, total.Accelerators))
+	return max(d, fraction(held.Connections, total.Connections))
 }
 
-func part(held, total int) float64 {
+func fraction(held, total int) float64 {
 	if total <= 0 || held <= 0 {
 		return 0
 	}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -12,40 +12,40 @@
 	maxRetryAfter = 60 * time.Second
 )
 
-// RetryAfter returns when coming back helps: the time that served slots need
-// for a queue of queueLen at serviceTime each, and up to as much again at
-// random, so that callers who were refused together do not return together.
-func RetryAfter(queueLen, served int, serviceTime time.Duration, random uint64) time.Duration {
+// RetryAfter returns the time after which a retry may succeed: the time that
+// slots need to serve a queue of queueLen at serviceTime each, plus up to as much
+// again at random, so that callers refused together do not retry together.
+func RetryAfter(queueLen, slots int, serviceTime time.Duration, random uint64) time.Duration {
 	wait := minRetryAfter
 	if serviceTime > 0 && queueLen > 0 {
-		rounds := float64(queueLen) / float64(max(served, 1))
+		rounds := float64(queueLen) / float64(max(slots, 1))
 		wait = time.Duration(min(rounds*float64(serviceTime), float64(maxRetryAfter)))
 	}
 	wait = max(minRetryAfter, min(wait, maxRetryAfter/2))
 	return wait + time.Duration(unit(mix(random))*float64(wait))
 }
 
-// Retry budget: each first attempt earns a twentieth of a retry, up to a
-// burst, so attempts stay under 1.05 a call in a lasting outage. A trickle
-// keeps rare callers able to retry at all.
+// Retry budget: each first attempt adds a twentieth of a retry, up to a burst,
+// so attempts stay under 1.05 per call in a long outage. A slow refill lets
+// customers with few calls retry at all.
 const (
-	retryEarned  = 0.05
+	retryPerCall = 0.05
 	retryBurst   = 20.0
-	retryTrickle = 0.1 // a second
-	// hedgeReserve is what a hedge at p95 leaves. One call in twenty gets
-	// there, which takes all that is earned, and most would end a moment later:
-	// without a reserve, a call that waits for much longer, or whose attempt
-	// failed, would find nothing left.
+	retryRefill  = 0.1 // per second
+	// hedgeReserve is the number of tokens that a hedge at p95 leaves. One call in
+	// twenty reaches p95, which would use all tokens earned, and most of these
+	// calls end a moment later: without a reserve, a call that waits much longer,
+	// or whose attempt failed, finds no token.
 	hedgeReserve = 15.0
 	maxBudgets   = 4096
 )
 
 type budget struct {
-	tokens float64
-	at     time.Duration
+	tokens  float64
+	updated time.Duration
 }
 
-// RetryBudgetCounters counts what the budget allowed and refused.
+// RetryBudgetCounters counts calls, and attempts that were allowed and refused.
 type RetryBudgetCounters struct {
 	Calls, Retries, Refused, HedgesRefused uint64
 }
@@ -57,20 +57,20 @@
 	counters RetryBudgetCounters
 }
 
-// Counters returns what was allowed and refused so far.
+// Counters returns the counts so far.
 func (b *RetryBudget) Counters() RetryBudgetCounters { return b.counters }
 
 // Call records the first attempt of a call of c at time now.
 func (b *RetryBudget) Call(now time.Duration, c structs.Customer) {
 	b.counters.Calls++
-	a := b.of(now, c)
-	a.tokens = min(a.tokens+retryEarned, retryBurst)
+	a := b.budgetFor(now, c)
+	a.tokens = min(a.tokens+retryPerCall, retryBurst)
 }
 
-// Retry takes one token for a second attempt, and reports whether it may be
-// made. When not, the caller gets its final answer at once.
+// Retry takes one token for a second attempt and reports whether the attempt may
+// be made. If not, the caller gets its final answer at once.
 func (b *RetryBudget) Retry(now time.Duration, c structs.Customer) bool {
-	a := b.of(now, c)
+	a := b.budgetFor(now, c)
 	if a.tokens < 1 {
 		b.counters.Refused++
 		return false
@@ -80,48 +80,48 @@
 	return true
 }
 
-// Hedge reports whether a second copy may be sent while the first still runs:
-// only of an idempotent call, only once the first has taken longer than it
-// should have (the usual slowest twentieth, p95), and only with a token above
-// a reserve, which shrinks with the time that the call has waited.
+// Hedge reports whether a second copy of a call may be sent while the first still
+// runs, and takes a token if so: only for an idempotent call, only once the first
+// has taken the 95th percentile of such calls, p95, and only with a token above a
+// reserve, which shrinks with the time that the call has waited.
 func (b *RetryBudget) Hedge(now time.Duration, c structs.Customer, idempotent bool, waited, p95, remaining time.Duration) bool {
 	if !idempotent || p95 <= 0 || waited < p95 || remaining <= 0 {
 		return false
 	}
 	reserve := hedgeReserve * float64(p95) / float64(waited)
-	if b.of(now, c).tokens < reserve+1 {
+	if b.budgetFor(now, c).tokens < reserve+1 {
 		b.counters.HedgesRefused++
 		return false
 	}
 	return b.Retry(now, c)
 }
 
-func (b *RetryBudget) of(now time.Duration, c structs.Customer) *budget {
+func (b *RetryBudget) budgetFor(now time.Duration, c structs.Customer) *budget {
 	if b.budgets == nil {
 		b.budgets = make(map[structs.Customer]*budget)
 	}
 	a := b.budgets[c]
 	if a == nil {
 		if len(b.budgets) >= maxBudgets {
-			b.forgetOldest()
+			b.evictOldest()
 		}
-		a = &budget{tokens: 1, at: now}
+		a = &budget{tokens: 1, updated: now}
 		b.budgets[c] = a
 		return a
 	}
-	if now > a.at {
-		a.tokens = min(a.tokens+(now-a.at).Seconds()*retryTrickle, retryBurst)
-		a.at = now
+	if now > a.updated {
+		a.tokens = min(a.tokens+(now-a.updated).Seconds()*retryRefill, retryBurst)
+		a.updated = now
 	}
 	return a
 }
 
-func (b *RetryBudget) forgetOldest() {
+func (b *RetryBudget) evictOldest() {
 	var oldest structs.Customer
-	at := time.Duration(1 << 62)
+	updated := time.Duration(1 << 62)
 	for c, a := range b.budgets {
-		if a.at < at || a.at == at && c < oldest {
-			oldest, at = c, a.at
+		if a.updated < updated || a.updated == updated && c < oldest {
+			oldest, updated = c, a.updated
 		}
 	}
 	delete(b.budgets, oldest)
--- a/decide/scorer.go
+++ b/decide/scorer.go
@@ -7,88 +7,88 @@
 // Weights of a placement's score; lower is better.
 const (
 	harmWeight = 1.0
-	// strainWeight makes harm count for more where a service is already
+	// strainWeight increases the weight of harm where a service is already
 	// disturbed: the slowest answers come from the most disturbed instances.
 	strainWeight = 1.0
 	// fitWeight prefers the fuller instance among equally harmed ones, so that
-	// room for large jobs stays whole.
+	// others keep free capacity for large jobs.
 	fitWeight = 0.05
 	// idleWeight is the part of a service's harm that counts even while no
-	// call runs, since calls may come.
+	// call runs, since calls may arrive.
 	idleWeight = 0.25
 	// A task is not placed where a service would be disturbed beyond
-	// ownInflation; one that its customer holds beyond its share must keep to
-	// borrowedInflation, so that a flood is not felt by others.
-	ownInflation      = 2.3
-	borrowedInflation = 1.3
-	// negligibleHarm never keeps a task out.
+	// maxOwnInflation or, for a task beyond its customer's share,
+	// maxBorrowedInflation, so that a flood does not slow down others.
+	maxOwnInflation      = 2.3
+	maxBorrowedInflation = 1.3
+	// negligibleHarm is the harm up to which a task is never excluded.
 	negligibleHarm = 0.025
 )
 
-// served is one service on one instance within a round. service indexes
+// serviceEntry is one service on one instance within a round. service indexes
 // scorer.services.
-type served struct {
+type serviceEntry struct {
 	service   int32
 	band      LoadBand
 	weight    float64
 	inflation float64
-	// quiet: no call runs, and none has for so long that its duration is
-	// forgotten. There is nobody to disturb, so no task is kept out for it.
-	quiet bool
+	// idle is set if no call runs and the last one ended so long ago that the
+	// service has no measured time: tasks are not excluded, as no call is disturbed.
+	idle bool
 }
 
-// unknownHarm marks a cell of the table that this round hasn't needed yet.
+// unknownHarm marks a cell of the table that has not been computed yet.
 const unknownHarm = -1
 
-// maxNames bounds the names that are kept between rounds.
+// maxNames bounds the kinds and the services kept between rounds.
 const maxNames = 4096
 
-// scorer rates instances for one kind of task. Services and kinds become small
-// numbers, and predictions a table, so that rating an instance reads no map.
-// Per instance it works out the present inflation once a round, at first use.
+// scorer rates instances for one kind of task. Services and kinds are numbered
+// and predictions cached in a table, so that rating an instance reads no map. The
+// present inflation on an instance is computed once a round, at first use.
 type scorer struct {
-	model    *Interference
-	round    uint64
-	seen     []uint64
-	first    []int32
-	entries  []served
-	kinds    map[structs.Kind]int32
-	names    []structs.Kind
-	services map[structs.Service]int32
-	serving  []structs.Service
-	// harms is indexed by service, band and kind.
-	harms  []float64
-	stride int
+	model         *Interference
+	round         uint64
+	preparedRound []uint64
+	firstEntry    []int32
+	entries       []serviceEntry
+	kinds         map[structs.Kind]int32
+	kindNames     []structs.Kind
+	services      map[structs.Service]int32
+	serviceNames  []structs.Service
+	// harmTable is indexed by service, band and kind.
+	harmTable []float64
+	stride    int
 }
 
 func (s *scorer) reset(v *BatchView, m *Interference) {
 	s.model = m
 	s.round++
 	s.entries = s.entries[:0]
-	for len(s.seen) < len(v.Instances) {
-		s.seen = append(s.seen, 0)
-		s.first = append(s.first, 0)
+	for len(s.preparedRound) < len(v.Instances) {
+		s.preparedRound = append(s.preparedRound, 0)
+		s.firstEntry = append(s.firstEntry, 0)
 	}
-	if s.kinds == nil || len(s.names) > maxNames || len(s.serving) > maxNames {
+	if s.kinds == nil || len(s.kindNames) > maxNames || len(s.serviceNames) > maxNames {
 		s.kinds = make(map[structs.Kind]int32)
 		s.services = make(map[structs.Service]int32)
-		s.names, s.serving = nil, nil
+		s.kindNames, s.serviceNames = nil, nil
 	}
-	s.stride = len(s.names)
-	s.clearHarms()
+	s.stride = len(s.kindNames)
+	s.clearHarmTable()
 }
 
-func (s *scorer) clearHarms() {
-	for i := range s.harms {
-		s.harms[i] = unknownHarm
+func (s *scorer) clearHarmTable() {
+	for i := range s.harmTable {
+		s.harmTable[i] = unknownHarm
 	}
 }
 
 func (s *scorer) kind(k structs.Kind) int32 {
 	i, ok := s.kinds[k]
 	if !ok {
-		i = int32(len(s.names))
-		s.names = append(s.names, k)
+		i = int32(len(s.kindNames))
+		s.kindNames = append(s.kindNames, k)
 		s.kinds[k] = i
 	}
 	return i
@@ -97,48 +97,48 @@
 func (s *scorer) service(name structs.Service) int32 {
 	i, ok := s.services[name]
 	if !ok {
-		i = int32(len(s.serving))
-		s.serving = append(s.serving, name)
+		i = int32(len(s.serviceNames))
+		s.serviceNames = append(s.serviceNames, name)
 		s.services[name] = i
 	}
 	return i
 }
 
-// harm is the predicted inflation less 1 of a service by one task.
+// harm returns the predicted inflation of a service by one task, less 1.
 func (s *scorer) harm(service int32, b LoadBand, kind int32) float64 {
 	if int(kind) >= s.stride {
-		s.stride = max(2*s.stride, len(s.names))
-		s.clearHarms()
+		s.stride = max(2*s.stride, len(s.kindNames))
+		s.clearHarmTable()
 	}
 	at := (int(service)*int(bandCount)+int(b))*s.stride + int(kind)
-	for at >= len(s.harms) {
-		s.harms = append(s.harms, unknownHarm)
+	for at >= len(s.harmTable) {
+		s.harmTable = append(s.harmTable, unknownHarm)
 	}
-	if s.harms[at] == unknownHarm {
-		s.harms[at] = s.model.Predict(s.serving[service], s.names[kind], b) - 1
+	if s.harmTable[at] == unknownHarm {
+		s.harmTable[at] = s.model.Predict(s.serviceNames[service], s.kindNames[kind], b) - 1
 	}
-	return s.harms[at]
+	return s.harmTable[at]
 }
 
-// present returns the instance's services with their present inflation.
-func (s *scorer) present(v *BatchView, i int) []served {
+// servicesOf returns the instance's services with their present inflation.
+func (s *scorer) servicesOf(v *BatchView, i int) []serviceEntry {
 	in := &v.Instances[i]
-	if s.seen[i] != s.round {
-		s.seen[i] = s.round
-		s.first[i] = int32(len(s.entries))
+	if s.preparedRound[i] != s.round {
+		s.preparedRound[i] = s.round
+		s.firstEntry[i] = int32(len(s.entries))
 		s.prepare(in)
 	}
-	first := int(s.first[i])
-	return s.entries[first : first+len(in.Services)]
+	firstEntry := int(s.firstEntry[i])
+	return s.entries[firstEntry : firstEntry+len(in.Services)]
 }
 
 func (s *scorer) prepare(in *Instance) {
 	first := len(s.entries)
 	for j := range in.Services {
 		l := &in.Services[j]
-		e := served{service: s.service(l.Service), band: BandOf(l.InUse, l.Slots), inflation: 1}
-		e.weight = idleWeight + part(l.InUse, l.Slots)
-		e.quiet = l.InUse == 0 && l.ServiceTime == 0
+		e := serviceEntry{service: s.service(l.Service), band: BandOf(l.InUse, l.Slots), inflation: 1}
+		e.weight = idleWeight + fraction(l.InUse, l.Slots)
+		e.idle = l.InUse == 0 && l.ServiceTime == 0
 		s.entries = append(s.entries, e)
 	}
 	for b := range in.Batch {
@@ -154,36 +154,36 @@
 	}
 }
 
-// score rates instance i for one more task of kind k: the harm it would add to
-// each service, weighted by the service's load and present inflation, and
-// then how well the task fills the instance.
+// score rates instance i for one more task of kind k: the harm added to each
+// service, weighted by the service's load and present inflation, plus a small
+// penalty for capacity left unused.
 //
-// It reports false where a service would be disturbed beyond most.
-func (s *scorer) score(v *BatchView, i int, k int32, need, free structs.Resources, most float64) (float64, bool) {
+// It returns false if a service would be disturbed beyond maxDisturbed.
+func (s *scorer) score(v *BatchView, i int, k int32, need, free structs.Resources, maxDisturbed float64) (float64, bool) {
 	sum := 0.0
 	if s.model != nil {
-		es := s.present(v, i)
+		es := s.servicesOf(v, i)
 		for j := range es {
 			e := &es[j]
 			h := s.harm(e.service, e.band, k)
-			if e.inflation+h > most && h > negligibleHarm && !e.quiet {
+			if e.inflation+h > maxDisturbed && h > negligibleHarm && !e.idle {
 				return 0, false
 			}
 			after := e.inflation + h - 1
 			sum += e.weight * h * (harmWeight + strainWeight*after)
 		}
 	}
-	left := 1 - dominant(need, free)
-	return sum + fitWeight*left, true
+	unused := 1 - dominantShare(need, free)
+	return sum + fitWeight*unused, true
 }
 
-// add notes that a task of kind k was placed on instance i in this round.
+// add records that a task of kind k was placed on instance i in this round.
 func (s *scorer) add(v *BatchView, i int, k structs.Kind) {
 	if s.model == nil {
 		return
 	}
 	kind := s.kind(k)
-	es := s.present(v, i)
+	es := s.servicesOf(v, i)
 	for j := range es {
 		es[j].inflation += s.harm(es[j].service, es[j].band, kind)
 	}
--- a/decide/sizes.go
+++ b/decide/sizes.go
@@ -10,17 +10,17 @@
 // Tuning of Sizes.
 const (
 	sizeSamples = 32
-	sizeEnough  = 4
-	// Memory that runs out kills a task, so its estimate is careful. Processors
-	// are shared: over a few tasks the median is what they use together.
-	memoryQuantile = 0.95
-	coreQuantile   = 0.5
-	timeQuantile   = 0.95
-	sizeMargin     = 1.10
-	maxSizeRows    = 16_384
-	maxMemory      = int64(1) << 50
-	maxMilliCores  = 1 << 24
-	maxRuntime     = 366 * 24 * time.Hour
+	minSizeRuns = 4
+	// Lack of memory kills a task, so its estimate is conservative. Processors
+	// are shared: a few tasks together use about the median each.
+	memoryQuantile  = 0.95
+	coreQuantile    = 0.5
+	runtimeQuantile = 0.95
+	memoryMargin    = 1.10
+	maxSizeRows     = 16_384
+	maxMemory       = int64(1) << 50
+	maxMilliCores   = 1 << 24
+	maxRuntime      = 366 * 24 * time.Hour
 )
 
 type sizeKey struct {
@@ -28,8 +28,8 @@
 	kind     structs.Kind
 }
 
-// ring keeps the last values and a sorted copy, so that reading a quantile
-// costs nothing.
+// ring holds the last values and a sorted copy, so that reading a quantile
+// needs no sort.
 type ring struct {
 	values, sorted [sizeSamples]int64
 	count, next    int
@@ -54,21 +54,22 @@
 	memory, cores, runtime ring
 }
 
-// Sizes learns what jobs really use, per customer and kind: declared sizes are
+// Sizes learns the real use of jobs, per customer and kind: declared sizes are
 // far off in both directions. The zero value is ready for use.
 type Sizes struct {
 	rows    map[sizeKey]*sizeRow
 	dropped uint64
 }
 
-// Dropped counts measurements with negative or absurd values.
+// Dropped returns the number of measurements dropped for negative or absurd
+// values or for lack of a free row.
 func (s *Sizes) Dropped() uint64 { return s.dropped }
 
-// Observe records the largest use of one run and how long it ran, 0 where not
-// known. Only runs that came to their end belong here, or those that were
-// stopped for using too much. It reports false for absurd values.
+// Observe records the peak use and the duration of one run, 0 if unknown. Callers
+// must pass only runs that completed or were stopped for using too much. It
+// returns false if it drops the measurement.
 func (s *Sizes) Observe(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) bool {
-	bad := !sane(used) || used.MemoryBytes > maxMemory || used.MilliCores > maxMilliCores ||
+	bad := !nonNegative(used) || used.MemoryBytes > maxMemory || used.MilliCores > maxMilliCores ||
 		ran < 0 || ran > maxRuntime || k == ""
 	if bad {
 		s.dropped++
@@ -106,31 +107,30 @@
 	return r
 }
 
-// Estimate returns what a job of the customer and kind is expected to use and
-// how long it runs: the 95th percentile of measured memory and a margin, the
-// median of processor use and the 95th percentile of run time, once there are
-// enough runs, else what was declared, or the most memory of fewer runs if that
-// is more. Slots, accelerators and
-// connections are always as declared, since they are handed out whole.
+// Estimate returns the expected use and run time of a job: with enough runs, the
+// 95th percentile of measured memory plus a margin, the median of processor use
+// and the 95th percentile of run time; before that the declared values, or the
+// most memory of the runs so far plus the margin if that is more. Slots,
+// accelerators and connections are as declared, since they are allocated whole.
 func (s *Sizes) Estimate(c structs.Customer, k structs.Kind, declared structs.Resources, runtime time.Duration) (structs.Resources, time.Duration) {
 	r := s.rows[sizeKey{c, k}]
 	if r == nil {
 		return declared, runtime
 	}
-	if n := r.memory.count; n > 0 && n < sizeEnough {
-		// One run proves a declared size too small; that it is too large takes
-		// several.
+	if n := r.memory.count; n > 0 && n < minSizeRuns {
+		// One run proves a declared size too small; only several prove it too
+		// large.
 		most := r.memory.sorted[n-1]
-		declared.MemoryBytes = max(declared.MemoryBytes, int64(sizeMargin*float64(most)))
+		declared.MemoryBytes = max(declared.MemoryBytes, int64(memoryMargin*float64(most)))
 	}
-	if r.memory.count >= sizeEnough {
-		declared.MemoryBytes = int64(sizeMargin * float64(r.memory.quantile(memoryQuantile)))
+	if r.memory.count >= minSizeRuns {
+		declared.MemoryBytes = int64(memoryMargin * float64(r.memory.quantile(memoryQuantile)))
 	}
-	if r.cores.count >= sizeEnough {
+	if r.cores.count >= minSizeRuns {
 		declared.MilliCores = int(r.cores.quantile(coreQuantile))
 	}
-	if r.runtime.count >= sizeEnough {
-		runtime = time.Duration(r.runtime.quantile(timeQuantile))
+	if r.runtime.count >= minSizeRuns {
+		runtime = time.Duration(r.runtime.quantile(runtimeQuantile))
 	}
 	return declared, runtime
 }
