--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -1,8 +1,8 @@
-// Package baseline has plain policies as a careful operator would write them,
-// to compare the project's own with: least loaded without interference, a
-// static split of slots between urgent calls and batch tasks, and eviction
-// above a threshold without prediction. All serve customers by slots held
-// against share, pass over jobs that don't fit, and trust declared sizes.
+// Package baseline contains simple policies, as a careful operator would write
+// them, to compare with the project's own: least loaded without interference, a
+// static split of slots between urgent calls and batch tasks, and eviction above
+// a threshold without prediction. All serve customers by slots held relative to
+// share, skip jobs that don't fit, and trust declared sizes.
 package baseline
 
 import (
@@ -13,14 +13,14 @@
 	"persimmonrock.example/structs"
 )
 
-// LeastLoaded sends calls and tasks to the instance with most room.
+// LeastLoaded sends calls and tasks to the instance with the most free slots.
 type LeastLoaded struct{}
 
 // Name implements policy.Policy.
 func (LeastLoaded) Name() string { return "least loaded" }
 
-// Urgent takes the instance of the own data centre with the smallest part of
-// its slots in use, or of another one when all are full.
+// Urgent chooses the instance of the local data centre with the smallest part of
+// its slots in use, or one of another data centre when all local ones are full.
 func (LeastLoaded) Urgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	best, bestLoad := -1, 2.0
 	start := int(q.Random % uint64(len(cs)))
@@ -54,21 +54,21 @@
 	return false
 }
 
-// AdmitUrgent needs a free slot.
+// AdmitUrgent admits a call if a slot is free.
 func (LeastLoaded) AdmitUrgent(_ time.Duration, a *policy.Agent, _ structs.Contract) bool {
 	return a.Free.Slots >= 1
 }
 
-// AdmitBatch needs room for the declared size.
+// AdmitBatch admits a task if its declared size fits.
 func (LeastLoaded) AdmitBatch(_ time.Duration, a *policy.Agent, _ structs.Contract, need structs.Resources) bool {
 	return fits(need, a.Free)
 }
 
-// Reserve keeps none.
+// Reserve keeps no slots free.
 func (LeastLoaded) Reserve(time.Duration, *policy.Agent) int { return 0 }
 
-// Place serves the customer that holds least against its share, on the
-// instance with most free slots.
+// Place serves the customer that holds least relative to its share, on the
+// instance with the most free slots.
 func (LeastLoaded) Place(_ time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	return place(v, limit, func(in *decide.Instance) int { return in.Free.Slots })
 }
@@ -108,19 +108,19 @@
 // Name implements policy.Policy.
 func (StaticSplit) Name() string { return "static split" }
 
-// AdmitUrgent keeps calls to their part of the slots.
+// AdmitUrgent limits calls to their part of the slots.
 func (s StaticSplit) AdmitUrgent(_ time.Duration, a *policy.Agent, _ structs.Contract) bool {
 	urgent, _ := held(a)
 	return urgent < a.Total.Slots-s.batchSlots(a.Total)
 }
 
-// AdmitBatch keeps tasks to their part of the slots.
+// AdmitBatch limits tasks to their part of the slots.
 func (s StaticSplit) AdmitBatch(_ time.Duration, a *policy.Agent, _ structs.Contract, need structs.Resources) bool {
 	_, batch := held(a)
 	return batch+need.Slots <= s.batchSlots(a.Total) && fits(need, a.Free)
 }
 
-// Place is LeastLoaded's within the batch part.
+// Place places tasks as LeastLoaded does, within the batch part.
 func (s StaticSplit) Place(_ time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	for i := range v.Instances {
 		in := &v.Instances[i]
@@ -146,45 +146,45 @@
 	return urgent, batch
 }
 
-// ThresholdEviction is LeastLoaded, and evicts the task that started last when
-// a service's measured time is above a multiple of the best one seen there.
+// ThresholdEviction is LeastLoaded and evicts the task that started last when a
+// service's measured time is above a multiple of the best one of the service.
 type ThresholdEviction struct {
 	LeastLoaded
-	// Above is the multiple; Pause the time between evictions on an instance.
-	Above float64
-	Pause time.Duration
-	best  map[structs.Service]time.Duration
-	last  map[int]time.Duration
+	// Above is the multiple, Pause the time between evictions on an instance.
+	Above        float64
+	Pause        time.Duration
+	bestTime     map[structs.Service]time.Duration
+	lastEviction map[int]time.Duration
 }
 
-// NewThresholdEviction returns the policy with its usual settings.
+// NewThresholdEviction returns the policy with its default settings.
 func NewThresholdEviction() *ThresholdEviction {
 	return &ThresholdEviction{
-		Above: 2,
-		Pause: 5 * time.Second,
-		best:  make(map[structs.Service]time.Duration),
-		last:  make(map[int]time.Duration),
+		Above:        2,
+		Pause:        5 * time.Second,
+		bestTime:     make(map[structs.Service]time.Duration),
+		lastEviction: make(map[int]time.Duration),
 	}
 }
 
 // Name implements policy.Policy.
 func (*ThresholdEviction) Name() string { return "threshold eviction" }
 
-// Measured remembers the best time of each service.
+// Measured records the best time of each service.
 func (t *ThresholdEviction) Measured(_ time.Duration, m policy.Measurement) {
-	if b := t.best[m.Service]; b == 0 || m.ServiceTime < b {
-		t.best[m.Service] = m.ServiceTime
+	if b := t.bestTime[m.Service]; b == 0 || m.ServiceTime < b {
+		t.bestTime[m.Service] = m.ServiceTime
 	}
 }
 
 // Relieve evicts one task while a service is above the threshold.
 func (t *ThresholdEviction) Relieve(now time.Duration, a *policy.Agent) []decide.Action {
-	if last, ok := t.last[a.Index]; ok && now-last < t.Pause || len(a.Tasks) == 0 {
+	if lastEviction, ok := t.lastEviction[a.Index]; ok && now-lastEviction < t.Pause || len(a.Tasks) == 0 {
 		return nil
 	}
 	for _, s := range a.Pressure {
-		best := t.best[s.Service]
-		if best == 0 || s.Time <= time.Duration(t.Above*float64(best)) {
+		bestTime := t.bestTime[s.Service]
+		if bestTime == 0 || s.Time <= time.Duration(t.Above*float64(bestTime)) {
 			continue
 		}
 		youngest := &a.Tasks[0]
@@ -193,34 +193,34 @@
 				youngest = &a.Tasks[i]
 			}
 		}
-		t.last[a.Index] = now
+		t.lastEviction[a.Index] = now
 		return []decide.Action{{Kind: decide.ActionEvict, Job: youngest.Job, Epoch: youngest.Epoch, Reason: decide.ReasonPressure}}
 	}
 	return nil
 }
 
-// place serves, up to limit times, the customer that holds fewest slots
-// against its share, and puts its first job that fits where room is greatest.
-func place(v *decide.BatchView, limit int, room func(*decide.Instance) int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
+// place serves the customer that holds the fewest slots relative to its share and
+// puts its first job that fits where capacity is greatest, up to limit times.
+func place(v *decide.BatchView, limit int, capacity func(*decide.Instance) int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	var placed []decide.Placement
 	queues := make(map[structs.Customer][]int)
-	slots := make(map[structs.Customer]int)
-	var names []structs.Customer
+	heldSlots := make(map[structs.Customer]int)
+	var customers []structs.Customer
 	for i := range v.Queue {
 		c := v.Queue[i].Customer
 		if queues[c] == nil {
-			names = append(names, c)
-			slots[c] = v.Held[c].Slots
+			customers = append(customers, c)
+			heldSlots[c] = v.Held[c].Slots
 		}
 		queues[c] = append(queues[c], i)
 	}
 	for len(placed) < limit {
 		var next structs.Customer
 		least := -1.0
-		for _, c := range names {
-			held := float64(slots[c]) / v.Contracts[c].Share
-			if len(queues[c]) > 0 && (least < 0 || held < least) {
-				next, least = c, held
+		for _, c := range customers {
+			ratio := float64(heldSlots[c]) / v.Contracts[c].Share
+			if len(queues[c]) > 0 && (least < 0 || ratio < least) {
+				next, least = c, ratio
 			}
 		}
 		if least < 0 {
@@ -229,19 +229,19 @@
 		i := queues[next][0]
 		queues[next] = queues[next][1:]
 		w := &v.Queue[i]
-		at := -1
+		target := -1
 		for j := range v.Instances {
 			in := &v.Instances[j]
-			if !in.Draining && fits(w.Need, in.Free) && (at < 0 || room(in) > room(&v.Instances[at])) {
-				at = j
+			if !in.Draining && fits(w.Need, in.Free) && (target < 0 || capacity(in) > capacity(&v.Instances[target])) {
+				target = j
 			}
 		}
-		if at < 0 {
+		if target < 0 {
 			continue
 		}
-		take(&v.Instances[at].Free, w.Need)
-		slots[next] += w.Need.Slots
-		placed = append(placed, decide.Placement{Job: w.Job, Instance: v.Instances[at].ID, Index: i})
+		subtract(&v.Instances[target].Free, w.Need)
+		heldSlots[next] += w.Need.Slots
+		placed = append(placed, decide.Placement{Job: w.Job, Instance: v.Instances[target].ID, Index: i})
 	}
 	return placed, nil
 }
@@ -250,7 +250,7 @@
 	return need.Slots <= free.Slots && need.MilliCores <= free.MilliCores && need.MemoryBytes <= free.MemoryBytes
 }
 
-func take(free *structs.Resources, need structs.Resources) {
+func subtract(free *structs.Resources, need structs.Resources) {
 	free.Slots -= need.Slots
 	free.MilliCores -= need.MilliCores
 	free.MemoryBytes -= need.MemoryBytes
