--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -1,6 +1,6 @@
-// Package relief keeps batch tasks from disturbing the services of an
-// instance: it learns how kinds disturb services from what ran together in
-// each measured window, and throttles first and evicts last.
+// Package relief keeps batch tasks from disturbing the services of an instance:
+// it learns how kinds of task disturb services from the tasks that ran in each
+// measured window, and throttles first and evicts last.
 package relief
 
 import (
@@ -18,64 +18,65 @@
 
 // Tuning of the controller.
 const (
-	// Every is the time between looks; it is also the measured window.
+	// Every is the time between checks; it is also the measured window.
 	Every = time.Second
-	// keep is how far back what ran together is remembered.
-	keep = time.Minute
+	// historyRetention is the time for which the history of tasks is kept.
+	historyRetention = time.Minute
 )
 
-// StepRelief marks a decision in the time line.
+// StepRelief marks a decision in a job's timeline.
 const StepRelief structs.Step = "task-relief"
 
-// Controller decides about the tasks of one instance.
+// Controller throttles and evicts the tasks of one instance.
 type Controller struct {
-	ledger *ledger.Ledger
-	tasks  *tasks.Manager
-	events structs.Recorder
-	log    zerolog.Logger
-	memory int64
+	ledger      *ledger.Ledger
+	tasks       *tasks.Manager
+	events      structs.Recorder
+	log         zerolog.Logger
+	memoryBytes int64
 
-	mu      sync.Mutex
-	start   time.Time
-	looked  time.Duration
-	history *decide.History
-	model   *decide.Interference
-	state   decide.ReliefMemory
-	scratch []decide.Together
-	samples samples
+	mu        sync.Mutex
+	start     time.Time
+	lastCheck time.Duration
+	history   *decide.History
+	model     *decide.Interference
+	state     decide.ReliefMemory
+	buffer    []decide.Together
+	samples   samples
 }
 
-// New returns a controller for an instance with the given memory in bytes. It
-// follows the tasks of m from now on.
-func New(l *ledger.Ledger, m *tasks.Manager, memory int64, events structs.Recorder, log zerolog.Logger) *Controller {
+// New returns a controller for an instance with the given memory in bytes, and
+// sets m.Changed to track the speeds of the tasks of m.
+func New(l *ledger.Ledger, m *tasks.Manager, memoryBytes int64, events structs.Recorder, log zerolog.Logger) *Controller {
 	c := &Controller{
-		ledger: l, tasks: m, events: events, log: log, memory: memory, start: time.Now(),
-		history: decide.NewHistory(keep), model: decide.NewInterference(), samples: newSamples(),
+		ledger: l, tasks: m, events: events, log: log, memoryBytes: memoryBytes, start: time.Now(),
+		history: decide.NewHistory(historyRetention), model: decide.NewInterference(), samples: newSamples(),
 	}
-	m.Changed = c.changed
+	m.Changed = c.recordSpeedChange
 	return c
 }
 
-// changed records that the speed at which tasks of a kind run has changed.
-func (c *Controller) changed(k structs.Kind, delta float64) {
+// recordSpeedChange records that the total speed of the tasks of kind k changed
+// by delta.
+func (c *Controller) recordSpeedChange(k structs.Kind, delta float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.history.Add(time.Since(c.start), k, delta)
 }
 
-// Run looks at the instance until ctx ends.
+// Run checks the instance every Every until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(Every):
-			c.look(ctx)
+			c.check(ctx)
 		}
 	}
 }
 
-func (c *Controller) look(ctx context.Context) {
+func (c *Controller) check(ctx context.Context) {
 	windows := c.ledger.Windows()
 	running := c.tasks.States()
 	for i := range running {
@@ -93,12 +94,12 @@
 	}
 }
 
-// decide learns from the windows and returns what to do.
+// decide learns from the windows and returns the actions to take.
 func (c *Controller) decide(windows []ledger.Window, running []decide.RunningTask, owed ledger.Owed) []decide.Action {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Since(c.start)
-	state := decide.ReliefState{Tasks: running, MemoryBytes: c.memory, SlotsOwed: owed.Slots, CallsOwed: owed.Calls}
+	state := decide.ReliefState{Tasks: running, MemoryBytes: c.memoryBytes, SlotsOwed: owed.Slots, CallsOwed: owed.Calls}
 	for _, w := range windows {
 		c.history.SetLoad(now, w.Service, w.InUse)
 		c.learn(now, w)
@@ -106,19 +107,19 @@
 			Service: w.Service, Target: w.Target, Time: w.Median, InUse: w.InUse, Slots: w.Slots,
 		})
 	}
-	c.looked = now
+	c.lastCheck = now
 	return append([]decide.Action(nil), decide.Relieve(now, state, c.model, &c.state)...)
 }
 
-// learn takes a window as a sample of what ran while its calls ran: they began
-// up to their own duration before the window.
+// learn observes a window as a sample of the tasks that ran beside its calls.
+// The calls began up to their own duration before the window.
 func (c *Controller) learn(now time.Duration, w ledger.Window) {
-	if w.Calls == 0 || c.looked == 0 {
+	if w.Calls == 0 || c.lastCheck == 0 {
 		return
 	}
-	from := max(0, c.looked-w.Median)
-	together, inUse, ok := c.history.Window(now, from, now, w.Service, c.scratch)
-	c.scratch = together
+	from := max(0, c.lastCheck-w.Median)
+	together, inUse, ok := c.history.Window(now, from, now, w.Service, c.buffer)
+	c.buffer = together
 	if !ok {
 		return
 	}
@@ -127,19 +128,19 @@
 		ServiceTime: w.Median, Calls: w.Calls, Together: together,
 	}
 	if c.model.Observe(sample) {
-		c.samples.keep(now, sample)
+		c.samples.record(now, sample)
 	}
 }
 
-// Sample returns the measurement that the receiver described by sent should
-// get next, at most one, and notes it in sent as sent.
+// Sample returns the next measurement, at most one, for the receiver described
+// by sent, and records it in sent.
 func (c *Controller) Sample(sent Sent) []wire.Sample {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.samples.next(sent)
 }
 
-// Counters returns what was learnt and dropped.
+// Counters returns the counts of learnt and dropped samples.
 func (c *Controller) Counters() decide.InterferenceCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/relief/relief_test.go
+++ b/agent/relief/relief_test.go
@@ -12,32 +12,32 @@
 	"persimmonrock.example/structs"
 )
 
-// Noisy tasks arrive beside a quick check, whose answers then take three times
-// as long. The tasks are throttled within seconds, and one is evicted only
-// when that has failed for long.
+// Noisy tasks start beside a service whose calls then take three times as long.
+// They must be throttled within seconds, and one may be evicted only at least 10 s
+// after throttling began.
 func TestThrottleFirstEvictLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := ledger.New(ledger.Config{Total: structs.Resources{Slots: 8}})
 		c := New(l, tasks.New(tasks.Config{}, tasks.Deps{}), 0, structs.NoEvents{}, zerolog.Nop())
 		began := time.Now()
-		look := func(median time.Duration, running []decide.RunningTask) []decide.Action {
+		check := func(median time.Duration, running []decide.RunningTask) []decide.Action {
 			time.Sleep(Every)
 			return c.decide([]ledger.Window{{Service: "s", InUse: 2, Slots: 8, Calls: 50, Median: median}}, running, ledger.Owed{})
 		}
 		for range 60 {
-			if a := look(10*time.Millisecond, nil); len(a) > 0 {
+			if a := check(10*time.Millisecond, nil); len(a) > 0 {
 				t.Fatalf("actions without tasks: %+v", a)
 			}
 		}
 		running := make([]decide.RunningTask, 4)
 		for i := range running {
 			running[i] = decide.RunningTask{Job: structs.JobID(rune('a' + i)), Epoch: 1, Kind: "noisy", Ran: time.Minute, Speed: 1, Slots: 1}
-			c.changed("noisy", 1)
+			c.recordSpeedChange("noisy", 1)
 		}
 		arrived := time.Since(began)
 		var throttled, evicted time.Duration
 		for range 40 {
-			for _, a := range look(30*time.Millisecond, running) {
+			for _, a := range check(30*time.Millisecond, running) {
 				at := time.Since(began) - arrived
 				switch {
 				case a.Kind == decide.ActionThrottle && throttled == 0:
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	// informativeCalls is how many calls make a window worth sending; calls
-	// differ in size, so fewer say little about the tasks beside them.
-	informativeCalls = 3
-	// poorAfter is from when on a window of fewer calls is better than the
-	// last informative one.
-	poorAfter = 10 * time.Second
-	// countStep rounds the counts of tasks: a number of few bits takes two or
-	// three bytes of a heartbeat, an exact mean takes nine.
-	countStep = 1.0 / 16
+	// minInformativeCalls is the number of calls that make a window worth
+	// sending; calls differ in size, so fewer prove little about the tasks.
+	minInformativeCalls = 3
+	// maxInformativeAge is the age at which a window of fewer calls replaces the
+	// last sample.
+	maxInformativeAge = 10 * time.Second
+	// countResolution is the unit to which counts of tasks are rounded: a number
+	// of few bits takes two or three bytes of a heartbeat, an exact mean nine.
+	countResolution = 1.0 / 16
 )
 
-// kept is the measurement of one service that heartbeats may carry.
-type kept struct {
+// numberedSample is the measurement of one service for heartbeats to carry.
+type numberedSample struct {
 	sample wire.Sample
 	number uint64
 	at     time.Duration
 }
 
-// samples holds the latest informative measurement of each service.
+// samples holds the latest recorded measurement of each service.
 type samples struct {
-	last   uint64
-	latest map[structs.Service]kept
+	lastNumber uint64
+	latest     map[structs.Service]numberedSample
 }
 
-func newSamples() samples { return samples{latest: make(map[structs.Service]kept)} }
+func newSamples() samples { return samples{latest: make(map[structs.Service]numberedSample)} }
 
-func (s *samples) keep(now time.Duration, one decide.Sample) {
-	before, known := s.latest[one.Service]
-	if known && one.Calls < informativeCalls && now-before.at < poorAfter {
+func (s *samples) record(now time.Duration, observed decide.Sample) {
+	before, known := s.latest[observed.Service]
+	if known && observed.Calls < minInformativeCalls && now-before.at < maxInformativeAge {
 		return
 	}
-	s.last++
-	s.latest[one.Service] = kept{sample: toWire(one), number: s.last, at: now}
+	s.lastNumber++
+	s.latest[observed.Service] = numberedSample{sample: toWire(observed), number: s.lastNumber, at: now}
 }
 
-// Sent is, for one receiver, the number of the last measurement of each service
-// that it was sent.
+// Sent holds, for one receiver, the number of the last measurement of each
+// service sent to it.
 type Sent map[structs.Service]uint64
 
-// next returns the newest measurement of the service that waits longest.
+// next returns the newest measurement of the service that has waited longest,
+// and records it in sent.
 func (s *samples) next(sent Sent) []wire.Sample {
-	best := kept{}
+	best := numberedSample{}
 	for name, k := range s.latest {
 		if k.number <= sent[name] {
 			continue
@@ -70,11 +71,11 @@
 	return []wire.Sample{best.sample}
 }
 
-// toWire copies a sample; the history's buffer is used again.
-func toWire(one decide.Sample) wire.Sample {
-	out := wire.Sample{Service: one.Service, Band: uint8(one.Band), ServiceTime: one.ServiceTime, Calls: one.Calls}
-	for _, t := range one.Together {
-		if count := math.Round(t.Count/countStep) * countStep; count > 0 {
+// toWire copies a sample, since the history reuses its buffer.
+func toWire(sample decide.Sample) wire.Sample {
+	out := wire.Sample{Service: sample.Service, Band: uint8(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls}
+	for _, t := range sample.Together {
+		if count := math.Round(t.Count/countResolution) * countResolution; count > 0 {
 			out.Together = append(out.Together, wire.Together{Kind: t.Kind, Count: count})
 		}
 	}
--- a/agent/relief/samples_test.go
+++ b/agent/relief/samples_test.go
@@ -17,18 +17,18 @@
 	return out
 }
 
-// An entry never hears of one of three services since the busier ones' windows
-// are always newer. The service that waits longest goes first, and nothing is
-// sent twice.
+// Failure guarded against: an entry never receives the sample of one of three
+// services because the busier ones' windows are always newer. The service that
+// waits longest must be sent first, and no sample twice.
 func TestEachServiceIsSentInTurnAndOnce(t *testing.T) {
 	s, sent := newSamples(), make(Sent)
 	for _, name := range []structs.Service{"a", "b", "c"} {
-		s.keep(time.Second, decide.Sample{Service: name, Calls: 9, ServiceTime: time.Second})
+		s.record(time.Second, decide.Sample{Service: name, Calls: 9, ServiceTime: time.Second})
 	}
 	var order []structs.Service
 	for range 4 {
 		order = append(order, services(s.next(sent))...)
-		s.keep(time.Second, decide.Sample{Service: "a", Calls: 9, ServiceTime: time.Second})
+		s.record(time.Second, decide.Sample{Service: "a", Calls: 9, ServiceTime: time.Second})
 	}
 	if want := []structs.Service{"a", "b", "c", "a"}; !slices.Equal(order, want) {
 		t.Errorf("sent %v, want %v", order, want)
@@ -41,19 +41,19 @@
 
 func TestWindowOfFewCallsReplacesOnlyAnOldOne(t *testing.T) {
 	s := newSamples()
-	keep := func(at time.Duration, calls int) int {
-		s.keep(at, decide.Sample{Service: "a", Calls: calls, ServiceTime: time.Second, Together: []decide.Together{{Kind: "k", Count: 1.03}, {Kind: "gone", Count: 0.01}}})
+	record := func(at time.Duration, calls int) int {
+		s.record(at, decide.Sample{Service: "a", Calls: calls, ServiceTime: time.Second, Together: []decide.Together{{Kind: "k", Count: 1.03}, {Kind: "gone", Count: 0.01}}})
 		return s.latest["a"].sample.Calls
 	}
-	if n := keep(0, 1); n != 1 {
+	if n := record(0, 1); n != 1 {
 		t.Errorf("first window: %d calls", n)
 	}
-	keep(time.Second, 9)
-	if n := keep(2*time.Second, 1); n != 9 {
+	record(time.Second, 9)
+	if n := record(2*time.Second, 1); n != 9 {
 		t.Errorf("a window of one call replaced one of nine: %d", n)
 	}
-	if n := keep(time.Second+poorAfter, 1); n != 1 {
-		t.Errorf("an old window is kept for ever: %d", n)
+	if n := record(time.Second+maxInformativeAge, 1); n != 1 {
+		t.Errorf("an old window is kept forever: %d", n)
 	}
 	if got, want := s.latest["a"].sample.Together, []wire.Together{{Kind: "k", Count: 1}}; !slices.Equal(got, want) {
 		t.Errorf("rounded to %+v", got)
