--- a/entry/scheduler/advice.go
+++ b/entry/scheduler/advice.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// adviceWorkers is the most workers of one question; the service takes
-	// its time for each.
+	// adviceWorkers is the most workers of one request; the service needs some
+	// time for each.
 	adviceWorkers = 30
-	// adviceQueue bounds the questions that wait.
+	// adviceQueue bounds the waiting requests.
 	adviceQueue = 16
-	// adviceRetry is the pause of a step after a question that failed, or
-	// that found no worker.
+	// adviceRetry is the pause after a request that failed or permitted no
+	// worker.
 	adviceRetry = 300 * time.Millisecond
-	// ticketLeft is the time that a ticket must still hold when a task is
-	// placed: it has to reach the worker.
-	ticketLeft = 400 * time.Millisecond
+	// ticketMargin is the least remaining validity of a ticket when a task is
+	// placed: the ticket has to reach the worker.
+	ticketMargin = 400 * time.Millisecond
 )
 
-// advice is what the policy service has said about a step.
+// advice holds the policy service's answers about a step.
 type advice struct {
-	// asking says that a question is under way.
-	asking  bool
+	// pending says that a request is under way.
+	pending bool
 	retryAt time.Time
 	tickets map[workload.WorkerID]ticket
-	// bad are the workers that may not run the step; that never changes.
-	bad map[workload.WorkerID]bool
+	// denied are the workers that may not run the step; a denial never changes.
+	denied map[workload.WorkerID]bool
 }
 
 type ticket struct {
@@ -38,26 +38,26 @@
 	until time.Time
 }
 
-// adviceQuestion asks about a step.
-type adviceQuestion struct {
+// adviceRequest asks which workers may run a step.
+type adviceRequest struct {
 	step    policy.Step
 	advice  *advice
 	workers []workload.WorkerID
 }
 
-// ticket returns the permission of a worker, if it holds for long enough.
+// ticket returns a worker's permission, and whether it is valid long enough.
 func (a *advice) ticket(w workload.WorkerID, now time.Time) (string, bool) {
 	k, ok := a.tickets[w]
-	return k.value, ok && now.Add(ticketLeft).Before(k.until)
+	return k.value, ok && now.Add(ticketMargin).Before(k.until)
 }
 
-// advised bars the workers without a valid ticket for a step of a queue that
-// needs one, and asks for tickets if too few have one. It returns what lifts
-// the bar.
-func (t *Term) advised(v *view, j *job, o *occurrence, si int) func() {
+// barUnpermitted bars the workers without a valid ticket for a step of a queue
+// that needs one, and requests tickets if no worker with one has capacity. It
+// returns a function that lifts the bars.
+func (t *Term) barUnpermitted(v *view, j *job, o *occurrence, si int) func() {
 	s := o.steps[si]
 	if s.advice == nil {
-		s.advice = &advice{tickets: map[workload.WorkerID]ticket{}, bad: map[workload.WorkerID]bool{}}
+		s.advice = &advice{tickets: map[workload.WorkerID]ticket{}, denied: map[workload.WorkerID]bool{}}
 	}
 	now := time.Now()
 	var barred []int
@@ -79,27 +79,27 @@
 		}
 	}
 	if !usable {
-		t.ask(v, barred, s, policy.Step{Job: j.spec.ID, Occurrence: o.number, Step: si}, now)
+		t.queueAdviceRequest(v, barred, s, policy.Step{Job: j.spec.ID, Occurrence: o.number, Step: si}, now)
 	}
 	return lift
 }
 
-// ask queues a question about the workers with the most room that are not
-// known to be bad.
-func (t *Term) ask(v *view, among []int, s *step, id policy.Step, now time.Time) {
+// queueAdviceRequest queues a request about the workers with the most free CPU
+// that are not denied.
+func (t *Term) queueAdviceRequest(v *view, among []int, s *step, id policy.Step, now time.Time) {
 	a := s.advice
-	if a.asking || now.Before(a.retryAt) || t.deps.Policy == nil {
+	if a.pending || now.Before(a.retryAt) || t.deps.Policy == nil {
 		return
 	}
 	var fit []int
 	for _, i := range among {
 		c := &v.candidates[i]
-		if !a.bad[v.workers[i].id] && s.spec.Reserved().Fits(c.Free) && v.workers[i].info.HasLabel(s.spec.Label) {
+		if !a.denied[v.workers[i].id] && s.spec.Reserved().Fits(c.Free) && v.workers[i].info.HasLabel(s.spec.Label) {
 			fit = append(fit, i)
 		}
 	}
 	sort.Slice(fit, func(x, y int) bool { return v.candidates[fit[x]].Free.CPU > v.candidates[fit[y]].Free.CPU })
-	q := adviceQuestion{step: id, advice: a}
+	q := adviceRequest{step: id, advice: a}
 	for _, i := range fit[:min(len(fit), adviceWorkers)] {
 		q.workers = append(q.workers, v.workers[i].id)
 	}
@@ -107,32 +107,32 @@
 		return
 	}
 	select {
-	case t.questions <- q:
-		a.asking = true
+	case t.adviceRequests <- q:
+		a.pending = true
 	default:
 		a.retryAt = now.Add(adviceRetry)
 	}
 }
 
-// adviceLoop puts one question after the other: the service handles one call
-// at a time for each machine.
+// adviceLoop sends one request after the other: the service handles one call at
+// a time for each machine.
 func (t *Term) adviceLoop() {
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
-		case q := <-t.questions:
-			t.putQuestion(t.ctx, q)
+		case q := <-t.adviceRequests:
+			t.requestAdvice(t.ctx, q)
 		}
 	}
 }
 
-func (t *Term) putQuestion(ctx context.Context, q adviceQuestion) {
+func (t *Term) requestAdvice(ctx context.Context, q adviceRequest) {
 	answer, err := t.deps.Policy.Advise(ctx, q.step, q.workers)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	q.advice.asking = false
+	q.advice.pending = false
 	t.deps.Log.Info().Err(err).Str("job", string(q.step.Job)).Int("step", q.step.Step).Int("asked", len(q.workers)).
 		Int("permitted", len(answer.Tickets)).Dur("valid", answer.Valid).Msg("advice")
 	if err != nil || len(answer.Tickets) == 0 {
@@ -145,7 +145,7 @@
 		if value, ok := answer.Tickets[w]; ok {
 			q.advice.tickets[w] = ticket{value: value, until: now.Add(answer.Valid)}
 		} else {
-			q.advice.bad[w] = true
+			q.advice.denied[w] = true
 		}
 	}
 	t.wakeUp()
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -4,22 +4,22 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// pressMore takes into account that a task of s was placed on candidate n.
-func (t *Term) pressMore(v *view, j *job, s *workload.Step, n int) {
+// updatePressure adds the pressure of a task of s placed on candidate n.
+func (t *Term) updatePressure(v *view, j *job, s *workload.Step, n int) {
 	w := v.workers[n]
 	table := t.learner.weights()
 	v.pressure[n] = t.learner.pressureOn(w)
 	v.candidates[n].Pressed, _ = table.pressedBy(w, &v.pressure[n], s, table.column(s.Image))
-	t.learner.trials.note(w, s.Image, table, v.now)
-	if !t.waitedOut(v, j) {
+	t.learner.trials.record(w, s.Image, table, v.now)
+	if !t.waitExpired(v, j) {
 		v.barTrials(&t.learner, s)
 	}
 }
 
 // barPressed bars the workers on whose serving tasks one more task of s would
-// press, if there are others that could hold it. A task does better to wait
-// for room where it may work at full speed than to creep, and to take serving
-// tasks over their targets.
+// press, if others could hold it. A task does better to wait for a worker where
+// it may work at full speed than to run very slowly, and to take serving tasks
+// over their targets.
 func (v *view) barPressed(s *workload.Step) {
 	first := len(v.barred)
 	others := false
@@ -41,7 +41,6 @@
 	}
 }
 
-// liftBars ends the bars of a step.
 func (v *view) liftBars() {
 	for _, i := range v.barred {
 		v.candidates[i].Barred = false
@@ -49,9 +48,9 @@
 	v.barred = v.barred[:0]
 }
 
-// press sets what one more task of s would put on the serving tasks of each
-// candidate.
-func (t *Term) press(v *view, s *workload.Step) {
+// setPressure sets the load that one more task of s would put on the serving
+// tasks of each candidate.
+func (t *Term) setPressure(v *view, s *workload.Step) {
 	if v.pressure == nil {
 		v.pressure = make([]workerPressure, len(v.workers))
 		for i, w := range v.workers {
@@ -60,20 +59,20 @@
 	}
 	table := t.learner.weights()
 	column := table.column(s.Image)
-	tried := t.learner.trials.any(s.Image)
+	tried := t.learner.trials.onTrial(s.Image)
 	for i, w := range v.workers {
 		c := &v.candidates[i]
 		c.Pressed, c.Presses = table.pressedBy(w, &v.pressure[i], s, column)
-		c.Presses = c.Presses || tried && t.learner.trials.elsewhere(w, s.Image, table, v.now)
+		c.Presses = c.Presses || tried && t.learner.trials.onTrialElsewhere(w, s.Image, table, v.now)
 	}
 }
 
-// unlike is the difference of two serving images of which too little is known
-// to tell: about half of all pairs differ.
-const unlike = 0.6
+// unknownDifference is the difference assumed of two serving images of which
+// too little is known: about half of all pairs differ.
+const unknownDifference = 0.6
 
-// mix sets how the serving images on each candidate mix with s's.
-func (t *Term) mix(v *view, s *workload.Step) {
+// setMix sets the difference of the serving images on each candidate from s's.
+func (t *Term) setMix(v *view, s *workload.Step) {
 	for i, w := range v.workers {
 		c := &v.candidates[i]
 		c.Mix, c.SameImage = 0, false
@@ -84,7 +83,7 @@
 			}
 			d, known := t.learner.model.Difference(image, s.Image)
 			if !known {
-				d = unlike
+				d = unknownDifference
 			}
 			c.Mix += d
 		}
--- a/entry/scheduler/commit.go
+++ b/entry/scheduler/commit.go
@@ -13,13 +13,12 @@
 const (
 	// renewEvery is the time between transactions of an idle scheduler.
 	renewEvery = 500 * time.Millisecond
-	// commitGap is the least time between two rounds of transactions. It
-	// gathers the ends and starts of that time in one; the users pay for
-	// each call.
+	// commitGap is the least time between two rounds of transactions. It gathers
+	// the ends and starts of that time in one; the users pay for each call.
 	commitGap = 15 * time.Millisecond
-	// commitRows bounds the rows of a transaction, below what it may hold.
+	// commitRows bounds the rows of a transaction, below the store's limit.
 	commitRows = 80
-	// commitBytes bounds them in bytes before base64.
+	// commitBytes bounds their size in bytes, before base64.
 	commitBytes = 600 << 10
 	// commitRetry is the pause after a transaction that failed.
 	commitRetry    = 40 * time.Millisecond
@@ -36,7 +35,7 @@
 		select {
 		case <-t.ctx.Done():
 			return
-		case <-t.kick:
+		case <-t.wake:
 			t.sleep(commitGap - time.Since(last))
 		case <-timer.C:
 		}
@@ -51,9 +50,9 @@
 			if !t.commit(&r.txns[i]) {
 				return
 			}
-			t.committed(&r.txns[i])
+			t.applyCommitted(&r.txns[i])
 		}
-		t.roundStored(r)
+		t.acknowledgeStored(r)
 		if !timer.Stop() {
 			select {
 			case <-timer.C:
@@ -64,10 +63,11 @@
 	}
 }
 
-// round is what one plan has to store, and what may be done after it.
+// round holds the transactions of one plan, and the ends to acknowledge after
+// them.
 type round struct {
 	txns []txn
-	// ends is the highest end applied before the round, by worker.
+	// ends is the highest number of an end applied before the round, by worker.
 	ends map[*worker]uint64
 }
 
@@ -81,8 +81,7 @@
 type storedJob struct {
 	job   *job
 	state workload.State
-	// placed holds the placements of which the agents may hear once x is
-	// stored.
+	// placed holds the placements to send once the transaction is stored.
 	placed []placedTask
 }
 
@@ -102,18 +101,18 @@
 	t.plan()
 	r := round{ends: map[*worker]uint64{}}
 	for _, w := range t.workers {
-		if w.processed > w.stored {
-			r.ends[w] = w.processed
+		if w.endsApplied > w.endsStored {
+			r.ends[w] = w.endsApplied
 		}
 	}
 	var x txn
 	size := 0
-	if put, due := t.learnt(); due {
+	if put, due := t.learntPut(); due {
 		x.puts = append(x.puts, put)
 		size += len(put.Value)
 	}
 	for _, j := range t.dirty {
-		j.queued = false
+		j.unsaved = false
 		if j.state.Final() && j.final == 0 {
 			j.final = t.storeNow()
 		}
@@ -149,20 +148,20 @@
 	pause := commitRetry
 	for t.ctx.Err() == nil {
 		sent := t.deps.Now()
-		// A process that is told to stop still waits for the answer: only
-		// with the version of its last transaction can it release the lease.
+		// A process that is stopping still waits for the answer: it needs the version
+		// of its last transaction to release the lease.
 		stamp, err := t.deps.Store.Apply(context.WithoutCancel(t.ctx), full)
 		t.deps.Counters.Commits.Add(1)
 		if err == nil {
 			t.deps.Counters.Commit.Observe(t.deps.Now() - sent)
-			t.renewed(lease, stamp.Version, sent, stamp)
+			t.recordRenewal(lease, stamp.Version, sent, stamp)
 			return true
 		}
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
 			if v := ownVersion(conflict, lease); v != 0 {
 				// An attempt without an answer was applied.
-				t.renewed(lease, v, first, rowstore.Stamp{})
+				t.recordRenewal(lease, v, first, rowstore.Stamp{})
 				return true
 			}
 			t.deps.Log.Warn().Uint64("epoch", t.epoch).Msg("term ends: another scheduler has taken the lease")
@@ -176,8 +175,8 @@
 	return false
 }
 
-// ownVersion returns the version of the lease row if it is the one that this
-// transaction wrote, else 0.
+// ownVersion returns the version of the lease row if this transaction wrote it,
+// else 0.
 func ownVersion(conflict *rowstore.ConflictError, want leaseRow) uint64 {
 	row := conflict.Find(leaseKey)
 	var have leaseRow
@@ -187,7 +186,7 @@
 	return row.Version
 }
 
-func (t *Term) renewed(lease leaseRow, version uint64, sent time.Duration, at rowstore.Stamp) {
+func (t *Term) recordRenewal(lease leaseRow, version uint64, sent time.Duration, at rowstore.Stamp) {
 	t.lease, t.leaseVersion = lease, version
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,9 +196,9 @@
 	}
 }
 
-// committed shows clients what x has stored and hands its placements to the
+// applyCommitted shows clients the stored states and hands placements to
 // agents.
-func (t *Term) committed(x *txn) {
+func (t *Term) applyCommitted(x *txn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range x.jobs {
@@ -212,11 +211,11 @@
 		if !s.job.stored.Final() {
 			s.job.stored = s.state
 		}
-		t.orderStored(s)
+		t.sendStored(s)
 	}
 }
 
-// unordered lists the placements of which no agent has heard.
+// unordered lists the placements that were not handed to an agent.
 func unordered(j *job) []placedTask {
 	if j.state.Final() {
 		return nil
@@ -230,8 +229,8 @@
 	return list
 }
 
-// orderStored hands the placements that are stored to their agents.
-func (t *Term) orderStored(x *storedJob) {
+// sendStored queues the stored placements for their agents.
+func (t *Term) sendStored(x *storedJob) {
 	for _, p := range x.placed {
 		k := p.task
 		k.storedRun = max(k.storedRun, p.run)
@@ -247,25 +246,25 @@
 	}
 }
 
-// roundStored lets the workers forget the ends whose effects are stored.
-func (t *Term) roundStored(r round) {
+// acknowledgeStored acknowledges the ends whose effects are stored.
+func (t *Term) acknowledgeStored(r round) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for w, n := range r.ends {
-		w.stored = max(w.stored, n)
+		w.endsStored = max(w.endsStored, n)
 		if w.link != nil {
-			w.link.nudge()
+			w.link.triggerClaim()
 		}
 	}
 }
 
-// release gives the lease up, so that another entry takes over at once.
+// release releases the lease, so that another entry takes over at once.
 func (t *Term) release(ctx context.Context) {
 	lease := t.lease
 	lease.Count++
 	lease.Epoch = t.epoch
 	lease.Released = true
-	lease.Heir = t.heirNode()
+	lease.Successor = t.successorNode()
 	_, err := t.deps.Store.Apply(ctx, rowstore.Txn{
 		Conds: []rowstore.Cond{{Key: leaseKey, Version: t.leaseVersion}},
 		Puts:  []rowstore.Put{{Key: leaseKey, Value: encode(lease)}},
--- a/entry/scheduler/counters.go
+++ b/entry/scheduler/counters.go
@@ -10,31 +10,30 @@
 type Counters struct {
 	// Terms counts the leases taken, Jobs and JobsEnded the jobs.
 	Terms, Jobs, JobsEnded atomic.Int64
-	// Placements, Ends, Void and Lost count runs: on record, ended, never
-	// run, and lost with their worker. Relocated are filling runs that were
-	// stopped to run elsewhere, Regrouped serving ones, Rescued those taken
-	// from workers on which they got on too slowly. Suspected counts how often
-	// a worker got no more tasks that end by themselves, since it failed them.
+	// Placements, Ends, Void and Lost count runs: placed, ended, never run, and
+	// lost with their worker. Relocated are filling runs that were stopped to run
+	// elsewhere, Regrouped serving ones, Rescued those moved off workers on which
+	// they progressed too slowly. Suspected counts how often a worker was
+	// excluded from tasks that end by themselves, since it failed them.
 	Placements, Ends, Void, Lost, Relocated, Regrouped, Rescued, Suspected atomic.Int64
 	// Blamed counts how often a task may have crashed a worker, Quarantined the
-	// runs in quarantine, GivenUp the jobs that failed since they crash workers.
+	// runs in quarantine, GivenUp the jobs failed for their crashes.
 	Blamed, Quarantined, GivenUp atomic.Int64
-	// Drained counts lasting tasks that were moved out of a drained data
-	// centre; Drains is what is drained now.
+	// Drained counts lasting tasks that were moved out of drained data centres;
+	// Drains lists these.
 	Drained atomic.Int64
 	Drains  atomic.Pointer[[]DrainedDataCentre]
-	// Commits counts the transactions and their repeats, CommitErrors those
-	// without success.
+	// Commits counts transactions with retries, CommitErrors those that failed.
 	Commits, CommitErrors atomic.Int64
 	// FirstStart is the time from acceptance to a job's first placement,
 	// Commit that of a transaction, Plan that of a plan with its encoding.
 	FirstStart, Commit, Plan histogram.Latency
-	// Agents is the number of agents that the present term knows of, and
-	// AgentsHeard that of them which answer; both are 0 between terms.
+	// Agents is the number of agents that the present term knows, AgentsHeard the
+	// number of those that answer; both are 0 between terms.
 	Agents, AgentsHeard atomic.Int64
 }
 
-// DrainedDataCentre is a drained data centre and what is still there.
+// DrainedDataCentre is a drained data centre and the work left there.
 type DrainedDataCentre struct {
 	DataCentre string `json:"data_centre"`
 	Workers    int    `json:"workers"`
@@ -52,7 +51,7 @@
 	return []DrainedDataCentre{}
 }
 
-// Figures are the counters as they are shown.
+// Figures returns the counters as they are published.
 func (c *Counters) Figures() map[string]any {
 	return map[string]any{
 		"terms": c.Terms.Load(), "jobs": c.Jobs.Load(), "jobs_ended": c.JobsEnded.Load(), "placements": c.Placements.Load(),
--- a/entry/scheduler/crash_test.go
+++ b/entry/scheduler/crash_test.go
@@ -18,9 +18,9 @@
 	return t
 }
 
-// crash lets a worker crash under fresh runs of the jobs, which were there for
+// crashWorker loses a worker under fresh runs of the jobs, which were there for
 // certain if begun, and had begun within moments if soon.
-func (t *Term) crash(id workload.WorkerID, begun, soon bool, jobs ...workload.JobID) {
+func (t *Term) crashWorker(id workload.WorkerID, begun, soon bool, jobs ...workload.JobID) {
 	w := newWorker(id, "node")
 	t.workers[id] = w
 	fresh := map[workload.RunID]dispatch.FreshRun{}
@@ -34,11 +34,12 @@
 		w.add(r, s.spec)
 		fresh[r] = dispatch.FreshRun{Run: r, Begun: begun, Soon: soon}
 	}
-	t.dead(id, loss{told: true, fresh: fresh})
+	t.removeWorker(id, workerLoss{judged: true, fresh: fresh})
 }
 
-// Failure guarded against: an innocent job is given up with one that crashes workers, or that one never.
-func TestJobIsGivenUpOnlyForCrashesThatItAloneCanHaveCaused(t *testing.T) {
+// Failure guarded against: an innocent job is failed with one that crashes
+// workers, or the latter never is.
+func TestJobFailsOnlyForCrashesItAloneCanCause(t *testing.T) {
 	type crash struct {
 		begun, soon bool
 		jobs        []workload.JobID
@@ -60,7 +61,7 @@
 	for _, c := range cases {
 		term := crashTerm("a", "b")
 		for i, x := range c.crashes {
-			term.crash(workload.WorkerID(rune('0'+i)), x.begun, x.soon, x.jobs...)
+			term.crashWorker(workload.WorkerID(rune('0'+i)), x.begun, x.soon, x.jobs...)
 		}
 		if got := term.jobs["a"].state; got != c.want {
 			t.Errorf("%s: job %s, want %s", c.name, got, c.want)
@@ -68,7 +69,8 @@
 	}
 }
 
-// Failure guarded against: a gang is placed on a worker that has shrunk since it was dedicated to it.
+// Failure guarded against: a gang is placed on a worker that has shrunk since
+// it was dedicated to the gang's job.
 func TestGangWaitsWhereItNoLongerFits(t *testing.T) {
 	now, at := time.Hour, time.Now()
 	term := loadedTerm(&now, workload.Queue{Name: "q", Service: "s"})
@@ -81,7 +83,7 @@
 	term.addJob(workload.Job{ID: "a", Queue: workload.Queue{Name: "q", Service: "s"}, Steps: []workload.Step{gang}})
 	j := term.jobs["a"]
 	v := term.newView()
-	v.serve("s")
+	v.setService("s")
 	term.planQuarantine(v, j, j.occurrences[0], 0, at)
 	if !w.used.Fits(w.info.Capacity) {
 		t.Errorf("%+v of %+v is reserved", w.used, w.info.Capacity)
--- a/entry/scheduler/decisions.go
+++ b/entry/scheduler/decisions.go
@@ -9,15 +9,14 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// The lines of a term about runs. A step of a job has tens of tasks that are
-// placed together and end well one after the other, thousands a second on
-// hundreds of workers: a line each would be more than a process may write, and
-// what was left out would be missing where a request is to be explained. One
-// line therefore tells of all placements of a step in a plan, and one of its
-// completion; the agents tell of each start and end. Ends that change a plan
-// have a line each.
+// The log lines of a term about runs. A step of a job has tens of tasks that
+// are placed together and succeed one after the other, thousands a second on
+// hundreds of workers: a line each would exceed the limit of a process, and
+// lines left out would be missing where a request is to be explained. So one
+// line covers all placements of a step in a plan, and one its completion; the
+// agents log each start and end. Ends that change a plan have a line each.
 
-// logKnown tells of a job that no scheduler has told of before.
+// logKnown logs a job that no scheduler has logged before.
 func (t *Term) logKnown(j *job) {
 	t.deps.Log.Info().Str("job", string(j.spec.ID)).Str("queue", j.spec.Queue.Name).Int("steps", len(j.spec.Steps)).
 		Int64("age_ms", t.storeNow()-j.spec.Accepted).Dur("objective", j.objective()).Msg("job known")
@@ -26,11 +25,11 @@
 // placements lists the runs of one step that a plan has placed.
 type placements struct {
 	runs []string
-	// freeCPU is the least CPU that is left on any of their workers.
+	// freeCPU is the least CPU left free on any of their workers.
 	freeCPU int
 }
 
-// add takes a placement.
+// add appends a placement.
 func (p *placements) add(index, run int, w workload.WorkerID, freeCPU int) {
 	if len(p.runs) == 0 || freeCPU < p.freeCPU {
 		p.freeCPU = freeCPU
@@ -38,7 +37,7 @@
 	p.runs = append(p.runs, logs.PlacedRun{Index: index, Run: run, Worker: string(w)}.String())
 }
 
-// logPlaced tells of the placements of a step and begins the next list.
+// logPlaced logs the placements of a step and resets the list.
 func (t *Term) logPlaced(v *view, j *job, o *occurrence, si int) {
 	if len(v.placed.runs) == 0 {
 		return
@@ -48,7 +47,7 @@
 	v.placed = placements{}
 }
 
-// logDone tells that all tasks of a step are done.
+// logDone logs that all tasks of a step are done.
 func (t *Term) logDone(j *job, s *step, r workload.RunID) {
 	if !s.complete() {
 		return
@@ -57,7 +56,7 @@
 		Int64("age_ms", t.storeNow()-j.spec.Accepted).Str("job_state", string(j.state)).Msg("step done")
 }
 
-// logEnd tells of an end that does not bring its step on.
+// logEnd logs an end that does not advance its step.
 func (t *Term) logEnd(j *job, s *step, k *task, e workload.End, w *worker) {
 	t.deps.Log.Info().Stringer("run", e.Run).Str("how", string(e.Kind)).Str("worker", string(w.id)).Dur("ran", time.Since(k.placedAt)).
 		Dur("estimate", s.spec.Estimate).Str("job_state", string(j.state)).Msg("run ended")
--- a/entry/scheduler/drain.go
+++ b/entry/scheduler/drain.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// drainsFresh is the age up to which the drained data centres are known
-	// well enough to place by.
-	drainsFresh = 2500 * time.Millisecond
-	// leaveEvery is the time between two looks at what is left there.
-	leaveEvery = 400 * time.Millisecond
-	// settledAfter is how long after its placement a lasting task is taken to
-	// be at work.
+	// drainsMaxAge is the age up to which known drains may be used for
+	// placements.
+	drainsMaxAge = 2500 * time.Millisecond
+	// evacuateEvery is the time between two checks for tasks left there.
+	evacuateEvery = 400 * time.Millisecond
+	// settledAfter is the time after its placement at which a lasting task counts
+	// as at work.
 	settledAfter = 3 * time.Second
-	// heardWithin is how long ago an agent must have told of its runs for them
-	// to count as being at work.
-	heardWithin = 2 * time.Second
+	// reportedWithin is the age of an agent's last answer up to which its runs
+	// count as at work.
+	reportedWithin = 2 * time.Second
 )
 
-// followDrains takes what is known of the drained data centres and tells the
-// agents there. It reports whether a plan is needed.
+// updateDrains reads the drained data centres and informs the agents there. It
+// reports whether a plan is needed.
 //
-// Failure guarded against: an entry whose way to the store is partly lost, or
-// that has just taken over, does not know of a drain and goes on placing. So
-// nothing is placed by knowledge that is too old, and the agents there, which
-// have the last word on what starts, refuse what was placed before.
-func (t *Term) followDrains() bool {
+// Failure guarded against: an entry whose connection to the store is partly
+// lost, or that has just taken over, does not know of a drain and goes on
+// placing. So nothing is placed by knowledge that is too old, and the agents
+// there, which decide last on each start, refuse what was placed before.
+func (t *Term) updateDrains() bool {
 	drains, age := t.deps.Drains()
-	if blind := age > drainsFresh; blind != t.blind {
-		t.blind = blind
-		message := "placing goes on"
-		if blind {
-			message = "placing pauses: which data centres are drained is not known"
+	if drainsStale := age > drainsMaxAge; drainsStale != t.drainsStale {
+		t.drainsStale = drainsStale
+		message := "placing resumed"
+		if drainsStale {
+			message = "placing paused: the drained data centres are not known"
 		}
 		t.deps.Log.Warn().Dur("age", age).Msg(message)
 	}
@@ -45,7 +45,7 @@
 		for _, w := range t.workers {
 			t.drainWorker(w)
 		}
-		t.deps.Log.Info().Strs("data_centres", drains.Names()).Int("workers_left", t.openWorkers()).Msg("drains in force")
+		t.deps.Log.Info().Strs("data_centres", drains.Names()).Int("workers_left", t.schedulableWorkers()).Msg("drains in force")
 	}
 	return changed
 }
@@ -58,31 +58,31 @@
 	}
 	w.drained = drained
 	if w.link != nil {
-		w.link.nudge()
+		w.link.triggerClaim()
 	}
 }
 
-// openWorkers counts the workers on which tasks may begin.
-func (t *Term) openWorkers() int {
+// schedulableWorkers counts the workers on which tasks may begin.
+func (t *Term) schedulableWorkers() int {
 	n := 0
 	for _, w := range t.workers {
-		if w.alive && !w.leaving() {
+		if w.alive && !w.draining() {
 			n++
 		}
 	}
 	return n
 }
 
-// countDrained shows what is left in the drained data centres.
+// countDrained publishes the work left in the drained data centres.
 func (t *Term) countDrained() {
 	var list []DrainedDataCentre
 	for _, name := range t.drains.Names() {
-		list = append(list, t.leftIn(name))
+		list = append(list, t.remainingIn(name))
 	}
 	t.deps.Counters.Drains.Store(&list)
 }
 
-func (t *Term) leftIn(dataCentre string) DrainedDataCentre {
+func (t *Term) remainingIn(dataCentre string) DrainedDataCentre {
 	d := DrainedDataCentre{DataCentre: dataCentre}
 	for _, w := range t.workers {
 		if w.info.DataCentre != dataCentre || !w.alive {
@@ -100,16 +100,16 @@
 	return d
 }
 
-// leaveDrained moves lasting tasks out of drained data centres, where another
-// worker has room for them. Tasks that end by themselves stay: a stop and a
-// restore cost them more time than most have left, and nothing is taken from
-// them where they are.
-func (t *Term) leaveDrained() bool {
+// evacuateDrained moves lasting tasks out of drained data centres, where
+// another worker has capacity for them. Tasks that end by themselves stay: a
+// stop and a restore cost them more time than most have left, and they keep
+// their capacity where they are.
+func (t *Term) evacuateDrained() bool {
 	now := t.deps.Now()
-	if !t.loaded || t.blind || len(t.drains.DataCentres) == 0 || now-t.leaving < leaveEvery {
+	if !t.loaded || t.drainsStale || len(t.drains.DataCentres) == 0 || now-t.lastEvacuation < evacuateEvery {
 		return false
 	}
-	t.leaving = now
+	t.lastEvacuation = now
 	v := t.newView()
 	moved := false
 	for _, j := range t.active {
@@ -119,7 +119,7 @@
 		for _, o := range j.occurrences {
 			for si, s := range o.steps {
 				if s.spec.Lasting && !s.spec.Gang {
-					moved = t.leaveStep(v, j, o, si) || moved
+					moved = t.evacuateStep(v, j, o, si) || moved
 				}
 			}
 		}
@@ -127,18 +127,18 @@
 	return moved
 }
 
-// leaveStep moves tasks of one step, as many at a time as may be away.
-func (t *Term) leaveStep(v *view, j *job, o *occurrence, si int) bool {
+// evacuateStep moves tasks of one step, as many at a time as the step may miss.
+func (t *Term) evacuateStep(v *view, j *job, o *occurrence, si int) bool {
 	s := o.steps[si]
 	if !slices.ContainsFunc(s.tasks, func(k task) bool { return t.onDrained(&k) }) {
 		return false
 	}
-	v.serve(j.queue.Service)
+	v.setService(j.queue.Service)
 	v.countStep(s)
 	if s.spec.TailTarget > 0 {
-		t.mix(v, s.spec)
+		t.setMix(v, s.spec)
 	}
-	left := max(1, s.spec.MayMiss) - t.away(s)
+	left := max(1, s.spec.MayMiss) - t.unsettled(s)
 	moved := false
 	for i := range s.tasks {
 		k := &s.tasks[i]
@@ -155,7 +155,7 @@
 		id := workload.TaskID{Job: j.spec.ID, Occurrence: o.number, Step: si, Index: i}
 		t.deps.Counters.Drained.Add(1)
 		t.moveTo(v, movable{id: id, task: k, step: s}, to, "drain")
-		v.take(to, s.spec)
+		v.reserve(to, s.spec)
 		left--
 		moved = true
 	}
@@ -168,8 +168,8 @@
 	return k.state == taskPlaced && !k.stopping && w != nil && w.drained
 }
 
-// away counts the tasks of a lasting step that are not known to be at work.
-func (t *Term) away(s *step) int {
+// unsettled counts the tasks of a lasting step that are not known to be at work.
+func (t *Term) unsettled(s *step) int {
 	n := 0
 	for i := range s.tasks {
 		if !t.settled(&s.tasks[i]) {
@@ -179,10 +179,10 @@
 	return n
 }
 
-// settled reports whether a lasting task is known to be at work: it has begun
-// some time ago, and its agent has told of it lately.
+// settled reports whether a lasting task is known to be at work: it was placed
+// some time ago, and its agent has answered lately.
 func (t *Term) settled(k *task) bool {
 	w := t.workers[k.worker]
 	return k.state == taskPlaced && k.ordered && !k.stopping && time.Since(k.placedAt) >= settledAfter &&
-		w != nil && w.alive && w.link != nil && t.deps.Now()-w.link.heard <= heardWithin
+		w != nil && w.alive && w.link != nil && t.deps.Now()-w.link.lastContact <= reportedWithin
 }
--- a/entry/scheduler/elector.go
+++ b/entry/scheduler/elector.go
@@ -14,37 +14,35 @@
 )
 
 const (
-	// pollEvery is the time between two looks at the lease.
+	// pollEvery is the time between two reads of the lease.
 	pollEvery = 400 * time.Millisecond
-	// stillFor is how long the lease row must have stood still, by looks
-	// that all succeeded, before it is taken over. The holder renews it
-	// every half second; a slow store takes up to 0.9 s a transaction.
-	stillFor = 2200 * time.Millisecond
-	// goneFor replaces stillFor where nothing listens at the holder's
-	// address any more.
-	goneFor = 600 * time.Millisecond
-	// silentFor replaces it where the holder has answered no question for so
-	// long: it is frozen, cut off, or its machine is gone. A holder that only
-	// waits for a slow store answers.
-	silentFor = time.Second
-	// looksPerTxn is how many times as long as a look a transaction may take.
-	looksPerTxn = 4
-	// pingTimeout bounds the question to the holder, leastPing one that is
-	// asked shortly before its silence has lasted for long enough.
-	pingTimeout = 350 * time.Millisecond
-	leastPing   = 100 * time.Millisecond
-	// weakerWait is how long an entry leaves a free lease to the stronger
-	// machines that the last holder's shows to be there: they look within
-	// pollEvery.
+	// staleAfter is the time without a renewal, by reads that all succeeded,
+	// after which the lease is taken over. The holder renews it every half
+	// second; a slow store takes up to 0.9 s for a transaction.
+	staleAfter = 2200 * time.Millisecond
+	// refusedAfter replaces staleAfter if nothing listens at the holder's
+	// address.
+	refusedAfter = 600 * time.Millisecond
+	// unansweredAfter replaces staleAfter if the holder has answered no request
+	// for this long: it is frozen, cut off, or its machine is gone. A holder that
+	// only waits for a slow store answers.
+	unansweredAfter = time.Second
+	// readsPerTxn is the longest duration of a transaction, relative to a read's.
+	readsPerTxn = 4
+	// pingTimeout bounds a request to the holder, minPingTimeout one that is sent
+	// shortly before unansweredAfter has passed.
+	pingTimeout    = 350 * time.Millisecond
+	minPingTimeout = 100 * time.Millisecond
+	// weakerWait is the time for which an entry leaves a free lease to stronger
+	// machines, if the last holder's was one: they read the row within pollEvery.
 	weakerWait = 600 * time.Millisecond
-	// freePoll is the time between two looks at a lease that may soon be
-	// taken.
+	// freePoll is the time between two reads of a lease that may soon be taken.
 	freePoll = 100 * time.Millisecond
-	// takeJitter spreads the entries that find the lease free.
+	// takeJitter spreads the attempts of entries that find the lease free.
 	takeJitter = 60 * time.Millisecond
-	// lookGap is the longest time between two successful looks that still
+	// maxReadGap is the longest time between two successful reads that still
 	// count as one watch.
-	lookGap = 1200 * time.Millisecond
+	maxReadGap = 1200 * time.Millisecond
 )
 
 // Elector watches the lease and serves terms.
@@ -56,7 +54,7 @@
 	// leader is the latest lease row that was read.
 	leader  leaseRow
 	version uint64
-	// link leads to the leader.
+	// link connects to the leader.
 	link *dispatch.Link
 	term *Term
 }
@@ -66,42 +64,43 @@
 	return &Elector{cfg: cfg, deps: deps}
 }
 
-// watch is what an elector has seen of the lease so far.
+// watch is an elector's record of the lease.
 type watch struct {
 	version uint64
-	// since is when this version was first seen, last the latest look.
-	since time.Duration
-	last  time.Duration
-	// begun is when the looks that all succeeded began, asked when the lease
-	// was last asked for, heirUntil until when it is expected.
-	begun     time.Duration
-	asked     time.Duration
-	heirUntil time.Duration
-	// refused is when the holder's address first refused a connection, silent
-	// when it first left a question without an answer.
-	refused time.Duration
-	silent  time.Duration
-	// free is since when the lease may be taken.
-	free time.Duration
-	// took is how long the latest look took.
-	took time.Duration
+	// versionSince is when this version was first read, lastRead the latest read.
+	versionSince time.Duration
+	lastRead     time.Duration
+	// watchedSince is when the present series of successful reads began,
+	// requestedAt when the lease was last requested, successorUntil when its
+	// release is expected at the latest.
+	watchedSince   time.Duration
+	requestedAt    time.Duration
+	successorUntil time.Duration
+	// refusedSince is when the holder's address first refused a connection,
+	// unansweredSince when a request first remained unanswered.
+	refusedSince    time.Duration
+	unansweredSince time.Duration
+	// freeSince is when the lease was first found free.
+	freeSince time.Duration
+	// readTime is the duration of the latest read.
+	readTime time.Duration
 }
 
-// forget drops what was seen of a holder.
-func (w *watch) forget() { w.refused, w.silent, w.free = 0, 0, 0 }
+// resetHolder drops the observations of a holder.
+func (w *watch) resetHolder() { w.refusedSince, w.unansweredSince, w.freeSince = 0, 0, 0 }
 
-// patience is how long a question to the holder at now waits for its answer:
-// not much beyond the moment in which its silence has lasted for long enough.
-func (w *watch) patience(now time.Duration) time.Duration {
-	if w.silent == 0 {
+// answerTimeout bounds the wait for an answer to a request sent at now: not
+// much beyond the moment at which unansweredAfter has passed.
+func (w *watch) answerTimeout(now time.Duration) time.Duration {
+	if w.unansweredSince == 0 {
 		return pingTimeout
 	}
-	return min(pingTimeout, max(leastPing, w.silent+silentFor-now))
+	return min(pingTimeout, max(minPingTimeout, w.unansweredSince+unansweredAfter-now))
 }
 
-// pause is the time to the next look.
+// pause is the time to the next read.
 func (w *watch) pause() time.Duration {
-	if w.silent > 0 || w.free > 0 {
+	if w.unansweredSince > 0 || w.freeSince > 0 {
 		return freePoll
 	}
 	return pollEvery
@@ -117,63 +116,63 @@
 			wait.For(ctx, pollEvery/2)
 			continue
 		}
-		w.took = e.deps.Now() - asked
-		lease, ok := e.saw(&w, row)
-		if ok && e.due(ctx, &w, lease) {
-			if term := e.take(ctx, row); term != nil {
+		w.readTime = e.deps.Now() - asked
+		lease, ok := e.observe(&w, row)
+		if ok && e.shouldTake(ctx, &w, lease) {
+			if term := e.acquire(ctx, row); term != nil {
 				e.serve(ctx, term)
 				w = watch{}
 				continue
 			}
 		}
-		if ok && e.askForLease(ctx, &w, lease) {
-			w.heirUntil = e.deps.Now() + heirFor
+		if ok && e.requestLease(ctx, &w, lease) {
+			w.successorUntil = e.deps.Now() + successorWait
 		}
-		if e.deps.Now() < w.heirUntil {
-			wait.For(ctx, heirPoll)
+		if e.deps.Now() < w.successorUntil {
+			wait.For(ctx, successorPoll)
 			continue
 		}
 		wait.For(ctx, w.pause())
 	}
 }
 
-// Follow keeps the knowledge of who leads up to date without ever taking the
-// lease, for a process that stops and still answers calls.
+// Follow tracks the leader without ever taking the lease, for a process that
+// stops and still answers calls.
 func (e *Elector) Follow(ctx context.Context) {
 	var w watch
 	for ctx.Err() == nil {
 		if row, err := rowstore.Get(ctx, e.deps.Store, leaseKey); err == nil {
-			e.saw(&w, row)
+			e.observe(&w, row)
 		}
 		wait.For(ctx, pollEvery/4)
 	}
 }
 
-// saw takes one look into account. ok is false if the row can't be read.
-func (e *Elector) saw(w *watch, row rowstore.Row) (leaseRow, bool) {
+// observe records one read. ok is false if the row can't be decoded.
+func (e *Elector) observe(w *watch, row rowstore.Row) (leaseRow, bool) {
 	now := e.deps.Now()
-	if row.Version != w.version || w.since == 0 || now-w.last > lookGap {
-		w.version, w.since = row.Version, now
-		w.forget()
+	if row.Version != w.version || w.versionSince == 0 || now-w.lastRead > maxReadGap {
+		w.version, w.versionSince = row.Version, now
+		w.resetHolder()
 	}
-	if w.begun == 0 || now-w.last > lookGap {
-		w.begun = now
+	if w.watchedSince == 0 || now-w.lastRead > maxReadGap {
+		w.watchedSince = now
 	}
-	w.last = now
+	w.lastRead = now
 	var lease leaseRow
 	if row.Version == 0 {
 		return lease, true
 	}
 	if err := json.Unmarshal(row.Value, &lease); err != nil {
-		e.deps.Log.Error().Err(err).Msg("lease can't be read")
+		e.deps.Log.Error().Err(err).Msg("lease row can't be decoded")
 		return lease, false
 	}
-	e.follow(lease, row.Version)
+	e.setLeader(lease, row.Version)
 	return lease, true
 }
 
-// follow keeps the link to the leader.
-func (e *Elector) follow(lease leaseRow, version uint64) {
+// setLeader keeps the link to the holder of the lease.
+func (e *Elector) setLeader(lease leaseRow, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if version <= e.version {
@@ -189,30 +188,31 @@
 	e.leader, e.version = lease, version
 }
 
-// due reports whether this entry is to take the lease now.
+// shouldTake reports whether this entry is to take the lease now.
 //
-// Failure guarded against: a weak machine takes the lease because it looked
-// first. It reads the jobs of hundreds of workers for a second, falls behind,
-// and some seconds later hands the lease to a stronger one with another pause.
-// So it leaves the stronger ones time to look; if none takes the lease, it does.
-func (e *Elector) due(ctx context.Context, w *watch, lease leaseRow) bool {
-	if !e.free(ctx, w, lease) {
-		w.free = 0
+// Failure guarded against: a weak machine takes the lease because it read the
+// row first. It reads the jobs of hundreds of workers for a second, falls
+// behind, and some seconds later hands the lease to a stronger machine with
+// another pause. So it leaves stronger ones time to read the row, and takes the
+// lease if none of them does.
+func (e *Elector) shouldTake(ctx context.Context, w *watch, lease leaseRow) bool {
+	if !e.leaseFree(ctx, w, lease) {
+		w.freeSince = 0
 		return false
 	}
 	now := e.deps.Now()
-	if w.free == 0 {
-		w.free = now
+	if w.freeSince == 0 {
+		w.freeSince = now
 	}
 	weaker := e.cfg.Power > 0 && lease.Power >= strongerBy*e.cfg.Power
-	return !weaker || now-w.free >= weakerWait
+	return !weaker || now-w.freeSince >= weakerWait
 }
 
-// free reports whether the lease may be taken: it is released, or its holder
-// is gone or has not renewed it for long enough.
-func (e *Elector) free(ctx context.Context, w *watch, lease leaseRow) bool {
-	still := e.deps.Now() - w.since
-	if lease.Released && e.keptForHeir(lease, still) {
+// leaseFree reports whether the lease may be taken: it is released, or its
+// holder is gone or has not renewed it for long enough.
+func (e *Elector) leaseFree(ctx context.Context, w *watch, lease leaseRow) bool {
+	unchanged := e.deps.Now() - w.versionSince
+	if lease.Released && e.reservedForSuccessor(lease, unchanged) {
 		return false
 	}
 	// A lease of an earlier process of this machine is free, too: a machine
@@ -221,45 +221,45 @@
 		wait.For(ctx, rand.N(takeJitter))
 		return true
 	}
-	if still >= stillFor {
+	if unchanged >= staleAfter {
 		return true
 	}
-	return e.holderGone(ctx, w, lease, still)
+	return e.holderGone(ctx, w, lease, unchanged)
 }
 
-// holderGone asks the holder whether it is there.
-func (e *Elector) holderGone(ctx context.Context, w *watch, lease leaseRow, still time.Duration) bool {
+// holderGone asks the holder for an answer, and reports whether it is gone.
+func (e *Elector) holderGone(ctx context.Context, w *watch, lease leaseRow, unchanged time.Duration) bool {
 	e.mu.Lock()
 	link := e.link
 	e.mu.Unlock()
 	asked := e.deps.Now()
 	var reply dispatch.StateReply
-	err := link.Call(ctx, "Scheduler.State", dispatch.StateArgs{}, &reply, w.patience(asked))
+	err := link.Call(ctx, "Scheduler.State", dispatch.StateArgs{}, &reply, w.answerTimeout(asked))
 	if err == nil && reply.Process != lease.Process {
 		// The holder was killed, and its machine runs another process now.
 		wait.For(ctx, rand.N(takeJitter))
 		return true
 	}
 	if err == nil {
-		w.refused, w.silent = 0, 0
+		w.refusedSince, w.unansweredSince = 0, 0
 		return false
 	}
-	if w.silent == 0 {
-		w.silent = asked
+	if w.unansweredSince == 0 {
+		w.unansweredSince = asked
 	}
 	now := e.deps.Now()
-	if refusedConnection(err) {
-		if w.refused == 0 {
-			w.refused = now
+	if connectionRefused(err) {
+		if w.refusedSince == 0 {
+			w.refusedSince = now
 		}
-		return now-w.refused >= goneFor && still >= goneFor
+		return now-w.refusedSince >= refusedAfter && unchanged >= refusedAfter
 	}
-	w.refused = 0
-	return now-w.silent >= silentFor && still >= silentFor+looksPerTxn*w.took
+	w.refusedSince = 0
+	return now-w.unansweredSince >= unansweredAfter && unchanged >= unansweredAfter+readsPerTxn*w.readTime
 }
 
-// take writes the lease under the condition of the version that was seen.
-func (e *Elector) take(ctx context.Context, row rowstore.Row) *Term {
+// acquire writes the lease under the condition of the version that was read.
+func (e *Elector) acquire(ctx context.Context, row rowstore.Row) *Term {
 	lease := leaseRow{Node: e.cfg.Node, Process: e.cfg.Process, Address: e.cfg.Address, Count: rand.Uint64() >> 1, Power: e.cfg.Power}
 	sent := e.deps.Now()
 	stamp, err := e.deps.Store.Apply(ctx, rowstore.Txn{
@@ -269,13 +269,13 @@
 	version := stamp.Version
 	var conflict *rowstore.ConflictError
 	if errors.As(err, &conflict) {
-		// Two attempts may have been made, of which one has taken effect.
+		// One of two attempts may have been applied.
 		if v := ownVersion(conflict, lease); v != 0 {
 			version, err = v, nil
 		}
 	}
 	if errors.Is(err, rowstore.ErrUnknown) {
-		// Applied or not: if the row shows this very attempt, it was.
+		// It was applied if the row holds exactly this lease.
 		now, getErr := rowstore.Get(ctx, e.deps.Store, leaseKey)
 		var have leaseRow
 		if getErr != nil || now.Version == 0 || json.Unmarshal(now.Value, &have) != nil || have != lease {
@@ -287,7 +287,7 @@
 		e.deps.Log.Info().Err(err).Msg("lease not taken")
 		return nil
 	}
-	e.follow(lease, version)
+	e.setLeader(lease, version)
 	e.deps.Counters.Terms.Add(1)
 	e.deps.Log.Warn().Uint64("epoch", version).Msg("lease taken")
 	return newTerm(ctx, e.cfg, e.deps, lease, version, sent, stamp)
@@ -302,7 +302,7 @@
 	e.term = nil
 	e.mu.Unlock()
 	e.deps.Log.Warn().Uint64("epoch", term.epoch).Msg("term ended")
-	if ctx.Err() != nil || term.heirNode() != "" {
+	if ctx.Err() != nil || term.successorNode() != "" {
 		released, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
 		term.release(released)
@@ -322,9 +322,9 @@
 	return e.term
 }
 
-// Note passes on what an entry has stored to the term that this process serves,
-// even while that may not speak for its jobs: it may again. It reports whether
-// there is one.
+// Note passes a job or a cancellation that an entry has stored to the term that
+// this process serves, even while the term is not ready, since it may become
+// ready again. Note reports whether there is a term.
 func (e *Elector) Note(args dispatch.NoteArgs) bool {
 	e.mu.Lock()
 	term := e.term
--- a/entry/scheduler/fillorder.go
+++ b/entry/scheduler/fillorder.go
@@ -7,11 +7,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// changedOrder is the order of the jobs with filling runs on the worker, if
-// the agent has another one.
+// changedOrder returns the order of the jobs with filling runs on the worker,
+// or nil if the agent has this order.
 func (l *agentLink) changedOrder() []workload.JobID {
 	order := l.term.fillOrder(l.worker)
-	if slices.Equal(order, l.toldOrder) {
+	if slices.Equal(order, l.sentOrder) {
 		return nil
 	}
 	return order
--- a/entry/scheduler/fillorder_test.go
+++ b/entry/scheduler/fillorder_test.go
@@ -9,8 +9,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// fillTerm is a term with one worker on which one filling run of each job
-// stands, and a serving one of "serves".
+// fillTerm is a term with one worker on which each job has one filling run, or
+// a serving one if the job is "serves".
 func fillTerm(keys map[workload.JobID]order.Key) (*Term, *worker) {
 	t := &Term{jobs: map[workload.JobID]*job{}}
 	w := newWorker("w1", "node")
@@ -25,11 +25,11 @@
 	return t, w
 }
 
-// An agent gives what serving tasks bear to its filling jobs in the order it
-// was told. A job that can't end in time must not stay in front of those that
-// can, so each change of the order is told, again until an answer came, and to
-// every new process of the agent.
-func TestOrderOfFillingJobsIsToldWhenItChanges(t *testing.T) {
+// An agent gives the CPU that serving tasks can spare to its filling jobs in
+// the order that it was sent. A job that can't end in time must not stay in
+// front of those that can, so each change of the order is sent, repeatedly
+// until it is answered, and to every new process of the agent.
+func TestFillOrderIsSentOnChange(t *testing.T) {
 	term, w := fillTerm(map[workload.JobID]order.Key{
 		"large": {Work: 90}, "small": {Work: 10}, "late": {Class: order.Late, Work: 1}, "serves": {},
 	})
@@ -40,18 +40,18 @@
 			t.Fatalf("order %v, want %v", got, first)
 		}
 	}
-	l.toldOrder = first
+	l.sentOrder = first
 	if got := l.changedOrder(); got != nil {
-		t.Errorf("told again without a change: %v", got)
+		t.Errorf("sent again without a change: %v", got)
 	}
 	term.jobs["small"].key.Class = order.Overdue
 	second := []workload.JobID{"large", "late", "small"}
 	if got := l.changedOrder(); !slices.Equal(got, second) {
 		t.Errorf("order %v after a change, want %v", got, second)
 	}
-	l.toldOrder = second
+	l.sentOrder = second
 	l.newProcess(7)
 	if got := l.changedOrder(); !slices.Equal(got, second) {
-		t.Errorf("a new process of the agent is told %v, want %v", got, second)
+		t.Errorf("a new process of the agent is sent %v, want %v", got, second)
 	}
 }
--- a/entry/scheduler/job.go
+++ b/entry/scheduler/job.go
@@ -7,13 +7,13 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// taskState is where a task stands.
+// taskState is the state of a task.
 type taskState uint8
 
 const (
 	taskWaiting taskState = iota
-	// taskPlaced: a run is on record at a worker; it counts there until its
-	// end, or the worker's, is known.
+	// taskPlaced: a run is on record at a worker and reserves capacity there
+	// until its end, or the worker's, is known.
 	taskPlaced
 	taskDone
 )
@@ -23,42 +23,42 @@
 	run   int
 	// storedRun is the highest run that the store has on record.
 	storedRun  int
-	fails      int
+	failures   int
 	agent      string
 	worker     workload.WorkerID
 	checkpoint string
-	// stopping says that the placed run was told to stop.
+	// stopping says that a stop of the placed run was ordered.
 	stopping bool
 	// ordered says that the placement is stored and was handed to the agent.
 	ordered  bool
 	placedAt time.Time
-	// pin is the worker that is to take the next run, until pinUntil.
+	// pin is the worker reserved for the next run, until pinUntil.
 	pin      workload.WorkerID
 	pinUntil time.Time
-	// ticket is the permission of the worker for this run.
+	// ticket is the worker's permission for this run.
 	ticket string
-	// worked is how long its earlier runs worked at full speed.
+	// worked is the time that its earlier runs worked, at full speed.
 	worked time.Duration
-	// moves counts how often the task was relocated.
+	// moves counts the relocations of the task.
 	moves int
-	// slow says that the run gets on far slower than estimated, rescues how
-	// often the task was taken from a worker for that.
+	// slow says that the run progresses far slower than estimated; rescues counts
+	// the times that the task was moved off a worker for that.
 	slow    bool
 	rescues int
 	// avoid is the worker where the task failed last, at failedAt.
 	avoid    workload.WorkerID
 	failedAt time.Duration
 	// crashes counts the workers that were lost under the task and that it may
-	// have crashed, since a run of it was last proven, and certain those of them
-	// that no other job can have crashed. The latest was lost at crashedAt, on the
-	// machine crashedOn. soon counts those in a row that crashed within moments of
-	// the task's start, as far as this term has seen.
-	crashes   int
-	certain   int
-	crashedAt time.Time
-	crashedOn string
-	soon      int
-	// presentAt is when the agent first told that the placed run is on its
+	// have crashed, since a run of it was last proven, certain those of them that
+	// no other job can have crashed. The latest was lost at crashedAt, on the
+	// machine crashedOn. quickCrashes counts those in a row that crashed within
+	// moments of the task's start, as far as this term has seen.
+	crashes      int
+	certain      int
+	crashedAt    time.Time
+	crashedOn    string
+	quickCrashes int
+	// presentAt is when the agent first reported that the placed run is on its
 	// worker; 0 before.
 	presentAt time.Duration
 	// notBefore delays the next run after repeated failures.
@@ -69,13 +69,12 @@
 	spec  *workload.Step
 	tasks []task
 	done  int
-	// waiting counts the tasks that wait, whether their turn has come or not.
+	// waiting counts the waiting tasks, whether they may start yet or not.
 	waiting int
-	// took sums the times of timed tasks that are done, as they would have
-	// been without being slowed.
+	// took sums the durations of timed tasks that are done, at full speed.
 	took  time.Duration
 	timed int
-	// advice is set for steps of queues that need the policy service's word.
+	// advice is set for steps of queues that need permission.
 	advice *advice
 }
 
@@ -95,8 +94,8 @@
 	return true
 }
 
-// open reports whether the tasks of step i may start.
-func (o *occurrence) open(i int) bool {
+// ready reports whether the tasks of step i may start.
+func (o *occurrence) ready(i int) bool {
 	for _, a := range o.steps[i].spec.After {
 		if !o.steps[a].complete() {
 			return false
@@ -105,9 +104,9 @@
 	return true
 }
 
-// job is a job as the scheduler knows it. state is what memory holds; stored
-// is what the store has, and what clients are shown: a state that only memory
-// holds would be lost with the process.
+// job is a job as the scheduler knows it. state is the state in memory; stored
+// is the state in the store, which clients see: one that only memory holds
+// would be lost with the process.
 type job struct {
 	spec        workload.Job
 	queue       workload.Queue
@@ -118,15 +117,15 @@
 	occurrences []*occurrence
 	// cancelRow says that the store has a cancellation of the job.
 	cancelRow bool
-	// queued says that the job is on the list of what has to be stored.
-	queued  bool
+	// unsaved says that the job is on the list of jobs to store.
+	unsaved bool
 	started bool
-	// idleSince is when it was first seen that nothing of the job runs.
+	// idleSince is when the job was first seen without a running task.
 	idleSince time.Time
-	// took is how long the tasks of each step are expected to take, by what
-	// was known when timed of its tasks had been timed.
-	took  []time.Duration
-	timed int
+	// durations are the expected durations of the steps' tasks, computed when
+	// durationsTimed tasks had been timed.
+	durations      []time.Duration
+	durationsTimed int
 	// key is the job's place in the order of the last plan.
 	key order.Key
 }
@@ -144,8 +143,8 @@
 	return o
 }
 
-// begin adds the occurrences that are due.
-func (j *job) begin(now time.Time) {
+// addDue adds the occurrences that are due.
+func (j *job) addDue(now time.Time) {
 	if j.state.Final() {
 		return
 	}
@@ -188,8 +187,8 @@
 	}
 }
 
-// release makes a placed task wait again, after its run ended without being
-// done or is known never to run.
+// release returns a placed task to waiting, after its run has ended without
+// being done or is known never to run.
 func (j *job) release(s *step, t *task, checkpoint string) {
 	t.state = taskWaiting
 	t.agent, t.worker = "", ""
@@ -201,7 +200,7 @@
 	s.waiting++
 }
 
-// finish notes that a placed task is done, and with it perhaps the job.
+// finish marks a placed task as done, and with the last one the job.
 func (j *job) finish(s *step, t *task) {
 	t.state = taskDone
 	t.agent, t.worker, t.checkpoint = "", "", ""
@@ -210,7 +209,7 @@
 	j.dropComplete()
 }
 
-// dropComplete forgets the occurrences that are complete.
+// dropComplete removes complete occurrences, and completes the job at the last.
 func (j *job) dropComplete() {
 	kept := j.occurrences[:0]
 	for _, o := range j.occurrences {
@@ -224,7 +223,7 @@
 	}
 }
 
-// row is what the store keeps of the job.
+// row returns the job's progress as the store keeps it.
 func (j *job) row() progressRow {
 	r := progressRow{State: j.state, Final: j.final, Next: j.next}
 	refs := map[workerRef]int{}
@@ -258,7 +257,7 @@
 		if t.run == 0 || j.state.Final() && t.state != taskPlaced {
 			continue
 		}
-		tr := taskRow{Index: i, Run: t.run, Fails: t.fails, Crashes: t.crashes, Certain: t.certain, Checkpoint: t.checkpoint}
+		tr := taskRow{Index: i, Run: t.run, Fails: t.failures, Crashes: t.crashes, Certain: t.certain, Checkpoint: t.checkpoint}
 		if t.state == taskPlaced {
 			tr.Worker = reference(workerRef{Agent: t.agent, Worker: t.worker}, refs, r)
 		}
@@ -277,7 +276,7 @@
 	return len(r.Workers)
 }
 
-// restore sets the job to what the store keeps of it.
+// restore sets the job to its stored progress.
 func (j *job) restore(r progressRow, now time.Time) {
 	j.state, j.stored, j.final, j.next = r.State, r.State, r.Final, r.Next
 	j.started = r.State != workload.Queued
@@ -305,7 +304,7 @@
 			continue
 		}
 		t := &s.tasks[tr.Index]
-		t.run, t.storedRun, t.fails, t.checkpoint = tr.Run, tr.Run, tr.Fails, tr.Checkpoint
+		t.run, t.storedRun, t.failures, t.checkpoint = tr.Run, tr.Run, tr.Fails, tr.Checkpoint
 		t.crashes, t.certain, t.crashedAt = tr.Crashes, tr.Certain, now
 		if tr.Worker > 0 && tr.Worker <= len(workers) {
 			ref := workers[tr.Worker-1]
--- a/entry/scheduler/learner.go
+++ b/entry/scheduler/learner.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// sampleEvery is the time between two samples of an agent; with many
-	// agents it grows, so that the scheduler takes at most samplesPerSecond
-	// on a machine of weakPower.
+	// sampleEvery is the time between two samples of an agent. With many agents
+	// it grows, so that the scheduler receives at most samplesPerSecond on a
+	// machine of weakPower.
 	sampleEvery      = 500 * time.Millisecond
 	samplesPerSecond = 200
-	// unknownPerSecond bounds the samples that are taken sooner beside pairs
-	// that are not known.
+	// unknownPerSecond bounds the samples that are taken at shorter intervals
+	// beside unknown pairs.
 	unknownPerSecond = 50
-	// sameTime is how far apart two samples may be to show the same load of
-	// a job, which changes within seconds.
-	sameTime = 800 * time.Millisecond
-	// othersCount is how much the comparison of a sample with other workers
-	// counts; each pair of samples is met once, so that half of their number
-	// is the number of those that tell something new. ownCount is the same
-	// for the sample before: the job's own load has moved since.
+	// sameLoadWindow is the longest time between two samples that show the same
+	// load of a job, which changes within seconds.
+	sameLoadWindow = 800 * time.Millisecond
+	// othersCount is the weight of a sample's comparison with other workers; each
+	// pair of samples is met once, so half of their number adds information.
+	// ownCount is that of the comparison with the worker's previous sample: the
+	// job's own load has changed since.
 	othersCount = 0.5
 	ownCount    = 0.3
-	// maxOthers bounds the other workers that a sample is compared with; the
-	// order of a map picks them at random.
+	// maxOthers bounds the other workers that a sample is compared with; map
+	// iteration picks them at random.
 	maxOthers = 6
-	// solveEvery is the time between two solutions of the model, maxFade what
-	// a pause without samples counts for at most.
+	// solveEvery is the time between two solutions of the model, maxFade the most
+	// that a pause without samples counts for.
 	solveEvery = 250 * time.Millisecond
 	maxFade    = 5 * time.Second
 	// harmlessExtra is the load below which a task does not press.
 	harmlessExtra = 0.015
-	// pressingExtra is the load above which it is to run elsewhere. A serving
-	// task has 0.15 to spare at the top of its own load.
+	// pressingExtra is the load above which a task should run elsewhere. A
+	// serving task has 0.15 to spare at the top of its own load.
 	pressingExtra = 0.05
 )
 
 // learner learns which images press on which. The tasks of one job carry the
-// same load wherever they run, and hardly another one half a second later, so
-// what differs between two samples of a job is what presses on it.
+// same load wherever they run, and nearly the same half a second later, so a
+// difference between two samples of a job shows pressure.
 type learner struct {
 	model pressure.Model
-	// solved is when the model was last solved.
-	solved time.Duration
-	// base is the lowest tail seen of each serving image.
-	base map[string]float64
+	// solvedAt is when the model was last solved.
+	solvedAt time.Duration
+	// baseTails is the lowest tail seen of each serving image.
+	baseTails map[string]float64
 	// latest is the last sample of each worker.
 	latest map[workload.WorkerID]timedSample
-	// own is the own load of each serving job.
-	own    map[workload.JobID]ownLoad
-	table  *weightTable
-	trials trials
+	// ownLoads is the own load of each serving job.
+	ownLoads map[workload.JobID]ownLoad
+	table    *weightTable
+	trials   trials
 }
 
 type timedSample struct {
@@ -64,18 +64,18 @@
 	used  map[string]float64
 }
 
-// begin makes the learner ready for use.
-func (l *learner) begin() {
+// initMaps creates the maps if they are missing.
+func (l *learner) initMaps() {
 	if l.latest == nil {
 		l.latest = map[workload.WorkerID]timedSample{}
-		l.own = map[workload.JobID]ownLoad{}
-		l.base = map[string]float64{}
+		l.ownLoads = map[workload.JobID]ownLoad{}
+		l.baseTails = map[string]float64{}
 	}
 }
 
-// take learns from a worker's sample.
-func (l *learner) take(w *worker, s *dispatch.TailSample, now time.Duration) {
-	l.begin()
+// observe learns from a worker's sample.
+func (l *learner) observe(w *worker, s *dispatch.TailSample, now time.Duration) {
+	l.initMaps()
 	this := timedSample{at: now, tails: map[workload.JobID]float64{}, used: map[string]float64{}}
 	for _, f := range s.Filling {
 		if f.Used > 0 {
@@ -84,28 +84,28 @@
 	}
 	for _, v := range s.Serving {
 		this.tails[v.Job] = v.Tail
-		if b := l.base[v.Image]; b == 0 || v.Tail < b {
-			l.base[v.Image] = v.Tail
+		if b := l.baseTails[v.Image]; b == 0 || v.Tail < b {
+			l.baseTails[v.Image] = v.Tail
 		}
 	}
 	for _, v := range s.Serving {
 		l.compare(v, w.id, this)
-		l.takeOwn(v, this)
+		l.updateOwnLoad(v, this)
 	}
 	l.latest[w.id] = this
-	if now-l.solved >= solveEvery {
-		l.model.Solve(min(now-l.solved, maxFade))
-		l.solved = now
-		l.forgetOwn(now)
+	if now-l.solvedAt >= solveEvery {
+		l.model.Solve(min(now-l.solvedAt, maxFade))
+		l.solvedAt = now
+		l.dropStaleLoads(now)
 	}
 }
 
-// compare learns from what differs between a sample of a job and the last
-// ones of the same job, on other workers and on its own.
+// compare learns from the differences between a sample of a job and the latest
+// samples of the same job, on other workers and on its own.
 func (l *learner) compare(v dispatch.ServingSample, at workload.WorkerID, this timedSample) {
 	var others []timedSample
 	for id, o := range l.latest {
-		if o.tails[v.Job] == 0 || this.at-o.at > sameTime {
+		if o.tails[v.Job] == 0 || this.at-o.at > sameLoadWindow {
 			continue
 		}
 		if id == at {
@@ -123,7 +123,7 @@
 
 func (l *learner) difference(v dispatch.ServingSample, this, other timedSample, count float64) pressure.Sample {
 	s := pressure.Sample{Serving: v.Image, Used: map[string]float64{}, Count: count}
-	s.Load = l.base[v.Image] * (1/other.tails[v.Job] - 1/v.Tail)
+	s.Load = l.baseTails[v.Image] * (1/other.tails[v.Job] - 1/v.Tail)
 	for image, u := range this.used {
 		s.Used[image] += u
 	}
@@ -133,23 +133,24 @@
 	return s
 }
 
-// workerPressure is how filling work presses on the serving images of a worker.
+// workerPressure is the pressure of filling work on the serving images of a
+// worker.
 type workerPressure struct {
 	// serving are the images, as rows of the table of weights.
 	serving []int
-	// load is what the filling tasks there, at full pace, put on each.
+	// load is the load that filling tasks there, at full pace, put on each image.
 	load []float64
 }
 
-// weightTable holds the weights of all pairs of one version of the model by
-// numbers: a plan looks some ten thousand of them up, and by names that took
-// two thirds of its time.
+// weightTable holds the weights of all pairs of one version of the model,
+// indexed by number: a plan reads some ten thousand of them, and lookups by
+// name took two thirds of its time.
 type weightTable struct {
 	version uint64
 	serving map[string]int
 	filling map[string]int
 	// weights has a row for each serving image and a column for each filling
-	// image; the last ones are those of images that are not known.
+	// image; the last row and column are for unknown images.
 	weights [][]pressure.Weight
 }
 
@@ -196,7 +197,7 @@
 	return len(t.filling)
 }
 
-// weights is the table of the model as it is now.
+// weights returns the table of the present version of the model.
 func (l *learner) weights() *weightTable {
 	if l.table == nil || l.table.version != l.model.Version() {
 		l.table = newWeightTable(&l.model)
@@ -204,7 +205,7 @@
 	return l.table
 }
 
-// pressureOn works out what presses on w.
+// pressureOn computes the pressure on w.
 func (l *learner) pressureOn(w *worker) workerPressure {
 	var p workerPressure
 	if len(w.images) == 0 || w.info.Capacity.CPU == 0 {
@@ -224,17 +225,16 @@
 	return p
 }
 
-// pressedBy is the load on the most pressed serving image of w with one more
-// task of s, whose image has the given column. presses says that this one is
-// known to add to it.
+// pressedBy returns the load on the most pressed serving image of w with one
+// more task of s, whose image has the given column. presses says that this task
+// is known to add to it.
 func (t *weightTable) pressedBy(w *worker, p *workerPressure, s *workload.Step, column int) (worst float64, presses bool) {
 	for i, row := range p.serving {
 		own := t.weights[row][column]
 		extra := own.Value * float64(s.Need.CPU) / float64(w.info.Capacity.CPU)
 		presses = presses || own.Known && extra > pressingExtra
 		if extra >= harmlessExtra {
-			// What does not press adds nothing, however pressed the serving
-			// task is by others.
+			// A task that does not press adds nothing, whatever others add.
 			extra += p.load[i]
 		}
 		worst = max(worst, extra)
@@ -243,26 +243,27 @@
 }
 
 // weakPower is the processor, in cores, for which the bounds on samples and
-// tellings are; a stronger machine bears more of them.
+// updates are set; a stronger machine bears more.
 const weakPower = 0.2
 
-// strength is how many times weakPower a machine has, one at least.
-func strength(power float64) float64 { return max(1, power/weakPower) }
+// powerScale is the power of a machine as a multiple of weakPower, at least 1.
+func powerScale(power float64) float64 { return max(1, power/weakPower) }
 
-// sampleTimes are the times between two samples of one of n agents: usually,
-// and beside pairs of images of which it is not known whether they press.
+// sampleIntervals returns the times between two samples of one of n agents:
+// usually, and beside pairs of images of which it is not known whether they
+// press.
 //
-// Beside many workers there are nearly always such pairs. Sampled twice as often
-// by all of them, a weak machine is short of processor time, and short jobs wait
-// for its scheduler; with so many workers enough samples come anyway.
-func sampleTimes(n int, power float64) (usual, unknown time.Duration) {
-	usual = max(sampleEvery, spread(n, samplesPerSecond*strength(power)))
-	unknown = max(sampleEvery/2, spread(n, unknownPerSecond*strength(power)))
+// Beside many workers there are nearly always such pairs. If all were sampled
+// twice as often, a weak machine would lack processor time, and short jobs
+// would wait for its scheduler; with so many workers there are enough samples.
+func sampleIntervals(n int, power float64) (usual, unknown time.Duration) {
+	usual = max(sampleEvery, turnInterval(n, samplesPerSecond*powerScale(power)))
+	unknown = max(sampleEvery/2, turnInterval(n, unknownPerSecond*powerScale(power)))
 	return usual, min(usual, unknown)
 }
 
-// spread is the time in which each of n agents has its turn at so many turns a
-// second.
-func spread(n int, perSecond float64) time.Duration {
+// turnInterval is the time in which each of n agents has one turn, at perSecond
+// turns a second.
+func turnInterval(n int, perSecond float64) time.Duration {
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
--- a/entry/scheduler/leftover_test.go
+++ b/entry/scheduler/leftover_test.go
@@ -17,19 +17,19 @@
 )
 
 // servingWorker is a worker with one serving task that reserves nearly all of
-// it, and the learner that knows the task's tail without load.
+// it, and a learner that knows the task's tail without load.
 func servingWorker() (*worker, *learner) {
 	w := newWorker("w-1", "agent-1")
 	w.info.Capacity = workload.Resources{CPU: wholeCPU, Memory: 256000}
 	step := &workload.Step{Need: workload.Resources{CPU: servingCPU, Memory: 1000}, Lasting: true, TailTarget: 18 * time.Millisecond, Image: "s"}
 	w.add(workload.RunID{Task: workload.TaskID{Job: "serving"}, Run: 1}, step)
 	l := &learner{}
-	l.begin()
-	l.base["s"] = baseTail
+	l.initMaps()
+	l.baseTails["s"] = baseTail
 	return w, l
 }
 
-func TestLeftoverFollowsWhatServingTasksLeave(t *testing.T) {
+func TestLeftoverFollowsServingLoad(t *testing.T) {
 	cases := []struct {
 		name        string
 		load        float64
@@ -40,27 +40,27 @@
 		{"usual load", 0.42, 0, 28000, 32000},
 		{"near its target", 0.72, 0, 5000, 16000},
 		{"over its target", 0.85, 0, 0, 0},
-		{"not heard of for long", 0.85, 3 * time.Second, 26000, 28000},
+		{"not sampled for long", 0.85, 3 * time.Second, 26000, 28000},
 	}
 	for _, c := range cases {
 		w, l := servingWorker()
-		l.own["serving"] = ownLoad{load: c.load, at: time.Minute - c.age}
+		l.ownLoads["serving"] = ownLoad{load: c.load, at: time.Minute - c.age}
 		if got := l.leftover(w, time.Minute); got < c.least || got > c.most {
 			t.Errorf("%s: %d, want %d to %d", c.name, got, c.least, c.most)
 		}
 	}
 }
 
-// played is what a played minute gave.
-type played struct {
+// swingResult is the result of a simulated minute.
+type swingResult struct {
 	work float64
 	over time.Duration
 }
 
-// playSwing plays a serving task whose own load swings, with tasks of 7 cores
-// and 1.7 s beside it, as many as room allows at each moment. Tails are told in
-// whole milliseconds, and roughly.
-func playSwing(room func(l *learner, w *worker, now time.Duration) int) (p played) {
+// simulateSwing simulates a serving task whose own load swings, with tasks of 7
+// cores and 1.7 s beside it, as many as allowance permits. Tails are reported
+// in whole milliseconds, with noise.
+func simulateSwing(allowance func(l *learner, w *worker, now time.Duration) int) (p swingResult) {
 	const (
 		tick     = 50 * time.Millisecond
 		taskCPU  = 7000
@@ -86,24 +86,23 @@
 		if tail > 18 {
 			p.over += tick
 		}
-		// Ten tasks of the job, on workers with more or less filling work, tell
-		// one after the other.
+		// Ten tasks of the job, on workers with more or less filling work, report one
+		// after the other.
 		beside := used * rng.Float64()
-		told := math.Round(baseTail / (1 - min(0.97, own+pressing*beside)) * (1 + 0.08*rng.NormFloat64()))
-		l.takeOwn(dispatch.ServingSample{Job: "serving", Image: "s", Tail: max(baseTail, told)}, timedSample{at: now, used: map[string]float64{"f": beside}})
-		for free := w.info.Capacity.CPU - w.used.CPU; (len(ends)+1)*taskCPU <= free+room(l, w, now); {
+		reported := math.Round(baseTail / (1 - min(0.97, own+pressing*beside)) * (1 + 0.08*rng.NormFloat64()))
+		l.updateOwnLoad(dispatch.ServingSample{Job: "serving", Image: "s", Tail: max(baseTail, reported)}, timedSample{at: now, used: map[string]float64{"f": beside}})
+		for free := w.info.Capacity.CPU - w.used.CPU; (len(ends)+1)*taskCPU <= free+allowance(l, w, now); {
 			ends = append(ends, now+taskTime)
 		}
 	}
 	return p
 }
 
-// A fixed share of what serving tasks reserve takes them over their targets
-// whenever they have much to do, and leaves processors idle when they have
-// little.
-func TestLeftoverServesBothSidesOfASwing(t *testing.T) {
-	fixed := playSwing(func(*learner, *worker, time.Duration) int { return usualLeft * servingCPU })
-	seen := playSwing(func(l *learner, w *worker, now time.Duration) int { return l.leftover(w, now) })
+// A fixed share of the CPU that serving tasks reserve takes them over their
+// targets when their load is high, and leaves processors idle when it is low.
+func TestLeftoverBeatsFixedShareUnderSwingingLoad(t *testing.T) {
+	fixed := simulateSwing(func(*learner, *worker, time.Duration) int { return defaultUnused * servingCPU })
+	seen := simulateSwing(func(l *learner, w *worker, now time.Duration) int { return l.leftover(w, now) })
 	t.Logf("fixed: %.0f tasks, %v over; as seen: %.0f tasks, %v over", fixed.work, fixed.over, seen.work, seen.over)
 	if seen.work < fixed.work {
 		t.Errorf("%.0f tasks done, %.0f with a fixed share", seen.work, fixed.work)
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// watchWait bounds how long an agent waits for a change. It is also how
-	// old a grant's echo gets on a quiet agent.
+	// watchWait bounds an agent's wait for a change, and the age of a grant's
+	// echo on an idle agent.
 	watchWait = 900 * time.Millisecond
-	// watchSlack is the time for an answer beside that wait.
+	// watchSlack is the time allowed for an answer beyond that wait.
 	watchSlack = 700 * time.Millisecond
-	// orderTimeout bounds the taking of orders, which needs no call to the
+	// orderTimeout bounds the acceptance of orders, which needs no call to the
 	// worker.
 	orderTimeout = 700 * time.Millisecond
 	// linkRetry is the pause after a call that failed.
@@ -23,7 +23,7 @@
 	orderBatch = 64
 )
 
-// agentLink is the connection to one agent, and what is to be told to it.
+// agentLink is the connection to one agent, with the messages to be sent to it.
 type agentLink struct {
 	node    string
 	link    *dispatch.Link
@@ -32,31 +32,30 @@
 	worker  *worker
 	process uint64
 	since   uint64
-	// echo is the agent's clock in its latest answer, heard when that
-	// arrived.
-	echo  time.Duration
-	heard time.Duration
-	// nudged asks for a Watch at once, to pass on that ends are stored.
-	nudged chan struct{}
-	outbox chan struct{}
-	starts map[workload.RunID]dispatch.StartOrder
-	stops  map[workload.RunID]bool
-	silent bool
-	// told is what the agent was told of pressure.
-	told toldPressure
-	// toldOrder is the order of filling jobs that the agent has.
-	toldOrder []workload.JobID
+	// echo is the agent's clock in its latest answer, lastContact its arrival.
+	echo        time.Duration
+	lastContact time.Duration
+	// claimDue requests an Order call with a new claim, or with stored ends.
+	claimDue     chan struct{}
+	outbox       chan struct{}
+	starts       map[workload.RunID]dispatch.StartOrder
+	stops        map[workload.RunID]bool
+	unresponsive bool
+	// sentPressure is the last pressure update sent to the agent.
+	sentPressure pressureUpdate
+	// sentOrder is the order of filling jobs that the agent has.
+	sentOrder []workload.JobID
 }
 
 func (t *Term) newLink(node, address string) *agentLink {
 	ctx, cancel := context.WithCancel(t.ctx)
 	l := &agentLink{
-		node: node, link: t.deps.Link(address), cancel: cancel, term: t, nudged: make(chan struct{}, 1), outbox: make(chan struct{}, 1),
+		node: node, link: t.deps.Link(address), cancel: cancel, term: t, claimDue: make(chan struct{}, 1), outbox: make(chan struct{}, 1),
 		starts: map[workload.RunID]dispatch.StartOrder{}, stops: map[workload.RunID]bool{},
 	}
 	go l.watchLoop(ctx)
 	go l.orderLoop(ctx)
-	go l.acknowledgeLoop(ctx)
+	go l.claimLoop(ctx)
 	return l
 }
 
@@ -72,10 +71,10 @@
 	}
 }
 
-func (l *agentLink) nudge() { signal(l.nudged) }
+func (l *agentLink) triggerClaim() { signal(l.claimDue) }
 
 // claim grants the agent's worker its lease, if the term itself is valid, and
-// keeps book of how long the lease may last. The caller holds the term's mu.
+// records its possible end. The caller holds the term's mu.
 func (l *agentLink) claim() dispatch.Claim {
 	t := l.term
 	c := dispatch.Claim{Epoch: t.epoch, Process: l.process}
@@ -87,12 +86,12 @@
 	}
 	c.Echo = l.echo
 	c.Grant = t.cfg.Grant
-	l.worker.bound = max(l.worker.bound, l.heard+t.leaseLength())
+	l.worker.leaseEnd = max(l.worker.leaseEnd, l.lastContact+t.leaseLength())
 	return c
 }
 
-// leaseLength is how long a lease that was granted may last on a worker whose
-// clock is slow.
+// leaseLength is the longest time that a granted lease may last on a worker
+// whose clock is slow.
 func (t *Term) leaseLength() time.Duration {
 	return t.cfg.Grant + time.Duration(clockDrift*float64(t.cfg.Grant)) + clockMargin
 }
@@ -107,14 +106,14 @@
 		var reply dispatch.WatchReply
 		err := l.link.Call(ctx, "Agent.Watch", args, &reply, watchWait+watchSlack)
 		if err != nil {
-			l.failed(ctx, err)
+			l.markUnresponsive(ctx, err)
 			t.sleep(linkRetry)
 			continue
 		}
 		t.mu.Lock()
-		// Before apply, which forgets what another process was told.
+		// Set before apply, which clears sentOrder if another process answers.
 		if len(args.Order) > 0 && reply.Refused == "" {
-			l.toldOrder = args.Order
+			l.sentOrder = args.Order
 		}
 		wake := l.apply(&reply)
 		t.mu.Unlock()
@@ -131,84 +130,84 @@
 	args := dispatch.WatchArgs{Claim: l.claim(), Since: l.since, Wait: wait}
 	if l.worker != nil {
 		args.Worker = l.worker.id
-		args.Seen = l.worker.stored
-		l.tellPressure(&args)
+		args.Seen = l.worker.endsStored
+		l.addPressureUpdate(&args)
 		args.Order = l.changedOrder()
 	}
 	return args
 }
 
-// acknowledgeLoop tells the agent at once that ends are stored, while the
-// watch goes on waiting for a change.
-func (l *agentLink) acknowledgeLoop(ctx context.Context) {
+// claimLoop sends claims and stored ends at once, while the Watch call is still
+// waiting for a change.
+func (l *agentLink) claimLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.nudged:
+		case <-l.claimDue:
 		}
 		l.term.mu.Lock()
 		args := dispatch.OrderArgs{Claim: l.claim()}
 		if l.worker != nil {
 			args.Worker = l.worker.id
-			args.Seen = l.worker.stored
+			args.Seen = l.worker.endsStored
 		}
 		l.term.mu.Unlock()
 		var reply dispatch.OrderReply
 		if err := l.link.Call(ctx, "Agent.Order", args, &reply, orderTimeout); err != nil && ctx.Err() == nil {
-			l.term.deps.Log.Debug().Err(err).Str("instance", l.node).Msg("ends not acknowledged yet")
+			l.term.deps.Log.Debug().Err(err).Str("instance", l.node).Msg("claim and ends not sent yet")
 		}
 	}
 }
 
-func (l *agentLink) failed(ctx context.Context, err error) {
+func (l *agentLink) markUnresponsive(ctx context.Context, err error) {
 	l.term.mu.Lock()
-	first := !l.silent
-	l.silent = true
+	first := !l.unresponsive
+	l.unresponsive = true
 	l.term.mu.Unlock()
 	if first && ctx.Err() == nil {
 		l.term.deps.Log.Warn().Err(err).Str("instance", l.node).Msg("agent lost")
 	}
 }
 
-// apply takes an answer of the agent. It returns whether a plan is needed.
+// apply applies an answer of the agent. It returns whether a plan is needed.
 func (l *agentLink) apply(reply *dispatch.WatchReply) bool {
 	t := l.term
 	if t.ctx.Err() != nil {
 		return false
 	}
 	if reply.Refused == dispatch.RefusedEpoch {
-		// Only a scheduler that has taken the lease has an epoch, so this
-		// term is over, whatever the store lets it see.
-		t.deps.Log.Warn().Str("instance", l.node).Uint64("epoch", t.epoch).Msg("term ends: an agent has heard of a newer scheduler")
+		// Only a scheduler that has taken the lease has an epoch, so this term has
+		// ended, whatever the store shows.
+		t.deps.Log.Warn().Str("instance", l.node).Uint64("epoch", t.epoch).Msg("term ends: an agent follows a newer scheduler")
 		t.cancel()
 		return false
 	}
-	if l.silent {
-		l.silent = false
-		t.deps.Log.Warn().Str("instance", l.node).Msg("agent reached")
+	if l.unresponsive {
+		l.unresponsive = false
+		t.deps.Log.Warn().Str("instance", l.node).Msg("agent reachable again")
 	}
 	if reply.Process != l.process {
 		l.newProcess(reply.Process)
 	}
 	l.since = reply.Version
 	l.echo = reply.At
-	l.heard = t.deps.Now()
+	l.lastContact = t.deps.Now()
 	fresh := freshRuns(reply)
 	for _, id := range reply.Former {
-		t.dead(id, loss{why: "its agent has seen its end", told: true, fresh: fresh})
+		t.removeWorker(id, workerLoss{reason: "its agent reported its end", judged: true, fresh: fresh})
 	}
 	if reply.Worker.ID == "" {
 		return true
 	}
-	wake := l.takeWorker(reply)
+	wake := l.updateWorker(reply)
 	w := l.worker
 	if reply.Sample != nil {
-		t.learner.take(w, reply.Sample, t.deps.Now())
+		t.learner.observe(w, reply.Sample, t.deps.Now())
 	}
 	for _, e := range reply.Ends {
-		if e.Number > w.processed {
-			w.processed = e.Number
+		if e.Number > w.endsApplied {
+			w.endsApplied = e.Number
 			t.applyEnd(w, e)
 			wake = true
 		}
@@ -219,23 +218,23 @@
 	return wake
 }
 
-// newProcess notes that another process of the agent answers: it knows
-// nothing of the orders of the earlier one.
+// newProcess resets the link for another process of the agent, which has none
+// of the orders sent to the earlier one.
 func (l *agentLink) newProcess(process uint64) {
 	l.process = process
 	l.since = 0
-	l.told, l.toldOrder = toldPressure{}, nil
+	l.sentPressure, l.sentOrder = pressureUpdate{}, nil
 	l.repeatOrders()
 }
 
-// takeWorker notes the living worker of the agent.
-func (l *agentLink) takeWorker(reply *dispatch.WatchReply) bool {
+// updateWorker records the present worker of the agent.
+func (l *agentLink) updateWorker(reply *dispatch.WatchReply) bool {
 	t := l.term
 	info := reply.Worker
 	changed := false
 	if l.worker == nil || l.worker.id != info.ID {
 		if l.worker != nil {
-			t.dead(l.worker.id, loss{why: "its agent has another worker"})
+			t.removeWorker(l.worker.id, workerLoss{reason: "its agent has another worker"})
 		}
 		w := t.workers[info.ID]
 		if w == nil {
@@ -246,10 +245,10 @@
 		l.worker = w
 		for _, other := range t.workers {
 			if other.agent == l.node && other != w {
-				t.dead(other.id, loss{why: "its agent has another worker"})
+				t.removeWorker(other.id, workerLoss{reason: "its agent has another worker"})
 			}
 		}
-		t.orderKnown(w)
+		t.markOrdered(w)
 		l.repeatOrders()
 		changed = true
 	}
@@ -258,7 +257,7 @@
 		defer t.evacuate(w)
 	}
 	if reply.Lapsed && (w.alive || len(w.runs) > 0) {
-		t.loseRuns(w, loss{why: "it is silent beyond its last lease", told: true, fresh: freshRuns(reply)})
+		t.requeueRuns(w, workerLoss{reason: "it is unresponsive beyond its last lease", judged: true, fresh: freshRuns(reply)})
 		changed = true
 	}
 	alive := reply.Listed && !reply.Lapsed
@@ -271,15 +270,15 @@
 	w.drained = t.drains.Covers(info.DataCentre)
 	w.alive = alive
 	if alive {
-		w.seenAt = t.deps.Now()
+		w.answeredAt = t.deps.Now()
 		w.suspects = nil
 	}
 	return changed
 }
 
-// orderKnown marks the stored placements at a worker that this term has just
-// met as ordered, so that they are repeated to its agent.
-func (t *Term) orderKnown(w *worker) {
+// markOrdered marks the stored placements at a worker that is new to this term
+// as ordered, so that they are repeated to its agent.
+func (t *Term) markOrdered(w *worker) {
 	for r := range w.runs {
 		if _, _, k := t.placedRun(w, r); k != nil && k.run <= k.storedRun {
 			k.ordered = true
@@ -287,7 +286,7 @@
 	}
 }
 
-// applyRun takes what the agent says of a run.
+// applyRun applies an agent's report of a run.
 func (t *Term) applyRun(l *agentLink, w *worker, r dispatch.RunReport) bool {
 	j := t.jobs[r.Run.Task.Job]
 	var s *step
@@ -308,16 +307,15 @@
 		case s.advice != nil:
 			delete(s.advice.tickets, w.id)
 		default:
-			w.turnedAway(t.deps.Now())
+			w.startRefused(t.deps.Now())
 		}
 		j.release(s, k, "")
-		t.mark(j)
+		t.markDirty(j)
 		return true
 	}
 	if !known {
 		if r.State == dispatch.RunPresent {
-			// Nothing on record asks for this run: it was overtaken while
-			// its agent was out of reach.
+			// The run was replaced while its agent was unreachable.
 			l.addStop(r.Run)
 		}
 		return false
@@ -330,8 +328,8 @@
 	}
 	if r.Proven && k.crashes > 0 {
 		t.deps.Log.Info().Stringer("run", r.Run).Str("worker", string(w.id)).Int("crashes", k.crashes).Msg("run has not crashed its worker")
-		t.absolve(j, k)
+		t.clearCrashes(j, k)
 		return true
 	}
-	return r.Slow && t.straggler(w, s, k, r.Run)
+	return r.Slow && t.handleSlowRun(w, s, k, r.Run)
 }
--- a/entry/scheduler/load.go
+++ b/entry/scheduler/load.go
@@ -14,17 +14,17 @@
 const (
 	// loadRetry is the pause after a read that failed.
 	loadRetry = 100 * time.Millisecond
-	// feedWait bounds how long the store holds a feed back. A connection may
-	// fall silent; the wait bounds how long that goes unnoticed.
+	// feedWait bounds the store's hold of a feed call, and thereby the time for
+	// which a dead connection goes unnoticed.
 	feedWait = 800 * time.Millisecond
-	// listsAtOnce bounds the parts that are read at a time.
+	// listsAtOnce bounds the parts that are read concurrently.
 	listsAtOnce = 8
-	// agentsWait is the same for agents, which change rarely.
+	// agentsWait replaces feedWait for agents, which change rarely.
 	agentsWait = 2 * time.Second
 )
 
-// load reads what earlier schedulers and all entries have stored. It returns
-// the version from which the jobs' feed goes on.
+// load reads the rows of earlier schedulers and of all entries. It returns the
+// version from which the feed of jobs continues.
 func (t *Term) load() (uint64, error) {
 	progress, err := t.listAll(progressTable, schedulerPart)
 	if err != nil {
@@ -40,18 +40,18 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeJobs(jobs)
+	t.addJobRows(jobs)
 	for _, row := range learnt {
-		t.recall(row)
+		t.restoreLearnt(row)
 	}
 	now := time.Now()
 	before := map[workload.JobID]bool{}
 	for _, row := range progress {
-		t.takeProgress(row, now)
+		t.restoreProgress(row, now)
 		before[workload.JobID(row.Key.Key)] = true
 	}
 	t.loaded = true
-	// A fleet's hundreds of jobs under way were told of by the scheduler that
+	// Jobs with progress, hundreds in a fleet, were logged by the scheduler that
 	// began them.
 	for _, j := range t.active {
 		if !before[j.spec.ID] {
@@ -59,11 +59,11 @@
 		}
 	}
 	t.deps.Log.Warn().Uint64("epoch", t.epoch).Int("jobs", len(t.jobs)).Int("active", len(t.active)).Int("workers", len(t.workers)).
-		Dur("took", t.deps.Now()-t.began).Msg("term begins")
+		Dur("took", t.deps.Now()-t.beganAt).Msg("term begins")
 	return stamp, nil
 }
 
-// listAll reads a part until it succeeds or the term ends.
+// listAll reads a part, with retries for as long as the lease is valid.
 func (t *Term) listAll(table, part string) ([]rowstore.Row, error) {
 	rows, _, err := t.listAllAt(table, part)
 	return rows, err
@@ -75,10 +75,10 @@
 		if err == nil {
 			return rows, at, nil
 		}
-		if t.ctx.Err() != nil || t.deps.Now() > t.began+validFor {
+		if t.ctx.Err() != nil || t.deps.Now() > t.beganAt+validFor {
 			return nil, at, err
 		}
-		t.deps.Log.Warn().Err(err).Str("table", table).Msg("read fails")
+		t.deps.Log.Warn().Err(err).Str("table", table).Msg("store read failed")
 		t.sleep(loadRetry)
 	}
 }
@@ -88,8 +88,8 @@
 	return t.listParts(JobsTable, jobPartNames())
 }
 
-// listParts reads several parts of a table, some at a time. Its version is one
-// from which the feed brings all that the rows lack.
+// listParts reads several parts of a table, listsAtOnce at a time. The feed
+// after the returned version has all that the rows lack.
 func (t *Term) listParts(table string, parts []string) ([]rowstore.Row, uint64, error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -115,8 +115,8 @@
 	return all, first, failed
 }
 
-// takeJobs takes rows of jobs and cancellations. The caller holds mu.
-func (t *Term) takeJobs(rows []rowstore.Row) {
+// addJobRows adds the jobs and cancellations of rows. The caller holds mu.
+func (t *Term) addJobRows(rows []rowstore.Row) {
 	for _, row := range rows {
 		id, cancel := splitJobKey(row.Key.Key)
 		if cancel || row.Deleted {
@@ -127,7 +127,7 @@
 		}
 		var j workload.Job
 		if err := decode(row, &j); err != nil {
-			t.deps.Log.Error().Err(err).Msg("job can't be read")
+			t.deps.Log.Error().Err(err).Msg("job row can't be decoded")
 			continue
 		}
 		t.addJob(j)
@@ -139,12 +139,12 @@
 	}
 }
 
-// takeProgress sets a job to what an earlier term has stored.
-func (t *Term) takeProgress(row rowstore.Row, now time.Time) {
+// restoreProgress restores the progress that an earlier term has stored.
+func (t *Term) restoreProgress(row rowstore.Row, now time.Time) {
 	id := workload.JobID(row.Key.Key)
 	var p progressRow
 	if err := decode(row, &p); err != nil {
-		t.deps.Log.Error().Err(err).Msg("progress can't be read")
+		t.deps.Log.Error().Err(err).Msg("progress row can't be decoded")
 		return
 	}
 	j := t.jobs[id]
@@ -156,10 +156,10 @@
 	cancelled := j.state == workload.Cancelled
 	j.occurrences = nil
 	j.restore(p, now)
-	j.begin(time.Now())
+	j.addDue(time.Now())
 	j.each(func(tid workload.TaskID, s *step, k *task) {
 		if k.state == taskPlaced {
-			t.orphan(k).add(workload.RunID{Task: tid, Run: k.run}, s.spec)
+			t.recordedWorker(k).add(workload.RunID{Task: tid, Run: k.run}, s.spec)
 			k.stopping = j.state.Final()
 		}
 	})
@@ -168,21 +168,21 @@
 	}
 }
 
-// orphan returns the worker of a stored placement. Until an agent reports
-// it, its runs go on for as long as the last lease that the earlier scheduler
-// may have granted.
-func (t *Term) orphan(k *task) *worker {
+// recordedWorker returns the worker of a stored placement. Until an agent
+// reports it, its runs count for as long as the last lease that the earlier
+// scheduler may have granted.
+func (t *Term) recordedWorker(k *task) *worker {
 	w := t.workers[k.worker]
 	if w == nil {
 		w = newWorker(k.worker, k.agent)
-		w.bound = t.began + validFor + t.leaseLength()
+		w.leaseEnd = t.beganAt + validFor + t.leaseLength()
 		t.workers[k.worker] = w
 	}
 	return w
 }
 
-// followJobs takes new jobs and cancellations from the store's feed. Entries
-// also tell of theirs by a call; the feed finds those whose call was lost.
+// followJobs reads new jobs and cancellations from the store's feed. Entries
+// also send theirs by a call; the feed has those whose call was lost.
 func (t *Term) followJobs(after uint64) {
 	for t.ctx.Err() == nil {
 		rows, at, err := t.deps.Store.Feed(t.ctx, JobsTable, after, feedWait)
@@ -193,12 +193,12 @@
 				t.sleep(loadRetry)
 				continue
 			}
-			t.take(rows)
+			t.receiveJobs(rows)
 			after = version
 		case err != nil:
 			t.sleep(loadRetry)
 		default:
-			t.take(rows)
+			t.receiveJobs(rows)
 			after = max(after, at.Version, lastVersion(rows))
 		}
 	}
@@ -211,12 +211,12 @@
 	return rows[len(rows)-1].Version
 }
 
-func (t *Term) take(rows []rowstore.Row) {
+func (t *Term) receiveJobs(rows []rowstore.Row) {
 	if len(rows) == 0 {
 		return
 	}
 	t.mu.Lock()
-	t.takeJobs(rows)
+	t.addJobRows(rows)
 	t.mu.Unlock()
 	t.wakeUp()
 }
@@ -241,11 +241,11 @@
 			continue
 		}
 		after, ok = max(after, version), true
-		t.takeAgents(rows)
+		t.updateAgents(rows)
 	}
 }
 
-func (t *Term) takeAgents(rows []rowstore.Row) {
+func (t *Term) updateAgents(rows []rowstore.Row) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, row := range rows {
@@ -255,7 +255,7 @@
 		}
 		a, err := dispatch.DecodeAgentRow(row)
 		if err != nil {
-			t.deps.Log.Error().Err(err).Msg("agent can't be read")
+			t.deps.Log.Error().Err(err).Msg("agent row can't be decoded")
 			continue
 		}
 		if old != nil && old.link.Address() == a.Address {
--- a/entry/scheduler/lost.go
+++ b/entry/scheduler/lost.go
@@ -2,8 +2,8 @@
 
 import "persimmonrock.example/structs/workload"
 
-// dead notes that a life of a worker is over: nothing of it runs any more.
-func (t *Term) dead(id workload.WorkerID, how loss) {
+// removeWorker removes an incarnation that has ended, with all of its runs.
+func (t *Term) removeWorker(id workload.WorkerID, loss workerLoss) {
 	w := t.workers[id]
 	if w == nil {
 		return
@@ -12,49 +12,50 @@
 	if w.link != nil && w.link.worker == w {
 		w.link.worker = nil
 	}
-	how.crashed = true
-	t.loseRuns(w, how)
+	loss.crashed = true
+	t.requeueRuns(w, loss)
 }
 
-// loseRuns makes everything on record at w wait again.
-func (t *Term) loseRuns(w *worker, how loss) {
-	suspects := t.suspects(w, how)
+// requeueRuns returns all tasks on record at w to waiting.
+func (t *Term) requeueRuns(w *worker, loss workerLoss) {
+	suspects := t.suspects(w, loss)
 	if w.alive || len(w.runs) > 0 {
 		t.deps.Log.Warn().Str("worker", string(w.id)).Str("instance", w.agent).Int("runs", len(w.runs)).Int("suspects", len(suspects)).
-			Str("why", how.why).Msg("worker lost")
+			Str("why", loss.reason).Msg("worker lost")
 	}
 	w.alive = false
 	for r := range w.runs {
 		if j, s, k := t.placedRun(w, r); k != nil {
 			t.deps.Counters.Lost.Add(1)
 			j.release(s, k, "")
-			t.mark(j)
+			t.markDirty(j)
 		}
 		w.remove(r)
 	}
-	t.blame(w, how, suspects)
+	t.recordSuspects(w, loss, suspects)
 	if w.link != nil {
-		// Should the worker come back, all of its runs are compared anew.
+		// If the worker returns, all of its runs are compared again.
 		w.link.since = 0
 	}
 	t.wakeUp()
 }
 
-// loseWorkers finds the workers whose last lease is over.
-func (t *Term) loseWorkers() bool {
+// expireWorkers requeues the runs of workers whose last lease has expired.
+func (t *Term) expireWorkers() bool {
 	now := t.deps.Now()
 	lost := false
 	for _, w := range t.workers {
-		if w.bound > 0 && now > w.bound && (w.alive || len(w.runs) > 0) {
-			t.loseRuns(w, loss{why: "its last lease is over"})
+		if w.leaseEnd > 0 && now > w.leaseEnd && (w.alive || len(w.runs) > 0) {
+			t.requeueRuns(w, workerLoss{reason: "its last lease has expired"})
 			lost = true
 		}
 	}
 	return lost
 }
 
-// evacuate moves lasting work off a worker that leaves: it ends with the
-// worker in any case, and the time until then is better spent elsewhere.
+// evacuate stops lasting and checkpointing tasks on a worker that is draining:
+// they would end with it in any case, and the time until then is better spent
+// elsewhere.
 func (t *Term) evacuate(w *worker) {
 	for r := range w.runs {
 		_, s, k := t.placedRun(w, r)
--- a/entry/scheduler/memory.go
+++ b/entry/scheduler/memory.go
@@ -8,16 +8,16 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// keepEvery is the time between two records of what was learnt: a few
+// saveEvery is the time between two saves of the learnt weights: a few
 // kilobytes, with a transaction that is due anyway.
-const keepEvery = 3 * time.Second
+const saveEvery = 3 * time.Second
 
-// learntKey is the row of what schedulers have learnt. A new scheduler that
-// knew nothing would place filling work beside serving tasks on which it
-// presses, for the ten seconds that learning takes.
+// learntKey is the row of the learnt weights. Without them, a new scheduler
+// would place filling work beside serving tasks on which it presses, for the
+// ten seconds that learning takes.
 var learntKey = rowstore.Key{Table: learntTable, Part: schedulerPart, Key: "pressure"}
 
-// learntRow is what is kept of a learner.
+// learntRow is the stored state of a learner.
 type learntRow struct {
 	// Base is the lowest tail seen of each serving image, in milliseconds.
 	Base  map[string]float64 `json:"b"`
@@ -31,41 +31,41 @@
 	Evidence float64 `json:"e"`
 }
 
-// learnt returns the write that records what was learnt, if one is due. The
+// learntPut returns the write that saves the learnt weights, if one is due. The
 // caller holds mu.
-func (t *Term) learnt() (rowstore.Put, bool) {
+func (t *Term) learntPut() (rowstore.Put, bool) {
 	now := t.deps.Now()
 	version := t.learner.model.Version()
-	if version == t.keptVersion || now-t.keptAt < keepEvery {
+	if version == t.savedVersion || now-t.savedAt < saveEvery {
 		return rowstore.Put{}, false
 	}
-	t.keptVersion, t.keptAt = version, now
-	row := learntRow{Base: t.learner.base}
+	t.savedVersion, t.savedAt = version, now
+	row := learntRow{Base: t.learner.baseTails}
 	for _, l := range t.learner.model.Export() {
-		row.Pairs = append(row.Pairs, learntPair{Serving: l.Serving, Filling: l.Filling, Value: short(l.Value), Evidence: short(l.Evidence)})
+		row.Pairs = append(row.Pairs, learntPair{Serving: l.Serving, Filling: l.Filling, Value: roundThousandth(l.Value), Evidence: roundThousandth(l.Evidence)})
 	}
 	return rowstore.Put{Key: learntKey, Value: encode(row)}, true
 }
 
-// short leaves a thousandth of precision, for a small row.
-func short(x float64) float64 { return math.Round(x*1000) / 1000 }
+// roundThousandth rounds x to a thousandth, for a small row.
+func roundThousandth(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-// recall takes what an earlier scheduler has learnt. The caller holds mu.
-func (t *Term) recall(row rowstore.Row) {
+// restoreLearnt restores what an earlier scheduler learnt. The caller holds mu.
+func (t *Term) restoreLearnt(row rowstore.Row) {
 	var r learntRow
 	if err := decode(row, &r); err != nil {
-		t.deps.Log.Error().Err(err).Msg("what was learnt can't be read; it is learnt anew")
+		t.deps.Log.Error().Err(err).Msg("learnt weights can't be decoded; learning starts anew")
 		return
 	}
 	var all []pressure.Learnt
 	for _, p := range r.Pairs {
 		all = append(all, pressure.Learnt{Pair: pressure.Pair{Serving: p.Serving, Filling: p.Filling}, Value: p.Value, Evidence: p.Evidence})
 	}
-	t.learner.begin()
+	t.learner.initMaps()
 	for image, tail := range r.Base {
-		t.learner.base[image] = tail
+		t.learner.baseTails[image] = tail
 	}
 	t.learner.model.Import(all)
-	t.keptVersion = t.learner.model.Version()
-	t.deps.Log.Info().Int("pairs", len(all)).Int("images", len(r.Base)).Msg("learnt before")
+	t.savedVersion = t.learner.model.Version()
+	t.deps.Log.Info().Int("pairs", len(all)).Int("images", len(r.Base)).Msg("learnt weights restored")
 }
--- a/entry/scheduler/memory_test.go
+++ b/entry/scheduler/memory_test.go
@@ -8,43 +8,43 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// The entry that schedules is killed, and another takes over. If it knew
-// nothing of the images, it would place filling work beside serving tasks on
-// which it presses, and their users would wait until that is learnt again.
-func TestLearningOutlivesItsScheduler(t *testing.T) {
+// The scheduling entry is killed, and another takes over. Without the learnt
+// weights it would place filling work beside serving tasks on which that work
+// presses, and their users would wait until the weights are learnt again.
+func TestLearntWeightsSurviveTakeover(t *testing.T) {
 	now := time.Minute
 	term := func() *Term {
 		x := &Term{deps: Deps{Now: func() time.Duration { return now }}}
-		x.learner.begin()
+		x.learner.initMaps()
 		return x
 	}
 	before := term()
-	if _, due := before.learnt(); due {
-		t.Error("nothing was learnt, and it is to be kept")
+	if _, due := before.learntPut(); due {
+		t.Error("a write is due though nothing was learnt")
 	}
 	pair := pressure.Pair{Serving: "a", Filling: "f"}
 	for range 10 {
 		before.learner.model.Observe(pressure.Sample{Serving: "a", Load: 0.2, Used: map[string]float64{"f": 0.1}, Count: 1})
 	}
 	before.learner.model.Solve(time.Second)
-	before.learner.base["a"] = 4
-	put, due := before.learnt()
+	before.learner.baseTails["a"] = 4
+	put, due := before.learntPut()
 	if !due {
-		t.Fatal("what was learnt is not kept")
+		t.Fatal("no write is due for the learnt weights")
 	}
-	if _, due := before.learnt(); due {
-		t.Error("kept again though nothing has changed")
+	if _, due := before.learntPut(); due {
+		t.Error("a write is due again though nothing has changed")
 	}
 	after := term()
-	after.recall(rowstore.Row{Key: put.Key, Value: put.Value, Version: 1})
+	after.restoreLearnt(rowstore.Row{Key: put.Key, Value: put.Value, Version: 1})
 	if w := after.learner.model.Weight(pair); !w.Known || w.Value < 1.5 {
 		t.Errorf("the next scheduler knows %+v", w)
 	}
-	if after.learner.base["a"] != 4 {
-		t.Errorf("the next scheduler knows the tails %v", after.learner.base)
+	if after.learner.baseTails["a"] != 4 {
+		t.Errorf("the next scheduler knows the tails %v", after.learner.baseTails)
 	}
 	broken := term()
-	broken.recall(rowstore.Row{Key: put.Key, Value: []byte("{"), Version: 1})
+	broken.restoreLearnt(rowstore.Row{Key: put.Key, Value: []byte("{"), Version: 1})
 	if w := broken.learner.model.Weight(pair); w.Known {
 		t.Errorf("a row that can't be read gives %+v", w)
 	}
--- a/entry/scheduler/orders.go
+++ b/entry/scheduler/orders.go
@@ -11,7 +11,7 @@
 	r := workload.RunID{Task: id, Run: k.run}
 	l.starts[r] = dispatch.StartOrder{
 		Run: r, Need: s.spec.Need, Fills: s.spec.Fills, Image: s.spec.Image, TailTarget: s.spec.TailTarget, Checkpoint: k.checkpoint, Ticket: k.ticket,
-		Gang: s.spec.Gang, Watched: k.crashes > 0, Estimate: ownPace(s.spec),
+		Gang: s.spec.Gang, Watched: k.crashes > 0, Estimate: comparableEstimate(s.spec),
 	}
 	signal(l.outbox)
 }
@@ -22,8 +22,8 @@
 	signal(l.outbox)
 }
 
-// repeatOrders puts every run on record at the worker into the outbox. An
-// agent takes an order that it knows for the size of its run.
+// repeatOrders puts every run on record at the worker into the outbox. From a
+// repeated order, an agent learns the size of a run that it already knows.
 func (l *agentLink) repeatOrders() {
 	if l.worker == nil {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// orderLoop sends what is in the outbox.
+// orderLoop sends the contents of the outbox.
 func (l *agentLink) orderLoop(ctx context.Context) {
 	for {
 		select {
@@ -76,7 +76,7 @@
 	if err != nil || reply.Refused != "" {
 		if ctx.Err() == nil {
 			t.deps.Log.Info().Err(err).Str("refused", string(reply.Refused)).Str("instance", l.node).Int("starts", len(args.Starts)).
-				Int("stops", len(args.Stops)).Msg("orders not taken")
+				Int("stops", len(args.Stops)).Msg("orders not accepted")
 			t.sleep(linkRetry)
 			signal(l.outbox)
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// orders takes a message's worth from the outbox. Starts whose task was
-// placed elsewhere since are dropped.
+// orders returns the next message from the outbox. Starts whose task was placed
+// elsewhere since are dropped.
 func (l *agentLink) orders() (args dispatch.OrderArgs, more bool) {
 	t := l.term
 	if l.worker == nil || l.process == 0 {
@@ -104,7 +104,7 @@
 	}
 	args.Claim = l.claim()
 	args.Worker = l.worker.id
-	args.Seen = l.worker.stored
+	args.Seen = l.worker.endsStored
 	args.Payloads = map[workload.JobID]string{}
 	for r := range l.stops {
 		args.Stops = append(args.Stops, r)
--- a/entry/scheduler/plan.go
+++ b/entry/scheduler/plan.go
@@ -9,16 +9,16 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// plan places waiting tasks where there is room: by priority, then what can
-// still end in time. A task that fits nowhere does not hold up those behind
-// it. The caller holds mu.
+// plan places waiting tasks where capacity is free: by priority, then jobs
+// first that can still end in time. A task that fits nowhere does not block
+// those behind it. The caller holds mu.
 func (t *Term) plan() {
 	if !t.loaded || len(t.workers) == 0 {
 		return
 	}
 	t.refresh()
-	t.followDrains()
-	if t.blind {
+	t.updateDrains()
+	if t.drainsStale {
 		return
 	}
 	t.endQuarantines(time.Now())
@@ -41,8 +41,8 @@
 		}
 	}
 	t.active = kept
-	if c := t.deps.Config(); c != nil && c.Version != t.queuesOf {
-		t.queuesOf = c.Version
+	if c := t.deps.Config(); c != nil && c.Version != t.queuesVersion {
+		t.queuesVersion = c.Version
 		t.queues = make(map[string]workload.Queue, len(c.Queues))
 		for _, q := range c.Queues {
 			t.queues[q.Name] = q
@@ -61,30 +61,30 @@
 }
 
 func (t *Term) planJob(v *view, j *job) {
-	v.serve(j.queue.Service)
+	v.setService(j.queue.Service)
 	for _, o := range j.occurrences {
 		for si, s := range o.steps {
-			if s.waiting == 0 || !o.open(si) {
+			if s.waiting == 0 || !o.ready(si) {
 				continue
 			}
 			lift := func() {}
 			if j.queue.Advised {
-				lift = t.advised(v, j, o, si)
+				lift = t.barUnpermitted(v, j, o, si)
 			}
-			t.planOpen(v, j, o, si)
+			t.planReadyStep(v, j, o, si)
 			t.logPlaced(v, j, o, si)
 			lift()
 		}
 	}
 }
 
-// planOpen places the tasks of a step that may start.
-func (t *Term) planOpen(v *view, j *job, o *occurrence, si int) {
+// planReadyStep places the tasks of a step that may start.
+func (t *Term) planReadyStep(v *view, j *job, o *occurrence, si int) {
 	now := time.Now()
 	s := o.steps[si]
-	suspects := s.quarantined(now)
+	suspects := s.awaitsQuarantine(now)
 	if s.spec.Gang {
-		// A gang goes as a whole: into quarantine, or past it if no worker holds it.
+		// A gang is placed as a whole: in quarantine, or outside if no worker fits.
 		if !suspects || !t.planQuarantine(v, j, o, si, now) {
 			t.planGang(v, j, o, si)
 		}
@@ -101,37 +101,37 @@
 	v.countStep(s)
 	switch {
 	case s.spec.Fills:
-		t.press(v, s.spec)
+		t.setPressure(v, s.spec)
 		defer v.liftBars()
-		if !t.waitedOut(v, j) {
+		if !t.waitExpired(v, j) {
 			v.barPressed(s.spec)
 		}
 	case s.spec.TailTarget > 0:
-		t.mix(v, s.spec)
+		t.setMix(v, s.spec)
 	}
 	now := time.Now()
 	for i := range s.tasks {
 		k := &s.tasks[i]
-		if k.state != taskWaiting || k.notBefore.After(now) || k.quarantined(now) {
+		if k.state != taskWaiting || k.notBefore.After(now) || k.awaitsQuarantine(now) {
 			continue
 		}
 		if t.placePinned(v, j, o, si, i, now) {
 			continue
 		}
 		avoid := v.index(k.avoid)
-		away := v.staysAway(s.spec, avoid, k.failedAt)
-		n := placement.Choose(placement.Request{Step: s.spec, Avoid: avoid, Never: away, Rack: v.rackOfStep(s)}, v.candidates)
+		excluded := v.mustAvoid(s.spec, avoid, k.failedAt)
+		n := placement.Choose(placement.Request{Step: s.spec, Avoid: avoid, Never: excluded, Rack: v.rackOfStep(s)}, v.candidates)
 		switch {
-		case n < 0 && away:
+		case n < 0 && excluded:
 			continue
 		case n < 0:
-			t.keepRoom(v, j, o, si, i, now)
+			t.holdCapacity(v, j, o, si, i, now)
 			return
 		}
 		t.place(v, j, o, si, i, n, k.run+1)
 		switch {
 		case s.spec.Fills:
-			t.pressMore(v, j, s.spec, n)
+			t.updatePressure(v, j, s.spec, n)
 		case s.spec.TailTarget > 0:
 			v.candidates[n].SameImage = true
 		}
@@ -139,30 +139,29 @@
 }
 
 const (
-	// patience is how long after it was of any use to its client a job still
-	// waits for a worker on which it does not press. Then it goes wherever
-	// there is room, so that no job waits for ever.
-	patience = 30 * time.Second
-	// idlePatience is the same for a job of which nothing runs while most of
-	// the service's room is free: its client sees a job that stands still
+	// waitLimit is the time after the latest useful end of a job for which it
+	// still waits for a worker on which it does not press. Then it takes any free
+	// capacity, so that no job waits forever.
+	waitLimit = 30 * time.Second
+	// idleWaitLimit is the same for a job without a running task while most of
+	// the service's capacity is free: its client sees a job that stands still
 	// beside idle workers.
-	idlePatience = 2 * time.Second
-	// mostlyFree is the part of a service's counted CPU below which that
-	// holds.
+	idleWaitLimit = 2 * time.Second
+	// mostlyFree is the used share of a service's CPU that counts as mostly free.
 	mostlyFree = 0.52
 )
 
-// waitedOut reports whether a job no longer waits for a worker on which it
+// waitExpired reports whether a job no longer waits for a worker on which it
 // does not press.
-func (t *Term) waitedOut(v *view, j *job) bool {
+func (t *Term) waitExpired(v *view, j *job) bool {
 	now := time.Duration(t.storeNow()) * time.Millisecond
-	if j.key.Class == order.Overdue && now > j.key.By+patience {
+	if j.key.Class == order.Overdue && now > j.key.By+waitLimit {
 		return true
 	}
-	return v.busy() < mostlyFree && j.idleFor(time.Now()) > idlePatience
+	return v.usedShare() < mostlyFree && j.idleFor(time.Now()) > idleWaitLimit
 }
 
-// idleFor is how long nothing of the job has run.
+// idleFor is the time for which no task of the job has run.
 func (j *job) idleFor(now time.Time) time.Duration {
 	idle := true
 	j.each(func(_ workload.TaskID, _ *step, k *task) {
@@ -193,7 +192,7 @@
 			v.candidates = saved
 			return
 		}
-		v.take(n, s.spec)
+		v.reserve(n, s.spec)
 		chosen = append(chosen, n)
 	}
 	v.candidates = saved
@@ -204,8 +203,8 @@
 	}
 }
 
-// nextGangRun is the number of a gang's next run, and the checkpoint from which
-// all members begin.
+// nextGangRun returns the number of a gang's next run, and the checkpoint from
+// which all members begin.
 func (s *step) nextGangRun() (run int, checkpoint string) {
 	for i := range s.tasks {
 		run = max(run, s.tasks[i].run)
@@ -216,8 +215,8 @@
 	return run + 1, checkpoint
 }
 
-// place puts the next run of a task on record at candidate n. The agent hears
-// of it when the record is stored.
+// place puts the next run of a task on record at candidate n. The agent is sent
+// the order when the record is stored.
 func (t *Term) place(v *view, j *job, o *occurrence, si, i, n, run int) {
 	s := o.steps[si]
 	k := &s.tasks[i]
@@ -235,7 +234,7 @@
 	s.waiting--
 	id := workload.TaskID{Job: j.spec.ID, Occurrence: o.number, Step: si, Index: i}
 	w.add(workload.RunID{Task: id, Run: run}, s.spec)
-	v.take(n, s.spec)
+	v.reserve(n, s.spec)
 	if j.state == workload.Queued {
 		j.state = workload.Running
 	}
@@ -243,7 +242,7 @@
 		j.started = true
 		t.deps.Counters.FirstStart.Observe(time.Duration(t.storeNow()-j.spec.Accepted) * time.Millisecond)
 	}
-	t.mark(j)
+	t.markDirty(j)
 	t.deps.Counters.Placements.Add(1)
 	v.placed.add(i, run, w.id, v.candidates[n].Free.CPU)
 }
--- a/entry/scheduler/plan_bench_test.go
+++ b/entry/scheduler/plan_bench_test.go
@@ -17,13 +17,13 @@
 	config := &workload.Config{Version: 1, Queues: []workload.Queue{queue}}
 	t := newTerm(context.Background(), Config{}, Deps{Now: func() time.Duration { return *now }, Config: func() *workload.Config { return config }, Drains: knownDrains, Counters: &Counters{}}, leaseRow{}, 1, 0, rowstore.Stamp{Now: *now})
 	t.loaded = true
-	t.learner.begin()
+	t.learner.initMaps()
 	return t
 }
 
-// crowded is a term of a grown deployment at its busiest: each worker has
+// busyTerm is a term of a large deployment at its highest load: each worker has
 // serving tasks of two images and filling work, and jobs of filling tasks wait.
-func crowded(workers, waiting int) *Term {
+func busyTerm(workers, waiting int) *Term {
 	now := time.Minute
 	queue := workload.Queue{Name: "q", Service: "s", Stretch: 2, MaxAttempts: 3}
 	t := loadedTerm(&now, queue)
@@ -54,15 +54,16 @@
 	return t
 }
 
-// A plan of 69 workers with 60 jobs that wait is made up to 60 times a second,
-// on a machine with a fifth of a core at worst. While weights were looked up by
-// name it took 0.61 ms there, 0.030 with 11 workers and 37.6 with 1,000; by number
-// 0.13, 0.011 and 6.9 ms. Learnt times and trials of pairs take a third
-// more: 0.21 ms without and 0.28 with them for 69 workers, both beside other work.
+// A plan of 69 workers with 60 waiting jobs is made up to 60 times a second, at
+// worst on a machine with a fifth of a core. There, with lookups of weights by
+// name a plan took 0.61 ms, 0.030 with 11 workers and 37.6 with 1,000; by
+// number 0.13, 0.011 and 6.9 ms. Learnt durations and trials of pairs add a
+// third: 0.21 ms without and 0.28 with them for 69 workers, both beside other
+// work.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ workers, waiting int }{{11, 10}, {69, 60}, {1000, 300}} {
 		b.Run(fmt.Sprintf("workers:%d,waiting:%d", size.workers, size.waiting), func(b *testing.B) {
-			t := crowded(size.workers, size.waiting)
+			t := busyTerm(size.workers, size.waiting)
 			t.plan()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -72,5 +73,5 @@
 	}
 }
 
-// knownDrains says that nothing is drained, as of now.
+// knownDrains reports that nothing is drained, as of now.
 func knownDrains() (workload.Drains, time.Duration) { return workload.Drains{}, 0 }
--- a/entry/scheduler/rank.go
+++ b/entry/scheduler/rank.go
@@ -19,7 +19,7 @@
 	return order.Objective(j.queue, order.Chain(j.spec.Steps, took, func(int) bool { return false }))
 }
 
-// rank is the job's place in the order now.
+// rank returns the job's place in the order now.
 func (t *Term) rank(j *job, now time.Duration) order.Key {
 	accepted := time.Duration(j.spec.Accepted) * time.Millisecond
 	if j.spec.Steps[0].Lasting || j.spec.Repeat.Count > 0 {
@@ -40,28 +40,27 @@
 	return key
 }
 
-// expected is how long the tasks of each step of the job are expected to take:
-// as estimated, until some of the step's own have ended.
+// expected returns the expected duration of a task of each step: the estimate,
+// until some of the step's own tasks have ended.
 func (j *job) expected() []time.Duration {
 	timed := j.timedTasks()
-	if len(j.took) > 0 && timed == j.timed {
-		return j.took
+	if len(j.durations) > 0 && timed == j.durationsTimed {
+		return j.durations
 	}
-	j.timed = timed
-	j.took = j.took[:0]
+	j.durationsTimed = timed
+	j.durations = j.durations[:0]
 	for i := range j.spec.Steps {
 		d := j.spec.Steps[i].Estimate
 		if len(j.occurrences) > 0 {
 			s := j.occurrences[0].steps[i]
 			d = order.Known(d, s.took, s.timed)
 		}
-		j.took = append(j.took, d)
+		j.durations = append(j.durations, d)
 	}
-	return j.took
+	return j.durations
 }
 
-// timedTasks counts the tasks of the job's first occurrence of which it is
-// known how long they took.
+// timedTasks counts the timed tasks of the job's first occurrence.
 func (j *job) timedTasks() int {
 	if len(j.occurrences) == 0 {
 		return 0
--- a/entry/scheduler/rank_test.go
+++ b/entry/scheduler/rank_test.go
@@ -7,9 +7,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A client sees its job given up as overdue, or go before others that are
-// smaller, because its estimate is off by a factor of three either way. Once
-// tasks of its own have ended it is ranked by what they took.
+// Failure guarded against: a job is ranked as overdue, or before smaller ones,
+// because its estimate is off by a factor of three either way. Once some of its
+// own tasks have ended, it is ranked by their durations.
 func TestJobsAreRankedByTheTimesOfTheirOwnTasks(t *testing.T) {
 	queue := workload.Queue{Name: "q", Service: "s", Stretch: 2, TargetLatency: time.Second}
 	now := time.Minute
@@ -23,7 +23,7 @@
 		k := &s.tasks[index]
 		e := workload.End{Run: workload.RunID{Task: workload.TaskID{Job: j.spec.ID, Index: index}}, Kind: workload.EndDone, Worked: worked}
 		k.state = taskPlaced
-		term.settle(j, s, k, e, newWorker("w", "agent"))
+		term.resolveEnd(j, s, k, e, newWorker("w", "agent"))
 	}
 	low, high := add("low", time.Second), add("high", 9*time.Second)
 	before := term.rank(high, 0).Work / term.rank(low, 0).Work
--- a/entry/scheduler/rates_test.go
+++ b/entry/scheduler/rates_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A fleet of 240 workers is scheduled on a machine with 0.8 of a core, and used
-// a quarter of it. Its agents still sampled and heard of what was learnt as
-// seldom as a fifth of a core bears, each 3.2 s, and filling work went on
-// pressing on serving tasks for so long. A weak machine keeps to what it bears,
-// and a few workers are sampled as often as ever.
-func TestRatesFollowTheMachine(t *testing.T) {
+// Failure guarded against: a fleet of 240 workers is scheduled on a machine
+// with 0.8 of a core, of which a quarter is used. Its agents are sampled and
+// updated as rarely as a fifth of a core requires, every 3.2 s, and filling
+// work presses on serving tasks for that long. A weak machine must stay within
+// its limits, and a few workers are sampled at the usual interval.
+func TestUpdateRatesScaleWithMachinePower(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
-		agents               int
-		power                float64
-		usual, unknown, tell time.Duration
+		agents                 int
+		power                  float64
+		usual, unknown, update time.Duration
 	}{
 		{11, 0, 500 * ms, 250 * ms, 300 * ms},
 		{11, 0.4, 500 * ms, 250 * ms, 300 * ms},
@@ -25,10 +25,10 @@
 		{240, 0.8, 500 * ms, 500 * ms, 800 * ms},
 	}
 	for _, c := range cases {
-		usual, unknown := sampleTimes(c.agents, c.power)
-		if tell := tellTime(c.agents, c.power); usual != c.usual || unknown != c.unknown || tell != c.tell {
-			t.Errorf("%d agents, %.1f cores: samples each %v and %v, tellings each %v; want %v, %v and %v",
-				c.agents, c.power, usual, unknown, tell, c.usual, c.unknown, c.tell)
+		usual, unknown := sampleIntervals(c.agents, c.power)
+		if update := pressureUpdateInterval(c.agents, c.power); usual != c.usual || unknown != c.unknown || update != c.update {
+			t.Errorf("%d agents, %.1f cores: samples each %v and %v, updates each %v; want %v, %v and %v",
+				c.agents, c.power, usual, unknown, update, c.usual, c.unknown, c.update)
 		}
 	}
 }
--- a/entry/scheduler/regroup.go
+++ b/entry/scheduler/regroup.go
@@ -8,29 +8,28 @@
 )
 
 const (
-	// regroupEvery is the time between two looks at how serving images mix.
+	// regroupEvery is the time between two checks of the mix of serving images.
 	regroupEvery = 400 * time.Millisecond
-	// regroupAfter is how long a serving task stays where it is at least, and
-	// with it the others of its step.
+	// regroupAfter is the least time for which a serving task, and with it the
+	// others of its step, stays where it is.
 	regroupAfter = 5 * time.Second
-	// regroupAtOnce bounds the serving tasks that are on their way, for each
-	// fewWorkers.
+	// regroupAtOnce bounds the serving tasks that are moving at the same time,
+	// per scaleUnit workers.
 	regroupAtOnce = 4
-	// pinFor is how long the room at the new place is kept: a stop takes up
-	// to a second, and the next transaction.
+	// pinFor is the time for which capacity at the new worker is held: a stop
+	// takes up to a second, and the next transaction.
 	pinFor = 4 * time.Second
 )
 
-// fewWorkers is a number of workers for which one move of serving tasks at a
-// look, and a few of filling ones, keep up with what is learnt. With a bound for
-// the whole fleet its serving tasks would stay beside what presses on them the
-// longer the larger it is.
-const fewWorkers = 20
+// scaleUnit is a number of workers for which one move of serving tasks per
+// check, and a few of filling ones, keep up with learning. With a bound for the
+// whole fleet, serving tasks would stay beside work that presses on them for
+// longer in a larger fleet.
+const scaleUnit = 20
 
-// shareOf is how many times fewWorkers n workers are, one at least.
-func shareOf(n int) int { return max(1, (n+fewWorkers-1)/fewWorkers) }
+// fleetScale is the number of scaleUnits in n workers, at least 1.
+func fleetScale(n int) int { return max(1, (n+scaleUnit-1)/scaleUnit) }
 
-// movable is one serving task that may be moved.
 type movable struct {
 	id   workload.TaskID
 	task *task
@@ -41,22 +40,22 @@
 // presses don't share workers. The caller holds mu.
 func (t *Term) regroup() bool {
 	now := t.deps.Now()
-	if !t.loaded || now-t.regrouped < regroupEvery {
+	if !t.loaded || now-t.lastRegroup < regroupEvery {
 		return false
 	}
-	t.regrouped = now
-	t.looks++
+	t.lastRegroup = now
+	t.regroupRounds++
 	v := t.newView()
-	tasks, found, onTheWay := t.servingTasks(v)
-	share := shareOf(len(v.workers))
-	if onTheWay >= regroupAtOnce*share || len(tasks) == 0 {
+	tasks, found, moving := t.servingTasks(v)
+	share := fleetScale(len(v.workers))
+	if moving >= regroupAtOnce*share || len(tasks) == 0 {
 		return false
 	}
 	free := make([]workload.Resources, len(v.workers))
 	for i, w := range v.workers {
-		free[i] = w.info.Capacity.Sub(w.used).Sub(w.keptFor(workload.TaskID{}, time.Now()))
+		free[i] = w.info.Capacity.Sub(w.used).Sub(w.heldForOthers(workload.TaskID{}, time.Now()))
 	}
-	moves := pressure.Regroup(tasks, free, t.difference, t.looks, share)
+	moves := pressure.Regroup(tasks, free, t.difference, t.regroupRounds, share)
 	for _, m := range moves {
 		t.deps.Counters.Regrouped.Add(1)
 		t.moveTo(v, found[m.One], m.To, "regroup")
@@ -73,9 +72,8 @@
 	return d
 }
 
-// servingTasks lists the serving tasks, and counts those that are on their
-// way to another worker.
-func (t *Term) servingTasks(v *view) (tasks []pressure.Task, found []movable, onTheWay int) {
+// servingTasks lists the serving tasks, and counts the moving ones.
+func (t *Term) servingTasks(v *view) (tasks []pressure.Task, found []movable, moving int) {
 	now := time.Now()
 	steps := map[*step]int{}
 	for _, j := range t.active {
@@ -87,7 +85,7 @@
 				return
 			}
 			if k.pin != "" && now.Before(k.pinUntil) {
-				onTheWay++
+				moving++
 			}
 			w := v.index(k.worker)
 			if k.state != taskPlaced || w < 0 {
@@ -102,13 +100,13 @@
 			found = append(found, movable{id: id, task: k, step: s})
 		})
 	}
-	return tasks, found, onTheWay
+	return tasks, found, moving
 }
 
-// mayMove reports whether a task may be taken away for a moment: it has been
-// at work for long enough, and so have the others of its step. Steps that
-// bound how many may be away are left alone: others may be away for causes
-// that the scheduler does not see yet.
+// mayMove reports whether a task may be stopped for a move: it and the others
+// of its step have been at work for long enough. Steps that bound their missing
+// tasks are left alone: others may be missing for causes that the scheduler
+// does not see yet.
 func (t *Term) mayMove(j *job, s *step, k *task, now time.Time) bool {
 	if !k.ordered || k.stopping || k.moves >= relocatePerTask || now.Sub(k.placedAt) < regroupAfter || j.queue.Advised || s.spec.Gang ||
 		s.spec.MayMiss > 0 {
@@ -123,7 +121,7 @@
 	return true
 }
 
-// barredFor are the workers that may not take a task, whatever their room.
+// barredFor returns the workers that may not take a task, even with capacity.
 func (v *view) barredFor(j *job, s *step, k *task) map[int]bool {
 	barred := map[int]bool{}
 	on := map[workload.WorkerID]int{}
@@ -134,28 +132,27 @@
 	}
 	for i, w := range v.workers {
 		full := s.spec.Spread > 0 && on[w.id] >= s.spec.Spread && w.id != k.worker
-		if full || w.leaving() || w.quarantine != nil || w.info.Service != j.queue.Service || !w.info.HasLabel(s.spec.Label) || w.health.suspect(v.now) {
+		if full || w.draining() || w.quarantine != nil || w.info.Service != j.queue.Service || !w.info.HasLabel(s.spec.Label) || w.health.suspect(v.now) {
 			barred[i] = true
 		}
 	}
 	return barred
 }
 
-// moveTo stops a task and keeps room for it at another worker; why is told in
-// the log.
-func (t *Term) moveTo(v *view, m movable, to int, why string) {
+// moveTo stops a task and holds capacity for it at another worker.
+func (t *Term) moveTo(v *view, m movable, to int, msg string) {
 	w := v.workers[to]
 	until := time.Now().Add(pinFor)
 	m.task.pin, m.task.pinUntil = w.id, until
 	m.task.moves++
-	w.kept[m.id] = keptRoom{need: m.step.spec.Reserved(), until: until}
+	w.held[m.id] = heldCapacity{need: m.step.spec.Reserved(), until: until}
 	t.deps.Log.Info().Stringer("run", workload.RunID{Task: m.id, Run: m.task.run}).Str("from", string(m.task.worker)).
-		Str("room", string(w.id)).Str("image", m.step.spec.Image).Msg(why)
+		Str("room", string(w.id)).Str("image", m.step.spec.Image).Msg(msg)
 	t.stop(m.id, m.task)
 }
 
-// placePinned places a task that is on its way where room is kept for it. It
-// returns true if the task is placed or waits for that room.
+// placePinned places a moving task where capacity is held for it. It returns
+// true if the task is placed or waits for it.
 func (t *Term) placePinned(v *view, j *job, o *occurrence, si, i int, now time.Time) bool {
 	s := o.steps[si]
 	k := &s.tasks[i]
@@ -169,19 +166,19 @@
 		return false
 	}
 	w := v.workers[n]
-	if !s.spec.Reserved().Fits(w.info.Capacity.Sub(w.used).Sub(w.keptFor(id, now))) {
+	if !s.spec.Reserved().Fits(w.info.Capacity.Sub(w.used).Sub(w.heldForOthers(id, now))) {
 		return true
 	}
 	t.unpin(k, id)
 	t.place(v, j, o, si, i, n, k.run+1)
-	// The room was kept, and so was missing in the view already.
+	// The held capacity was already missing in the view.
 	v.candidates[n].Free = v.candidates[n].Free.Add(s.spec.Reserved())
 	return true
 }
 
 func (t *Term) unpin(k *task, id workload.TaskID) {
 	if w := t.workers[k.pin]; w != nil {
-		delete(w.kept, id)
+		delete(w.held, id)
 	}
 	k.pin = ""
 }
--- a/entry/scheduler/regroup_test.go
+++ b/entry/scheduler/regroup_test.go
@@ -7,9 +7,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A serving task is away for a second or two when it is moved. Its step may
-// bound how many are away at once, and others may be away for causes that the
-// scheduler does not see yet: such a step is left where it is.
+// A serving task is unavailable for a second or two when it is moved. Its step
+// may bound its missing tasks, and other tasks may be missing for reasons that
+// the scheduler does not see yet: such a step is not moved.
 func TestOnlySettledTasksMayMove(t *testing.T) {
 	now := time.Now()
 	settled := func() task {
@@ -21,7 +21,7 @@
 		want   bool
 	}{
 		{"all at work", func(*job, *step) {}, true},
-		{"a bound on what is away", func(_ *job, s *step) { s.spec.MayMiss = 2 }, false},
+		{"a bound on missing tasks", func(_ *job, s *step) { s.spec.MayMiss = 2 }, false},
 		{"another one waits", func(_ *job, s *step) { s.tasks[1].state = taskWaiting }, false},
 		{"another one stops", func(_ *job, s *step) { s.tasks[1].stopping = true }, false},
 		{"another one has just begun", func(_ *job, s *step) { s.tasks[1].placedAt = now }, false},
@@ -42,12 +42,12 @@
 }
 
 // A filling job waits for a worker on which it does not press, but not while
-// nothing of it runs and most of the room is free: its client would see a job
-// that stands still beside idle workers.
-func TestIdleJobDoesNotWaitBesideFreeRoom(t *testing.T) {
+// none of its tasks runs and most of the capacity is free: its client would see
+// a job that stands still beside idle workers.
+func TestIdleJobDoesNotWaitBesideFreeCapacity(t *testing.T) {
 	now := time.Now()
 	j := newJob(workload.Job{Steps: []workload.Step{{Count: 1, Fills: true}}})
-	j.begin(now)
+	j.addDue(now)
 	if idle := j.idleFor(now); idle != 0 {
 		t.Errorf("idle for %v at first sight", idle)
 	}
@@ -65,20 +65,20 @@
 	}
 }
 
-// The row of a job holds all that the next scheduler needs of it.
-func TestProgressSurvivesItsRow(t *testing.T) {
+// The row of a job holds all its progress that the next scheduler needs.
+func TestProgressRowRoundTrip(t *testing.T) {
 	now := time.Now()
 	spec := workload.Job{ID: "5c0e7a21d94b36f8", Steps: []workload.Step{{Count: 20}, {Count: 3, After: []int{0}}}}
 	j := newJob(spec)
-	j.begin(now)
+	j.addDue(now)
 	s := j.occurrences[0].steps[0]
 	for i := range 9 {
 		j.finish(s, &s.tasks[i])
 		s.waiting--
 	}
-	s.tasks[9] = task{state: taskPlaced, run: 2, fails: 1, agent: "machine-1", worker: "w-7", checkpoint: "c"}
+	s.tasks[9] = task{state: taskPlaced, run: 2, failures: 1, agent: "machine-1", worker: "w-7", checkpoint: "c"}
 	s.waiting--
-	s.tasks[10] = task{run: 1, fails: 1, checkpoint: "d"}
+	s.tasks[10] = task{run: 1, failures: 1, checkpoint: "d"}
 	j.state = workload.Running
 
 	next := newJob(spec)
@@ -87,13 +87,13 @@
 	if r.done != 9 || r.waiting != 10 || next.state != workload.Running {
 		t.Errorf("done %d, waiting %d, state %s", r.done, r.waiting, next.state)
 	}
-	if k := r.tasks[9]; k.state != taskPlaced || k.run != 2 || k.fails != 1 || k.agent != "machine-1" || k.worker != "w-7" || k.checkpoint != "c" {
+	if k := r.tasks[9]; k.state != taskPlaced || k.run != 2 || k.failures != 1 || k.agent != "machine-1" || k.worker != "w-7" || k.checkpoint != "c" {
 		t.Errorf("placed task %+v", k)
 	}
-	if k := r.tasks[10]; k.state != taskWaiting || k.run != 1 || k.fails != 1 || k.checkpoint != "d" {
+	if k := r.tasks[10]; k.state != taskWaiting || k.run != 1 || k.failures != 1 || k.checkpoint != "d" {
 		t.Errorf("waiting task %+v", k)
 	}
-	if next.occurrences[0].open(1) {
+	if next.occurrences[0].ready(1) {
 		t.Error("the second step is open before the first is done")
 	}
 }
--- a/entry/scheduler/relocate.go
+++ b/entry/scheduler/relocate.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// relocateAfter is how long a run stays where it is at least: the
-	// figures of its pressure cover half a second.
+	// relocateAfter is the least time for which a run stays where it is: its
+	// pressure figures cover half a second.
 	relocateAfter = 900 * time.Millisecond
-	// relocateEvery is the time between two looks at them.
+	// relocateEvery is the time between two checks of filling runs.
 	relocateEvery = 200 * time.Millisecond
-	// relocatePerPlan bounds the runs that move at a time, for each
-	// fewWorkers, and relocatePerTask how often one task does.
+	// relocatePerPlan bounds the runs that move at a time, per scaleUnit workers,
+	// and relocatePerTask the moves of one task.
 	relocatePerPlan = 4
 	relocatePerTask = 2
 )
 
 // relocate stops filling runs that press on serving tasks, and so hardly
-// work, where another worker has room for them on which they don't. They
-// resume there from their checkpoint. The caller has placed all it could.
+// progress, if another worker has capacity where they do not press. They resume
+// there from their checkpoint. The caller has placed all tasks that it could.
 func (t *Term) relocate(v *view) {
-	if v.now-t.relocated < relocateEvery {
+	if v.now-t.lastRelocate < relocateEvery {
 		return
 	}
-	t.relocated = v.now
-	left := relocatePerPlan * shareOf(len(v.workers))
+	t.lastRelocate = v.now
+	left := relocatePerPlan * fleetScale(len(v.workers))
 	for _, j := range t.active {
 		if j.state.Final() || j.key.Class == order.Overdue || j.queue.Advised {
 			continue
 		}
-		v.serve(j.queue.Service)
+		v.setService(j.queue.Service)
 		for _, o := range j.occurrences {
 			for si, s := range o.steps {
 				if !s.spec.Fills || !s.spec.Checkpointing || s.spec.Gang || s.done+s.waiting == len(s.tasks) {
@@ -51,7 +51,7 @@
 func (t *Term) relocateStep(v *view, j *job, o *occurrence, si, limit int) int {
 	s := o.steps[si]
 	v.countStep(s)
-	t.press(v, s.spec)
+	t.setPressure(v, s.spec)
 	v.barPressed(s.spec)
 	defer v.liftBars()
 	moved := 0
@@ -70,7 +70,7 @@
 		if n < 0 || v.candidates[n].Presses {
 			break
 		}
-		v.take(n, s.spec)
+		v.reserve(n, s.spec)
 		k.moves++
 		moved++
 		t.deps.Counters.Relocated.Add(1)
--- a/entry/scheduler/retire.go
+++ b/entry/scheduler/retire.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// retireEvery is the time between two looks for jobs to retire.
+	// retireEvery is the time between two checks for jobs to retire.
 	retireEvery = 10 * time.Second
-	// retireMargin is how much longer than its state can be asked for a job is
-	// kept: a submission may be repeated seconds after its answer, and would
-	// run again if its row were gone.
+	// retireMargin is the time for which a job is kept beyond StatusFor: a
+	// submission may be repeated seconds after its answer, and would run again if
+	// its row were gone.
 	retireMargin = 2 * time.Minute
-	// retireBatch bounds the jobs of one look; each has up to two rows beside
+	// retireBatch bounds the jobs of one check; each has up to two rows beside
 	// its progress.
 	retireBatch = 40
 )
 
-// oldJob is a job whose rows may go.
+// oldJob is a job whose rows may be deleted.
 type oldJob struct {
 	id workload.JobID
-	// cancelRow says that it has a row of its cancellation, too.
+	// cancelRow says that the job also has a cancellation row.
 	cancelRow bool
 }
 
@@ -35,7 +35,7 @@
 			return
 		}
 		t.mu.Lock()
-		old := t.endedLongAgo()
+		old := t.retirableJobs()
 		t.mu.Unlock()
 		gone := t.deleteJobs(old)
 		t.mu.Lock()
@@ -47,13 +47,13 @@
 	}
 }
 
-// endedLongAgo lists jobs whose final state is stored, old enough, and of
-// which nothing runs.
-func (t *Term) endedLongAgo() []oldJob {
+// retirableJobs lists jobs whose final state is stored and old enough, without
+// placed runs.
+func (t *Term) retirableJobs() []oldJob {
 	before := t.storeNow() - (t.cfg.StatusFor + retireMargin).Milliseconds()
 	var old []oldJob
 	for id, j := range t.jobs {
-		if !j.stored.Final() || j.final == 0 || j.final > before || j.queued {
+		if !j.stored.Final() || j.final == 0 || j.final > before || j.unsaved {
 			continue
 		}
 		idle := true
@@ -69,9 +69,9 @@
 }
 
 // deleteJobs deletes the rows of jobs and their cancellations, a transaction
-// for each part, and returns those that are gone. The progress rows go with
-// the next transaction of the term: were they to go first, a job might be
-// found without progress and run again.
+// for each part, and returns the deleted jobs. Their progress rows are deleted
+// later, with the term's next transaction: a job found without progress would
+// run again.
 func (t *Term) deleteJobs(old []oldJob) []workload.JobID {
 	parts := map[string][]oldJob{}
 	for _, o := range old {
@@ -100,7 +100,7 @@
 	return gone
 }
 
-// retiredKeys takes the progress rows that may go with the next transaction.
+// retiredKeys takes progress rows to delete off t.retired.
 func (t *Term) retiredKeys() []rowstore.Key {
 	n := min(len(t.retired), commitRows)
 	keys := make([]rowstore.Key, 0, n)
--- a/entry/scheduler/rows.go
+++ b/entry/scheduler/rows.go
@@ -16,18 +16,18 @@
 	// JobsTable holds accepted jobs and cancellations, which entries write
 	// once. Its parts spread the writes of all entries.
 	JobsTable = "jobs"
-	// progressTable holds what has become of each job. Only the scheduler
-	// writes it, in one part together with its lease.
+	// progressTable holds the progress of each job. Only the scheduler writes it,
+	// in one part together with its lease.
 	progressTable = "progress"
-	// learntTable holds what schedulers have learnt of the images.
+	// learntTable holds the weights and tails learnt of the images.
 	learntTable   = "learnt"
 	leaseTable    = "scheduler"
 	schedulerPart = "s"
 )
 
-// jobParts spreads submissions. A part carries out one transaction at a time,
-// and takes 8 ms for each; from a store that is 70 times slower 32 parts take 57
-// submissions a second, so that few wait for another.
+// jobParts is the number of parts that share submissions. A part executes one
+// transaction at a time, in 8 ms; with a store that is 70 times slower, 32
+// parts take 57 submissions a second, so that few wait for another.
 const jobParts = 32
 
 // cancelSuffix marks the row of a job's cancellation.
@@ -63,19 +63,19 @@
 	return parts
 }
 
-// splitJobKey tells a job's row from its cancellation's.
+// splitJobKey returns a row's job, and whether it is the cancellation.
 func splitJobKey(key string) (id workload.JobID, cancel bool) {
 	base, cancel := strings.CutSuffix(key, cancelSuffix)
 	return workload.JobID(base), cancel
 }
 
-// leaseRow is the scheduler's lease. Each transaction of the scheduler
-// renews it under the condition of its version, which makes the row the fence
-// of an earlier scheduler, the heartbeat, and the proof of whether a
-// transaction without an answer was applied, all in one.
+// leaseRow is the scheduler's lease. Each transaction of the scheduler renews
+// the row under the condition of its version. So it fences off an earlier
+// scheduler, is the heartbeat, and shows whether a transaction without an
+// answer was applied.
 type leaseRow struct {
 	Node string `json:"n"`
-	// Process tells two processes of one machine apart.
+	// Process distinguishes two processes of one machine.
 	Process string `json:"p"`
 	Address string `json:"a"`
 	// Count numbers the transactions of the term.
@@ -86,16 +86,16 @@
 	Released bool `json:"r,omitempty"`
 	// Power is the processor of the holder's machine, in cores.
 	Power float64 `json:"w,omitempty"`
-	// Heir is the node for which a released lease is kept for a moment.
-	Heir string `json:"h,omitempty"`
+	// Successor is the node for which a released lease is reserved for a moment.
+	Successor string `json:"h,omitempty"`
 }
 
-// progressRow is what the store keeps of a job beside the job itself.
+// progressRow is the stored progress of a job.
 type progressRow struct {
 	State workload.State `json:"s"`
 	// Final is the store's clock at the final state, in milliseconds.
 	Final int64 `json:"f,omitempty"`
-	// Next is the first occurrence that was not begun.
+	// Next is the first occurrence that has not begun.
 	Next        int             `json:"n,omitempty"`
 	Workers     []workerRef     `json:"w,omitempty"`
 	Occurrences []occurrenceRow `json:"o,omitempty"`
@@ -111,8 +111,8 @@
 	Steps  []stepRow `json:"s"`
 }
 
-// stepRow keeps the done tasks as bits, and the others that were ever
-// started as tuples.
+// stepRow holds the done tasks as bits, and the others that were ever started
+// as a list.
 type stepRow struct {
 	Done  []byte    `json:"d,omitempty"`
 	Tasks []taskRow `json:"t,omitempty"`
--- a/entry/scheduler/service.go
+++ b/entry/scheduler/service.go
@@ -8,17 +8,17 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// refusedConnection reports whether nothing listens at the peer's address.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// connectionRefused reports whether nothing listens at the peer's address.
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ready reports whether the term knows all jobs and may speak for them.
+// ready reports whether the term has loaded all jobs and its lease is valid.
 func (t *Term) ready() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loaded && t.ctx.Err() == nil && t.deps.Now() < t.validUntil
 }
 
-// Note takes a job or a cancellation that an entry has just stored.
+// Note adds a job or a cancellation that an entry has just stored.
 func (t *Term) Note(args dispatch.NoteArgs) {
 	t.mu.Lock()
 	if t.loaded {
@@ -33,7 +33,7 @@
 	t.wakeUp()
 }
 
-// State returns what the store has of a job's state.
+// State returns the stored state of a job.
 func (t *Term) State(id workload.JobID) dispatch.StateReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +64,7 @@
 	return reply
 }
 
-// Service is the elector's part of net/rpc for other entries.
+// Service exposes the elector to other entries over net/rpc.
 type Service struct{ Elector *Elector }
 
 // Note implements the call of that name.
--- a/entry/scheduler/straggler.go
+++ b/entry/scheduler/straggler.go
@@ -7,26 +7,25 @@
 )
 
 // A worker may let its tasks stand still, or work at a sixth of its speed, and
-// look healthy all the while. Its agent tells of runs that get on far slower
-// than estimated; whether the estimate or the worker is wrong shows in what
-// else ran.
+// look healthy all the while. Its agent reports runs that progress far slower
+// than estimated; the other runs show whether the estimate or the worker is
+// wrong.
 
-// maxRescues bounds how often one task is taken from a worker.
+// maxRescues bounds how often one task is moved off a slow worker.
 const maxRescues = 2
 
-// ownPace is the estimate of a step whose tasks end by themselves, and that
-// nobody slows: the pace of filling work says nothing of its worker.
-func ownPace(s *workload.Step) time.Duration {
+// comparableEstimate is the estimate of a step whose tasks end by themselves,
+// at full pace: that of filling work says nothing about its worker.
+func comparableEstimate(s *workload.Step) time.Duration {
 	if s.Lasting || s.Fills || s.Gang {
 		return 0
 	}
 	return s.Estimate
 }
 
-// straggler takes note of a run that is told as slow. If its worker seems to be
-// the cause, all slow runs are taken away from there; it reports whether any
-// was.
-func (t *Term) straggler(w *worker, s *step, k *task, r workload.RunID) bool {
+// handleSlowRun records that a run is reported as slow. If its worker seems to
+// be the cause, it stops all slow runs there, and reports whether it did.
+func (t *Term) handleSlowRun(w *worker, s *step, k *task, r workload.RunID) bool {
 	if k.slow || k.stopping {
 		return false
 	}
@@ -48,13 +47,13 @@
 // rescue stops a run, so that its task starts elsewhere.
 func (t *Term) rescue(w *worker, k *task, r workload.RunID) {
 	t.deps.Counters.Rescued.Add(1)
-	t.deps.Log.Info().Stringer("run", r).Str("worker", string(w.id)).Int("rescues", k.rescues).Msg("run straggles; it starts elsewhere")
+	t.deps.Log.Info().Stringer("run", r).Str("worker", string(w.id)).Int("rescues", k.rescues).Msg("run too slow; its task starts elsewhere")
 	k.rescues++
 	k.avoid = w.id
 	t.stop(r.Task, k)
 }
 
-// slowRun returns the task of a run on record if the run is told as slow.
+// slowRun returns the task of a run on record if the run is reported as slow.
 func (t *Term) slowRun(r workload.RunID) *task {
 	j := t.jobs[r.Task.Job]
 	if j == nil {
@@ -66,8 +65,8 @@
 	return nil
 }
 
-// workerIsSlow reports whether a slow run of s is the worker's doing: others
-// of its step are done already, or runs of another job are slow there too.
+// workerIsSlow reports whether the worker causes the slow run of s: other tasks
+// of the step are done already, or runs of another job are slow there, too.
 func (t *Term) workerIsSlow(w *worker, s *step, r workload.RunID) bool {
 	if s.done > 0 {
 		return true
--- a/entry/scheduler/tell.go
+++ b/entry/scheduler/tell.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// tellEvery is the least time between two tellings of what was learnt to
-	// one agent; with many agents it grows, so that there are at most
-	// tellsPerSecond on a machine of weakPower. A telling is a kilobyte or two.
-	tellEvery      = 300 * time.Millisecond
-	tellsPerSecond = 75
-	// tellAgain is the time after which an agent is told what it was told
-	// before, since that may have been lost on the way.
-	tellAgain = 2 * time.Second
-	// changedWeight is the least change of a weight that is told at once.
+	// pressureUpdateEvery is the least time between two updates to one agent. It
+	// grows with the agents, so that there are at most pressureUpdatesPerSecond
+	// on a machine of weakPower. Each has a kilobyte or two.
+	pressureUpdateEvery      = 300 * time.Millisecond
+	pressureUpdatesPerSecond = 75
+	// pressureUpdateRepeat is the time after which an unchanged update is sent
+	// again, since the last one may have been lost.
+	pressureUpdateRepeat = 2 * time.Second
+	// changedWeight is the least change of a weight that is sent at once.
 	changedWeight = 0.05
 )
 
-// toldPressure is what an agent was told last.
-type toldPressure struct {
+// pressureUpdate is the last update sent to an agent.
+type pressureUpdate struct {
 	// version is that of the model.
-	version uint64
-	at      time.Duration
-	pairs   map[pressure.Pair]pressure.Weight
-	base    map[string]float64
+	version   uint64
+	at        time.Duration
+	pairs     map[pressure.Pair]pressure.Weight
+	baseTails map[string]float64
 }
 
-// tellPressure adds what was learnt of the serving images on the worker, if
-// the agent does not know it.
-func (l *agentLink) tellPressure(args *dispatch.WatchArgs) {
+// addPressureUpdate adds the learnt weights of the worker's serving images, if
+// the agent does not have them.
+func (l *agentLink) addPressureUpdate(args *dispatch.WatchArgs) {
 	t := l.term
-	args.SampleEvery, args.SampleUnknown = sampleTimes(len(t.agents), t.cfg.Power)
+	args.SampleEvery, args.SampleUnknown = sampleIntervals(len(t.agents), t.cfg.Power)
 	now, version := t.deps.Now(), t.learner.model.Version()
-	if version == l.told.version || now-l.told.at < tellTime(len(t.agents), t.cfg.Power) {
+	if version == l.sentPressure.version || now-l.sentPressure.at < pressureUpdateInterval(len(t.agents), t.cfg.Power) {
 		return
 	}
 	pairs := map[pressure.Pair]pressure.Weight{}
@@ -46,27 +46,27 @@
 			pairs[pressure.Pair{Serving: image, Filling: filling}] = w
 		}
 	}
-	base := map[string]float64{}
+	baseTails := map[string]float64{}
 	for image := range l.worker.images {
-		base[image] = t.learner.base[image]
+		baseTails[image] = t.learner.baseTails[image]
 	}
-	if now-l.told.at < tellAgain && l.told.tells(pairs) && maps.Equal(base, l.told.base) {
+	if now-l.sentPressure.at < pressureUpdateRepeat && l.sentPressure.matches(pairs) && maps.Equal(baseTails, l.sentPressure.baseTails) {
 		return
 	}
-	l.told = toldPressure{version: version, at: now, pairs: pairs, base: base}
-	args.Base = base
+	l.sentPressure = pressureUpdate{version: version, at: now, pairs: pairs, baseTails: baseTails}
+	args.Base = baseTails
 	for p, w := range pairs {
 		args.Pressure = append(args.Pressure, dispatch.PairWeight{Serving: p.Serving, Filling: p.Filling, Value: w.Value, Known: w.Known})
 	}
 }
 
-// tellTime is the time between two tellings to one of n agents.
-func tellTime(n int, power float64) time.Duration {
-	return max(tellEvery, spread(n, tellsPerSecond*strength(power)))
+// pressureUpdateInterval is the time between two updates to one of n agents.
+func pressureUpdateInterval(n int, power float64) time.Duration {
+	return max(pressureUpdateEvery, turnInterval(n, pressureUpdatesPerSecond*powerScale(power)))
 }
 
-// tells reports whether what was told says about the same as pairs.
-func (x *toldPressure) tells(pairs map[pressure.Pair]pressure.Weight) bool {
+// matches reports whether the update holds about the same weights as pairs.
+func (x *pressureUpdate) matches(pairs map[pressure.Pair]pressure.Weight) bool {
 	if len(pairs) != len(x.pairs) {
 		return false
 	}
--- a/entry/scheduler/term.go
+++ b/entry/scheduler/term.go
@@ -1,8 +1,8 @@
 // Package scheduler decides which task runs where. One entry at a time holds
-// the scheduler's lease, a row of the store that every one of its
-// transactions renews under a condition; the others watch the row and take
-// over when it stands still. What the scheduler has decided is in the store
-// before an agent hears of it, so that the next one finds it there.
+// the scheduler's lease, a row of the store that each of its transactions
+// renews under the condition of its version; the others watch the row and take
+// over when it is no longer renewed. A decision is stored before it is sent to
+// an agent, so that the next scheduler finds it.
 package scheduler
 
 import (
@@ -19,65 +19,64 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Config is what a scheduler is told.
+// Config holds a scheduler's settings.
 type Config struct {
 	Node    string
 	Process string
 	Address string
-	// Power is the processor of the machine, in cores; 0 is not known.
+	// Power is the processor of the machine, in cores; 0 if unknown.
 	Power float64
-	// Grant is how long after an agent's last word its worker's lease may
-	// last.
+	// Grant is the time after an agent's last contact for which its worker's
+	// lease may last.
 	Grant time.Duration
-	// StatusFor is how long a final state can be asked for.
+	// StatusFor is the time for which a final state can be queried.
 	StatusFor time.Duration
 }
 
-// Deps are what a scheduler uses.
+// Deps are the scheduler's dependencies.
 type Deps struct {
 	Store rowstore.Store
 	Log   zerolog.Logger
-	// Now is a clock that goes on while the machine is suspended.
+	// Now is a clock that keeps running while the machine is suspended.
 	Now func() time.Duration
 	// Config returns the configuration in force, or nil.
 	Config func() *workload.Config
-	// Drains returns the drained data centres, and how long ago the store
-	// confirmed them.
+	// Drains returns the drained data centres, and the age of that knowledge.
 	Drains func() (workload.Drains, time.Duration)
-	// Link makes the link to the process at an address.
+	// Link opens a link to the process at an address.
 	Link func(address string) *dispatch.Link
-	// Policy names the permitted workers of some queues; nil for none.
+	// Policy names the permitted workers of some queues; nil if there is none.
 	Policy policy.Advisor
-	// Counters collects figures over all terms of the process.
+	// Counters accumulates figures over all terms of the process.
 	Counters *Counters
 }
 
 const (
-	// validFor is how long after the sending of its last stored transaction
-	// a scheduler still grants leases to agents.
+	// validFor is the time after the sending of its last stored transaction for
+	// which a scheduler still grants leases to agents.
 	validFor = 4 * time.Second
-	// clockMargin is added to a grant for a worker's clock that runs 2 %
-	// slow, and for readings in whole milliseconds.
+	// clockMargin and clockDrift are for a worker's clock that is slow by 2 %,
+	// and for readings in whole milliseconds.
 	clockMargin = 300 * time.Millisecond
 	clockDrift  = 0.03
-	// tickInterval bounds how late a due time or a lost worker is noticed.
+	// tickInterval bounds the delay of noticing a due time or a lost worker.
 	tickInterval = 50 * time.Millisecond
 )
 
-// Term is one term of the scheduler. Its state is under one lock, which is
-// never held during a call.
+// Term is one term of the scheduler. One lock guards its state and is never
+// held during a call.
 type Term struct {
 	cfg   Config
 	deps  Deps
 	epoch uint64
-	// began is when the lease was taken.
-	began time.Duration
+	// beganAt is when the lease was taken.
+	beganAt time.Duration
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	kick   chan struct{}
-	// questions wait for the policy service.
-	questions chan adviceQuestion
+	wake   chan struct{}
+	// adviceRequests wait for the policy service.
+	adviceRequests chan adviceRequest
 
 	mu      sync.Mutex
 	jobs    map[workload.JobID]*job
@@ -87,33 +86,32 @@
 	agents  map[string]*agentLink
 	workers map[workload.WorkerID]*worker
 	learner learner
-	// keptVersion and keptAt tell what of the learner is on record.
-	keptVersion uint64
-	keptAt      time.Duration
-	// queues are those of the configuration of version queuesOf.
-	queues   map[string]workload.Queue
-	queuesOf uint64
-	// drains is what was last known of them; blind says that it is too old to
+	// savedVersion and savedAt describe the last record of the learner.
+	savedVersion uint64
+	savedAt      time.Duration
+	// queues are those of the configuration of version queuesVersion.
+	queues        map[string]workload.Queue
+	queuesVersion uint64
+	// drains are the last known drains; drainsStale says that they are too old to
 	// place anything by.
-	drains workload.Drains
-	blind  bool
-	// leaving is when drained data centres were last looked at for tasks to
-	// move.
-	leaving time.Duration
-	// regrouped is when the mixing of serving images was last looked at.
-	regrouped time.Duration
-	looks     int
-	// relocated is the same for filling runs.
-	relocated time.Duration
-	// retired are jobs whose rows are deleted but for their progress.
+	drains      workload.Drains
+	drainsStale bool
+	// lastEvacuation is when tasks in drained data centres were last checked.
+	lastEvacuation time.Duration
+	// lastRegroup is when the mix of serving images was last checked.
+	lastRegroup   time.Duration
+	regroupRounds int
+	// lastRelocate is when filling runs were last checked.
+	lastRelocate time.Duration
+	// retired are jobs whose rows are deleted except for their progress.
 	retired []workload.JobID
-	// early holds cancellations whose job is not known yet.
-	early map[workload.JobID]bool
-	// validUntil is the end of the term's own validity.
+	// earlyCancels holds cancellations of jobs that are not known yet.
+	earlyCancels map[workload.JobID]bool
+	// validUntil is the end of the term's validity unless it is renewed.
 	validUntil time.Duration
 	loaded     bool
-	// heir is the node to which the lease is handed, if any.
-	heir string
+	// successor is the node to which the lease is handed, if any.
+	successor string
 
 	lease        leaseRow
 	leaseVersion uint64
@@ -129,9 +127,9 @@
 func newTerm(ctx context.Context, cfg Config, deps Deps, lease leaseRow, version uint64, sent time.Duration, at rowstore.Stamp) *Term {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Term{
-		cfg: cfg, deps: deps, epoch: version, began: deps.Now(), ctx: ctx, cancel: cancel, kick: make(chan struct{}, 1),
-		questions: make(chan adviceQuestion, adviceQueue), jobs: map[workload.JobID]*job{}, agents: map[string]*agentLink{}, workers: map[workload.WorkerID]*worker{},
-		early: map[workload.JobID]bool{}, validUntil: sent + validFor, lease: lease, leaseVersion: version,
+		cfg: cfg, deps: deps, epoch: version, beganAt: deps.Now(), ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1),
+		adviceRequests: make(chan adviceRequest, adviceQueue), jobs: map[workload.JobID]*job{}, agents: map[string]*agentLink{}, workers: map[workload.WorkerID]*worker{},
+		earlyCancels: map[workload.JobID]bool{}, validUntil: sent + validFor, lease: lease, leaseVersion: version,
 		storeClock: storeClock{store: at.Now, local: deps.Now()},
 	}
 }
@@ -162,14 +160,14 @@
 // wakeUp asks the commit loop for a plan.
 func (t *Term) wakeUp() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
 func (t *Term) sleep(d time.Duration) { wait.For(t.ctx, d) }
 
-// storeNow is the store's clock now, in milliseconds. The caller holds mu.
+// storeNow is the store's present time, in milliseconds. The caller holds mu.
 func (t *Term) storeNow() int64 {
 	return (t.storeClock.store + t.deps.Now() - t.storeClock.local).Milliseconds()
 }
@@ -185,10 +183,10 @@
 		case <-ticker.C:
 		}
 		t.mu.Lock()
-		changed := t.loseWorkers()
+		changed := t.expireWorkers()
 		changed = t.beginOccurrences() || changed
-		changed = t.followDrains() || changed
-		changed = t.leaveDrained() || changed
+		changed = t.updateDrains() || changed
+		changed = t.evacuateDrained() || changed
 		changed = t.regroup() || changed
 		t.countAgents()
 		t.countDrained()
@@ -199,16 +197,16 @@
 	}
 }
 
-// countAgents shows how many agents are known and answer.
+// countAgents publishes the numbers of known and responding agents.
 func (t *Term) countAgents() {
-	heard := int64(0)
+	responding := int64(0)
 	for _, l := range t.agents {
-		if l.process != 0 && !l.silent {
-			heard++
+		if l.process != 0 && !l.unresponsive {
+			responding++
 		}
 	}
 	t.deps.Counters.Agents.Store(int64(len(t.agents)))
-	t.deps.Counters.AgentsHeard.Store(heard)
+	t.deps.Counters.AgentsHeard.Store(responding)
 }
 
 func (t *Term) beginOccurrences() bool {
@@ -217,9 +215,9 @@
 	for _, j := range t.active {
 		if j.spec.Repeat.Count > 0 && j.next < j.spec.Repeat.Count {
 			before := j.next
-			j.begin(now)
+			j.addDue(now)
 			if j.next != before {
-				t.mark(j)
+				t.markDirty(j)
 				changed = true
 			}
 		}
@@ -227,15 +225,15 @@
 	return changed
 }
 
-// mark puts a changed job on the list of what has to be stored.
-func (t *Term) mark(j *job) {
-	if !j.queued {
-		j.queued = true
+// markDirty puts a changed job on the list of jobs to store.
+func (t *Term) markDirty(j *job) {
+	if !j.unsaved {
+		j.unsaved = true
 		t.dirty = append(t.dirty, j)
 	}
 }
 
-// addJob takes a job that is stored.
+// addJob adds a stored job.
 func (t *Term) addJob(spec workload.Job) {
 	if _, ok := t.jobs[spec.ID]; ok {
 		return
@@ -244,22 +242,22 @@
 	t.jobs[spec.ID] = j
 	t.active = append(t.active, j)
 	t.resort = true
-	j.begin(time.Now())
+	j.addDue(time.Now())
 	t.deps.Counters.Jobs.Add(1)
 	if t.loaded {
 		t.logKnown(j)
 	}
-	if t.early[spec.ID] {
-		delete(t.early, spec.ID)
+	if t.earlyCancels[spec.ID] {
+		delete(t.earlyCancels, spec.ID)
 		t.cancelJob(spec.ID)
 	}
 }
 
-// cancelJob takes a cancellation that is stored.
+// cancelJob applies a stored cancellation.
 func (t *Term) cancelJob(id workload.JobID) {
 	j, ok := t.jobs[id]
 	if !ok {
-		t.early[id] = true
+		t.earlyCancels[id] = true
 		return
 	}
 	j.cancelRow = true
@@ -270,11 +268,11 @@
 	t.end(j, workload.Cancelled)
 }
 
-// end gives a job its final state and stops what still runs of it.
+// end gives a job its final state and stops its placed runs.
 func (t *Term) end(j *job, s workload.State) {
 	j.state = s
 	j.final = t.storeNow()
-	t.mark(j)
+	t.markDirty(j)
 	j.each(func(id workload.TaskID, _ *step, k *task) {
 		if k.state == taskPlaced {
 			t.stop(id, k)
@@ -282,8 +280,8 @@
 	})
 }
 
-// stop orders the end of a placed run. Its room is free once the end, or
-// that it never ran, is reported.
+// stop orders the end of a placed run. Its capacity is free once the agent
+// reports that the run has ended or never ran.
 func (t *Term) stop(id workload.TaskID, k *task) {
 	if k.stopping {
 		return
@@ -296,31 +294,31 @@
 	w.link.addStop(workload.RunID{Task: id, Run: k.run})
 }
 
-// applyEnd takes an end that an agent reports.
+// applyEnd applies an end that an agent reports.
 func (t *Term) applyEnd(w *worker, e workload.End) {
 	t.deps.Counters.Ends.Add(1)
 	j := t.jobs[e.Run.Task.Job]
 	if j == nil {
-		t.deps.Log.Warn().Stringer("run", e.Run).Msg("end of a job that is not known")
+		t.deps.Log.Warn().Stringer("run", e.Run).Msg("end reported for an unknown job")
 		return
 	}
 	s, k := j.find(e.Run.Task)
 	if k == nil || k.state != taskPlaced || k.run != e.Run.Run || k.worker != w.id {
-		t.deps.Log.Info().Stringer("run", e.Run).Str("how", string(e.Kind)).Str("worker", string(w.id)).Msg("end of a run that is not on record")
+		t.deps.Log.Info().Stringer("run", e.Run).Str("how", string(e.Kind)).Str("worker", string(w.id)).Msg("end reported for a run that is not on record")
 		return
 	}
 	w.remove(e.Run)
 	if e.Kind == workload.EndDone {
-		t.absolve(j, k)
+		t.clearCrashes(j, k)
 	}
-	if w.judge(e, k.placedAt, t.deps.Now()) {
-		t.suspected(w)
+	if w.recordEnd(e, k.placedAt, t.deps.Now()) {
+		t.logSuspect(w)
 	}
-	t.settle(j, s, k, e, w)
-	t.mark(j)
+	t.resolveEnd(j, s, k, e, w)
+	t.markDirty(j)
 }
 
-func (t *Term) settle(j *job, s *step, k *task, e workload.End, w *worker) {
+func (t *Term) resolveEnd(j *job, s *step, k *task, e workload.End, w *worker) {
 	counted := false
 	switch {
 	case j.state.Final():
@@ -329,15 +327,15 @@
 		t.finishGang(j, s, e.Run)
 		counted = true
 	case e.Kind == workload.EndDone && !s.spec.Lasting:
-		t.timeTask(j, s, k, e)
+		t.recordDuration(j, s, k, e)
 		j.finish(s, k)
 		counted = true
 	case e.Kind == workload.EndFailed:
-		t.failed(j, s, k, e, w)
+		t.applyFailure(j, s, k, e, w)
 	default:
 		k.worked += e.Worked
 		j.release(s, k, e.Checkpoint)
-		t.breakGang(j, s, e.Run)
+		t.stopGang(j, s, e.Run)
 	}
 	if j.state.Final() && j.final == 0 {
 		j.final = t.storeNow()
@@ -349,8 +347,8 @@
 	t.logEnd(j, s, k, e, w)
 }
 
-// timeTask learns from the time that a task took.
-func (t *Term) timeTask(j *job, s *step, k *task, e workload.End) {
+// recordDuration adds a task's duration to its step's sum.
+func (t *Term) recordDuration(j *job, s *step, k *task, e workload.End) {
 	if e.Worked <= 0 {
 		return
 	}
@@ -359,30 +357,30 @@
 	s.timed++
 }
 
-// failedPause delays the next run of a lasting task that keeps failing, by
-// this much for each failure, up to maxFailedPause.
+// failedPause is the delay of the next run of a lasting task that keeps
+// failing, for each failure after the first, up to maxFailedPause.
 const (
 	failedPause    = 100 * time.Millisecond
 	maxFailedPause = time.Second
 )
 
-func (t *Term) failed(j *job, s *step, k *task, e workload.End, w *worker) {
-	k.fails++
+func (t *Term) applyFailure(j *job, s *step, k *task, e workload.End, w *worker) {
+	k.failures++
 	k.avoid, k.failedAt = w.id, t.deps.Now()
 	j.release(s, k, e.Checkpoint)
 	if s.spec.Lasting {
-		k.notBefore = time.Now().Add(min(maxFailedPause, failedPause*time.Duration(k.fails-1)))
+		k.notBefore = time.Now().Add(min(maxFailedPause, failedPause*time.Duration(k.failures-1)))
 		return
 	}
-	if j.queue.MaxAttempts > 0 && k.fails >= j.queue.MaxAttempts {
-		t.deps.Log.Info().Str("job", string(j.spec.ID)).Stringer("run", e.Run).Int("failures", k.fails).Msg("job failed")
+	if j.queue.MaxAttempts > 0 && k.failures >= j.queue.MaxAttempts {
+		t.deps.Log.Info().Str("job", string(j.spec.ID)).Stringer("run", e.Run).Int("failures", k.failures).Msg("job failed")
 		t.end(j, workload.Failed)
 		return
 	}
-	t.breakGang(j, s, e.Run)
+	t.stopGang(j, s, e.Run)
 }
 
-// finishGang takes the end of one member for the end of all.
+// finishGang marks all members of a gang as done when one has finished.
 func (t *Term) finishGang(j *job, s *step, r workload.RunID) {
 	for i := range s.tasks {
 		k := &s.tasks[i]
@@ -402,8 +400,8 @@
 	j.dropComplete()
 }
 
-// breakGang stops the other members of a gang of which one has ended.
-func (t *Term) breakGang(j *job, s *step, r workload.RunID) {
+// stopGang stops the other members of a gang after one has ended.
+func (t *Term) stopGang(j *job, s *step, r workload.RunID) {
 	if !s.spec.Gang {
 		return
 	}
--- a/entry/scheduler/trials.go
+++ b/entry/scheduler/trials.go
@@ -7,51 +7,50 @@
 )
 
 // Failure guarded against: the first job of a new filling image has tens of
-// tasks. Placed all at once they run beside the serving tasks of many workers,
-// and take all of them over their targets for a second or two before anybody
-// knows that the image presses there. A pair of images of which it is not known
-// whether it presses therefore runs on one worker first, which tells after two
-// samples.
+// tasks. Placed all at once, they run beside the serving tasks of many workers,
+// and take all of them over their targets for a second or two before it is
+// known that the image presses there. So a pair of images of unknown pressure
+// runs on one worker first, which shows it after two samples.
 const (
-	// trialFor is how long other workers wait for what a trial tells: two
-	// samples of half a second.
-	trialFor = time.Second
-	// trialPause is how long a pair must not have run together for its next
-	// run to be a new trial.
+	// trialWait is the time for which other workers wait for the result of a
+	// trial: two samples of half a second.
+	trialWait = time.Second
+	// trialPause is the time without a common run after which the next run of a
+	// pair is a new trial.
 	trialPause = 3 * time.Second
-	// trialScan is the time between two looks at what runs together.
-	trialScan = 100 * time.Millisecond
+	// trialScanEvery is the time between two scans for pairs that run together.
+	trialScanEvery = 100 * time.Millisecond
 )
 
-// trial is the worker on which a pair that is not known runs first.
+// trial records the worker on which an unknown pair runs first.
 type trial struct {
-	on    workload.WorkerID
-	began time.Duration
-	last  time.Duration
+	onWorker workload.WorkerID
+	began    time.Duration
+	last     time.Duration
 }
 
-// trials are those of all pairs. The zero value is ready for use.
+// trials holds the trials of all pairs. The zero value is ready for use.
 type trials struct {
-	// byFilling holds them by filling and then by serving image. Most plans
+	// byFilling holds the trials by filling and then by serving image. Most plans
 	// find none of their filling images here.
 	byFilling map[string]map[string]trial
 	scanned   time.Duration
 }
 
-// scan looks for pairs that are not known and run together.
+// scan finds unknown pairs that run together, and drops old trials.
 func (x *trials) scan(workers []*worker, t *weightTable, now time.Duration) {
-	if now-x.scanned < trialScan && x.byFilling != nil {
+	if now-x.scanned < trialScanEvery && x.byFilling != nil {
 		return
 	}
 	x.scanned = now
 	for _, w := range workers {
 		for filling := range w.fills {
-			x.note(w, filling, t, now)
+			x.record(w, filling, t, now)
 		}
 	}
 	for filling, pairs := range x.byFilling {
-		for serving, one := range pairs {
-			if now-one.last > trialPause {
+		for serving, tr := range pairs {
+			if now-tr.last > trialPause {
 				delete(pairs, serving)
 			}
 		}
@@ -61,8 +60,8 @@
 	}
 }
 
-// note takes note that the filling image runs, or is to run, on w.
-func (x *trials) note(w *worker, filling string, t *weightTable, now time.Duration) {
+// record records that the filling image runs, or is to run, on w.
+func (x *trials) record(w *worker, filling string, t *weightTable, now time.Duration) {
 	if x.byFilling == nil {
 		x.byFilling = map[string]map[string]trial{}
 	}
@@ -77,25 +76,25 @@
 			pairs = map[string]trial{}
 			x.byFilling[filling] = pairs
 		}
-		one, ok := pairs[serving]
-		if !ok || now-one.last > trialPause {
-			one = trial{on: w.id, began: now}
+		tr, ok := pairs[serving]
+		if !ok || now-tr.last > trialPause {
+			tr = trial{onWorker: w.id, began: now}
 		}
-		one.last = now
-		pairs[serving] = one
+		tr.last = now
+		pairs[serving] = tr
 	}
 }
 
-// any reports whether the filling image is on trial at all; most are not, and
-// a plan asks for each step.
-func (x *trials) any(filling string) bool { return len(x.byFilling[filling]) > 0 }
+// onTrial reports whether the filling image is on trial at all; most are not,
+// and a plan checks this for each step.
+func (x *trials) onTrial(filling string) bool { return len(x.byFilling[filling]) > 0 }
 
-// elsewhere reports whether a pair of the filling image and a serving image on
-// w is on trial at another worker.
-func (x *trials) elsewhere(w *worker, filling string, t *weightTable, now time.Duration) bool {
+// onTrialElsewhere reports whether a pair of the filling image and a serving
+// image on w is on trial at another worker.
+func (x *trials) onTrialElsewhere(w *worker, filling string, t *weightTable, now time.Duration) bool {
 	column := t.column(filling)
-	for serving, one := range x.byFilling[filling] {
-		if w.images[serving] > 0 && one.on != w.id && now-one.began < trialFor && !t.weights[t.row(serving)][column].Known {
+	for serving, tr := range x.byFilling[filling] {
+		if w.images[serving] > 0 && tr.onWorker != w.id && now-tr.began < trialWait && !t.weights[t.row(serving)][column].Known {
 			return true
 		}
 	}
@@ -105,12 +104,12 @@
 // barTrials bars the workers on which one more task of s would run a pair that
 // is on trial elsewhere.
 func (v *view) barTrials(l *learner, s *workload.Step) {
-	if !l.trials.any(s.Image) {
+	if !l.trials.onTrial(s.Image) {
 		return
 	}
 	table := l.weights()
 	for i, w := range v.workers {
-		if !v.candidates[i].Barred && l.trials.elsewhere(w, s.Image, table, v.now) {
+		if !v.candidates[i].Barred && l.trials.onTrialElsewhere(w, s.Image, table, v.now) {
 			v.candidates[i].Barred = true
 			v.barred = append(v.barred, i)
 		}
--- a/entry/scheduler/trials_test.go
+++ b/entry/scheduler/trials_test.go
@@ -11,7 +11,7 @@
 )
 
 // trialTerm is a term of four workers that all serve image a, on a clock that
-// the test moves, with one waiting job of eight filling tasks of image new.
+// the test advances, with one waiting job of eight filling tasks of image new.
 func trialTerm(now *time.Duration) *Term {
 	queue := workload.Queue{Name: "q", Service: "s", Stretch: 2}
 	t := loadedTerm(now, queue)
@@ -41,9 +41,9 @@
 
 // A job of a new image presses on a serving image that all workers have. All
 // its tasks placed at once would take every serving task over its target. They
-// go to one worker until its samples tell; if these say nothing for a second,
-// or that the image is harmless, the others follow, and if it presses they
-// stay away.
+// go to one worker until its samples show the pressure; if they show none for a
+// second, or that the image is harmless, the others follow, and if it presses
+// they avoid these workers.
 func TestUnknownPairsRunOnOneWorkerFirst(t *testing.T) {
 	learn := func(x *Term, weight float64) {
 		for range 10 {
@@ -59,7 +59,7 @@
 	}{
 		{"at once", func(*Term, *time.Duration) {}, 1, 1},
 		{"half a second later", func(_ *Term, now *time.Duration) { *now += 500 * time.Millisecond }, 1, 1},
-		{"when nothing was learnt in time", func(_ *Term, now *time.Duration) { *now += trialFor + time.Millisecond }, 3, 4},
+		{"when nothing was learnt in time", func(_ *Term, now *time.Duration) { *now += trialWait + time.Millisecond }, 3, 4},
 		{"when it is known to be harmless", func(x *Term, now *time.Duration) { *now += 500 * time.Millisecond; learn(x, 0) }, 3, 4},
 	}
 	for _, c := range cases {
@@ -72,7 +72,7 @@
 			t.Errorf("%s: filling tasks on %d workers, want %d to %d", c.name, got, c.least, c.most)
 		}
 	}
-	// The fifth worker has room on which the image presses on nothing.
+	// The fifth worker has capacity and no serving task to press on.
 	now := time.Minute
 	x := trialTerm(&now)
 	free := newWorker("w-9", "agent-9")
@@ -88,10 +88,11 @@
 	}
 }
 
-// An agent is told soon when it becomes known where an image presses, and not
-// each time that a weight moves a little: 1,000 agents would take the scheduler's
-// whole bandwidth. What was told is repeated, since it may have been lost.
-func TestAgentsAreToldWhatHasChanged(t *testing.T) {
+// An agent is sent an update soon after it is known where an image presses, and
+// not for each small change of a weight: 1,000 agents would take the
+// scheduler's whole bandwidth. Updates are repeated, since one may have been
+// lost.
+func TestPressureUpdatesAreSentOnChange(t *testing.T) {
 	now := time.Minute
 	x := trialTerm(&now)
 	l := &agentLink{term: x, worker: x.workers["w-0"]}
@@ -101,28 +102,28 @@
 		}
 		x.learner.model.Solve(time.Millisecond)
 	}
-	told := func(after time.Duration) int {
+	sent := func(after time.Duration) int {
 		now += after
 		var args dispatch.WatchArgs
-		l.tellPressure(&args)
+		l.addPressureUpdate(&args)
 		return len(args.Pressure)
 	}
 	observe(1.5, 5)
-	if told(tellEvery) != 1 {
-		t.Error("what was learnt first is not told")
+	if sent(pressureUpdateEvery) != 1 {
+		t.Error("the first learnt weight is not sent")
 	}
 	observe(0, 40)
-	if told(tellEvery/2) != 0 {
-		t.Error("told more often than is allowed")
+	if sent(pressureUpdateEvery/2) != 0 {
+		t.Error("sent more often than is allowed")
 	}
-	if told(tellEvery/2) != 1 {
-		t.Error("a change is not told")
+	if sent(pressureUpdateEvery/2) != 1 {
+		t.Error("a change is not sent")
 	}
 	observe(0, 5)
-	if told(tellEvery) != 0 {
-		t.Error("told again though nothing has changed")
+	if sent(pressureUpdateEvery) != 0 {
+		t.Error("sent again though nothing has changed")
 	}
-	if told(tellAgain) != 1 {
+	if sent(pressureUpdateRepeat) != 1 {
 		t.Error("not repeated")
 	}
 }
--- a/entry/scheduler/view.go
+++ b/entry/scheduler/view.go
@@ -8,20 +8,20 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// view is the workers in a fixed order, as the placement sees them. It is
-// kept up to date as a plan goes on.
+// view holds the workers in a fixed order, as the placement sees them. It is
+// updated while a plan is made.
 type view struct {
 	workers    []*worker
 	service    string
 	candidates []placement.Candidate
 	now        time.Duration
-	// learner tells what serving tasks leave unused.
+	// learner estimates the CPU that serving tasks leave unused.
 	learner *learner
-	// barred lists the candidates that are barred for the step that is planned.
+	// barred lists the candidates that are barred for the step being planned.
 	barred []int
-	// pressure is worked out when the first filling step is planned.
+	// pressure is computed when the first filling step is planned.
 	pressure []workerPressure
-	// placed lists what was placed of the step that is planned.
+	// placed lists the placements of the step being planned.
 	placed placements
 }
 
@@ -36,8 +36,8 @@
 	return v
 }
 
-// serve prepares the candidates of a service.
-func (v *view) serve(service string) {
+// setService prepares the candidates of a service.
+func (v *view) setService(service string) {
 	if v.service == service && v.candidates != nil {
 		return
 	}
@@ -51,11 +51,11 @@
 		c.Leftover = v.learner.leftover(w, v.now)
 		v.candidates = append(v.candidates, c)
 	}
-	v.shunSuspects()
+	v.excludeSuspects()
 }
 
-// busy is the part of the candidates' CPU that is counted as taken.
-func (v *view) busy() float64 {
+// usedShare is the share of the candidates' CPU that is counted as used.
+func (v *view) usedShare() float64 {
 	taken, whole := 0, 0
 	for i := range v.candidates {
 		if c := &v.candidates[i]; !c.Barred {
@@ -69,7 +69,7 @@
 	return float64(taken) / float64(whole)
 }
 
-// countStep sets how many tasks of s each candidate has.
+// countStep counts the tasks of s on each candidate.
 func (v *view) countStep(s *step) {
 	for i := range v.candidates {
 		v.candidates[i].OfStep = 0
@@ -117,8 +117,8 @@
 	return v.candidates[chosen[0]].Rack
 }
 
-// take reserves room on candidate n.
-func (v *view) take(n int, s *workload.Step) {
+// reserve takes capacity for a task of s on candidate n.
+func (v *view) reserve(n int, s *workload.Step) {
 	c := &v.candidates[n]
 	c.Free = c.Free.Sub(s.Reserved())
 	c.OfStep++
