--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -23,26 +23,26 @@
 	agentSlots = 8
 )
 
-// agentNode is one agent process. ctl stands for its network, link for what
-// is between it and its worker.
+// agentNode is one agent process. ctl controls its network, link the
+// connection between the agent and its worker.
 type agentNode struct {
 	wire.AgentAPI
 	id   string
 	ctl  *fault.Control
 	link *fault.Control
-	// last is the latest heartbeat that an entry heard, which makes the agent
-	// part of the directory.
+	// last is the latest heartbeat that an entry received, which puts the agent
+	// into the directory.
 	last wire.HelloRequest
 }
 
-// instance is what outlives an agent: the worker and its tasks.
+// instance holds what outlives an agent: the worker and its tasks.
 type instance struct {
 	worker *memory.Worker
 	fails  bool
 }
 
-// startAgent starts a new agent on an instance, which is made if need be.
-func (w *world) startAgent(id string) *agentNode {
+// startAgent starts a new agent on an instance and creates a missing instance.
+func (w *cluster) startAgent(id string) *agentNode {
 	w.mu.Lock()
 	in := w.instances[id]
 	if in == nil {
@@ -74,10 +74,10 @@
 	return n
 }
 
-// grade is the work of a task: steps of a second, each saved. It notes work
-// for a job that has a final state already.
-func (w *world) grade(ctx context.Context, in *instance, t memory.Task) ([]byte, error) {
-	w.checkOpen(t, "starts")
+// grade is the program of a task: steps of one second, each with a checkpoint.
+// It reports work for a job that has a final state already.
+func (w *cluster) grade(ctx context.Context, in *instance, t memory.Task) ([]byte, error) {
+	w.checkNotFinal(t, "starts")
 	for left := w.runTime - time.Duration(len(t.Checkpoint))*time.Second; left > 0; left -= time.Second {
 		if err := t.Step(ctx, min(left, time.Second)); err != nil {
 			return nil, err
@@ -93,7 +93,7 @@
 	return t.Checkpoint, nil
 }
 
-func (w *world) checkOpen(t memory.Task, what string) {
+func (w *cluster) checkNotFinal(t memory.Task, what string) {
 	customer, _, _ := strings.Cut(string(t.Job), "-")
 	row, err := w.table.Get(context.Background(), structs.JobKey(structs.ShardOf(structs.Customer(customer)), t.Job))
 	var j structs.Job
@@ -106,9 +106,9 @@
 	}
 }
 
-// killAgent ends an agent as SIGKILL does: it is cut off for ever. Its tasks run on until the worker's
-// lease ends or a new agent fences the worker.
-func (w *world) killAgent(id string) {
+// killAgent ends an agent as SIGKILL does: it is cut off for ever. Its tasks
+// run until the worker's lease ends or a new agent fences the worker.
+func (w *cluster) killAgent(id string) {
 	w.mu.Lock()
 	n := w.agents[id]
 	delete(w.agents, id)
@@ -120,17 +120,17 @@
 }
 
 // freeze stops an agent as SIGSTOP does, for a while.
-func (w *world) freeze(n *agentNode, d time.Duration) {
+func (w *cluster) freeze(n *agentNode, d time.Duration) {
 	n.ctl.Freeze()
 	n.link.Freeze()
-	w.later(d, func() {
+	w.runAfter(d, func() {
 		n.link.Unfreeze()
 		n.ctl.Unfreeze()
 	})
 }
 
-// evict tells an agent to give all its tasks up.
-func (w *world) evict(n *agentNode) {
+// evict makes an agent stop all its tasks as evicted.
+func (w *cluster) evict(n *agentNode) {
 	r := wire.StopRequest{Reason: wire.StopEvicted}
 	for id, j := range w.jobs() {
 		if j.State == structs.JobRunning && string(j.Instance) == n.id {
@@ -140,8 +140,8 @@
 	n.Stop(r, nil)
 }
 
-// later runs f after d unless the world ends first.
-func (w *world) later(d time.Duration, f func()) {
+// runAfter runs f after d unless the cluster stops first.
+func (w *cluster) runAfter(d time.Duration, f func()) {
 	w.wait.Go(func() {
 		select {
 		case <-w.ctx.Done():
--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -10,13 +10,13 @@
 	"persimmonrock.example/wire"
 )
 
-// AgentView is what the entry last heard of one agent.
+// AgentView is the entry's latest state of one agent.
 type AgentView struct {
 	Instance structs.InstanceID
 	Zone     structs.DataCentre
 	Address  string
-	// Lease is the incarnation of the agent's batch lease; 0 without one, and
-	// then no claim may name it.
+	// Lease is the incarnation of the agent's batch lease. It is 0 if the agent
+	// holds none; no claim may then name the agent.
 	Lease structs.Incarnation
 	Load  wire.Load
 	// Age is the time since Load was received.
@@ -25,32 +25,32 @@
 
 // Directory is the entry's view of agents and of the other entries.
 type Directory interface {
-	// Agents returns the agents that were heard of recently.
+	// Agents returns the agents whose reports arrived recently.
 	Agents() []AgentView
-	// Entries returns the entries that are believed alive, this one included.
+	// Entries returns the entries that count as alive, this one included.
 	Entries() []structs.EntryID
-	// Observe takes a load that rode on an answer of an agent.
+	// Observe records a load that came with an agent's answer.
 	Observe(load wire.Load)
 }
 
-// Contracts gives the configuration in force at this entry.
+// Contracts returns contracts and the configuration in force at this entry.
 type Contracts interface {
 	Contract(structs.Customer) (structs.Contract, bool)
 	Config() structs.Config
 }
 
-// Snapshot is what a placement is decided on.
+// Snapshot is the input of one round of placement.
 type Snapshot struct {
 	// Queue holds the queued jobs that may start, oldest first within a
 	// customer.
 	Queue []structs.Job
-	// Agents have the claims that are still on their way to them subtracted
-	// from Load.Free.
+	// Agents are the agents that accept claims. Load.Free excludes what claims
+	// reserve whose start is not answered yet.
 	Agents []AgentView
-	// HeldSlots is what the running tasks of each customer hold.
+	// HeldSlots counts the slots that each customer's running tasks hold.
 	HeldSlots map[structs.Customer]int
-	// ShareSlots is each customer's share of all slots; Queue names no
-	// customer that is not in it.
+	// ShareSlots is each customer's share of all slots. It has an entry for every
+	// customer in Queue.
 	ShareSlots map[structs.Customer]int
 	// Max bounds the number of claims.
 	Max int
@@ -59,22 +59,22 @@
 // Placement is the decision on one queued job.
 type Placement struct {
 	Job structs.JobID
-	// Instance is where the job shall run; "" leaves it queued with Reason.
+	// Instance shall run the job; "" leaves the job queued with Reason.
 	Instance structs.InstanceID
 	// Borrowed allows the claim to go beyond the customer's share.
 	Borrowed bool
-	// Park takes the job out of the queue for good, with Reason.
+	// Park takes the job out of the queue until its release, with Reason.
 	Park   bool
 	Reason string
 }
 
-// End is what the placer learns from the end of a claim.
+// End describes the end of a claim for the placer.
 type End struct {
 	Job      structs.Job
 	Instance structs.InstanceID
 	End      wire.TaskEnd
 	Used     structs.Resources
-	// Ran is how long the claim ran, 0 if unknown.
+	// Ran is the running time of the claim, 0 if unknown.
 	Ran time.Duration
 }
 
@@ -99,18 +99,17 @@
 	DefaultJobRetention = 72 * time.Hour
 )
 
-// Config is the setting of a Manager. A zero duration or number takes its
-// default.
+// Config configures a Manager. A zero duration or number means its default.
 type Config struct {
 	Entry structs.EntryID
 	// Address is this entry's own RPC address, "ip:port".
 	Address string
-	// ShardLease is how long a shard row must stay unchanged, in the sight of
-	// another entry, before that entry may take the shard over.
+	// ShardLease is the time for which another entry must see a shard row
+	// unchanged before it may take the shard over.
 	ShardLease time.Duration
 	// LeaseMargin is added to every lease length that this entry waits out.
 	LeaseMargin time.Duration
-	// FlushEvery is how long changes of a shard are gathered.
+	// FlushEvery is the time for which changes of a shard are gathered.
 	FlushEvery time.Duration
 	// ScanEvery is the interval of reading the shard rows.
 	ScanEvery time.Duration
@@ -121,14 +120,14 @@
 	// ResendEvery is the interval at which an unanswered start or stop is
 	// sent again.
 	ResendEvery time.Duration
-	// StoreTimeout bounds one attempt at the table service.
+	// StoreTimeout bounds one request to the table service.
 	StoreTimeout time.Duration
 	// MaxFailures is the number of failed runs after which a job is failed.
 	MaxFailures int
 	// Retain is the number of final jobs that a shard keeps in memory.
 	Retain int
-	// JobRetention is how long rows of final jobs are kept at least, with their
-	// results and checkpoints.
+	// JobRetention is the least time for which rows of final jobs are kept, with
+	// their results and checkpoints.
 	JobRetention time.Duration
 }
 
@@ -160,7 +159,7 @@
 	return c
 }
 
-// Deps is what a Manager works with. All are required.
+// Deps are the dependencies of a Manager. All but Events are required.
 type Deps struct {
 	Table     infra.Table
 	Objects   infra.Objects
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -13,22 +13,22 @@
 	"persimmonrock.example/wire"
 )
 
-// inWorld runs a story in fake time; prepare may change the world's settings.
-func inWorld(t *testing.T, entries, agents int, prepare func(w *world), story func(w *world)) {
+// runCluster runs a scenario in fake time; prepare may change settings.
+func runCluster(t *testing.T, entries, agents int, prepare func(w *cluster), scenario func(w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := makeWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		if prepare != nil {
 			prepare(w)
 		}
 		w.start(entries, agents)
-		w.served()
-		story(w)
+		w.waitServed()
+		scenario(w)
 	})
 }
 
-// fill submits n jobs at once and returns how many were accepted.
-func (w *world) fill(at string, c structs.Customer, n int) (accepted int) {
+// submitAll submits n jobs at once and returns how many were accepted.
+func (w *cluster) submitAll(at string, c structs.Customer, n int) (accepted int) {
 	done := make(chan *structs.Refusal, n)
 	for i := range n {
 		go func() { done <- w.submit(at, c, fmt.Sprintf("%s-%d", c, i)) }()
@@ -41,8 +41,8 @@
 	return accepted
 }
 
-// others returns an entry that doesn't own the customer's shard.
-func (w *world) other(c structs.Customer) string {
+// nonOwner returns an entry that doesn't own the customer's shard.
+func (w *cluster) nonOwner(c structs.Customer) string {
 	owner := w.owner(c)
 	for name, e := range w.entries {
 		if name != owner && !e.dead {
@@ -56,7 +56,7 @@
 func onNetwork(o fault.Operation) bool { return o.Key == "net" }
 func onStore(o fault.Operation) bool   { return o.Key != "net" && o.Write }
 
-func (w *world) checkResults(n int) {
+func (w *cluster) checkResults(n int) {
 	w.t.Helper()
 	jobs := w.jobs()
 	if len(jobs) != n {
@@ -70,10 +70,10 @@
 }
 
 func TestJobsOfAllEntriesEndOnce(t *testing.T) {
-	inWorld(t, 3, 4, nil, func(w *world) {
-		w.fill("e0", "acme", 40)
-		w.fill("e1", "kowhai", 40)
-		w.until(time.Minute, "all done", w.settled(80))
+	runCluster(t, 3, 4, nil, func(w *cluster) {
+		w.submitAll("e0", "acme", 40)
+		w.submitAll("e1", "kowhai", 40)
+		w.until(time.Minute, "all done", w.allSettled(80))
 		w.checkResults(80)
 		if r := w.submit("e2", "acme", "acme-0"); r != nil {
 			t.Errorf("the same submission again: %v", r)
@@ -83,37 +83,37 @@
 			t.Errorf("another body under the same ID: %v", r)
 		}
 		w.queue.Store(25)
-		if n := w.fill("e1", "hill", 60); n != 25 {
+		if n := w.submitAll("e1", "hill", 60); n != 25 {
 			t.Errorf("%d jobs accepted of 60 under a limit of 25", n)
 		}
 	})
 }
 
-// Story: a report stays "running" for ever and the lender is never billed.
-// The owner commits the claim, its start is lost on the way to the agent, and
-// the owner is killed before it repeats it. The agent never had the task and
-// renews its lease, so no lease ever lapses.
+// Guards against: a job stays "running" for ever and is never billed. The
+// owner commits the claim, its start is lost on the way to the agent, and the
+// owner is killed before it repeats the start. The agent never had the task
+// and renews its lease, so no lease ever lapses.
 func TestOwnerKilledBetweenClaimAndStart(t *testing.T) {
-	inWorld(t, 2, 2, nil, func(w *world) {
+	runCluster(t, 2, 2, nil, func(w *cluster) {
 		owner := w.owner("acme")
 		w.entry(owner).ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork})
 		w.submit(owner, "acme", "acme-0")
 		w.until(5*time.Second, "claimed", func() bool { return w.states()[structs.JobRunning] == 1 })
 		w.kill(owner)
-		took := w.until(time.Minute, "done", w.settled(1))
+		took := w.until(time.Minute, "done", w.allSettled(1))
 		t.Logf("done %s after the owner's death, 5s of it running", took)
 		w.checkResults(1)
 	})
 }
 
-// Story: a customer sees a cancelled batch lodged all the same. The owner is
-// stopped (SIGSTOP) with jobs queued, claimed and running; another entry takes
-// the shard over and ends or cancels them. Then the first wakes and goes on
-// with what it believes.
-func TestOwnerFrozenAndWoken(t *testing.T) {
-	inWorld(t, 2, 2, nil, func(w *world) {
-		owner, second := w.owner("acme"), w.other("acme")
-		w.fill(owner, "acme", 30)
+// Guards against: cancelled jobs run all the same. The owner is stopped
+// (SIGSTOP) with jobs queued, claimed and running; another entry takes the
+// shard over and ends or cancels them. Then the first owner resumes and
+// continues with its old state.
+func TestFrozenOwnerResumesAfterTakeover(t *testing.T) {
+	runCluster(t, 2, 2, nil, func(w *cluster) {
+		owner, second := w.owner("acme"), w.nonOwner("acme")
+		w.submitAll(owner, "acme", 30)
 		w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] >= 16 })
 		w.entry(owner).ctl.Freeze()
 		took := w.until(time.Minute, "taken over", func() bool { return w.owner("acme") == second })
@@ -124,22 +124,23 @@
 			t.Fatalf("cancel: %v", refused)
 		}
 		w.entry(owner).ctl.Unfreeze()
-		w.until(2*time.Minute, "all settled", w.settled(30))
+		w.until(2*time.Minute, "all settled", w.allSettled(30))
 		time.Sleep(10 * time.Second)
 		w.checkResults(30)
 		if w.entry(owner).count.commitsFenced.Load() == 0 && w.entry(owner).count.shardsLost.Load() == 0 {
-			t.Error("the woken owner never noticed")
+			t.Error("the resumed owner did not notice its replacement")
 		}
 	})
 }
 
-// Story: a job that its customer was told does not exist runs a minute later.
-// The owner's insert times out and lies in the network; the owner dies. The
-// next owner is asked to cancel the job and truthfully says that there is
-// none. Then the old insert arrives: its row is absent, as it demands.
+// Guards against: a job that its customer was told does not exist runs a
+// minute later. The owner's insert times out and is delayed in the network;
+// the owner dies. The next owner is asked to cancel the job and correctly
+// answers that there is none. Then the old insert arrives: the row is absent,
+// as the insert requires.
 func TestDelayedWriteAfterTakeover(t *testing.T) {
-	inWorld(t, 2, 1, nil, func(w *world) {
-		owner, second := w.owner("acme"), w.other("acme")
+	runCluster(t, 2, 1, nil, func(w *cluster) {
+		owner, second := w.owner("acme"), w.nonOwner("acme")
 		w.entry(owner).ctl.Set(fault.Plan{Delay: 1, Hold: true, Match: onStore})
 		go w.submit(owner, "acme", "acme-0")
 		time.Sleep(time.Second)
@@ -147,40 +148,40 @@
 		w.until(time.Minute, "taken over", func() bool { return w.entry(second).tenure(structs.ShardOf("acme")) != nil })
 		_, refused := w.entry(second).Cancel(w.ctx, "acme", []structs.JobID{"acme-0"})
 		if refused[0] == nil || refused[0].Type != structs.RefusedNotFound {
-			t.Fatalf("cancel of a job that is not there: %v", refused[0])
+			t.Fatalf("cancel of a job that does not exist: %v", refused[0])
 		}
 		if n := w.entry(owner).ctl.Release(); n == 0 {
-			t.Fatal("no write was held back")
+			t.Fatal("no write was delayed")
 		}
 		time.Sleep(30 * time.Second)
 		w.checkResults(0)
 	})
 }
 
-// Story: a doubled report. Every second answer of the store to the owner is
-// lost after the write took effect, so submissions, claims, ends and requeues
-// are all committed without the owner's knowledge at one time or another.
+// Guards against: a job runs twice. 30 % of the store's answers to the owner
+// are lost and 20 % of the writes are delayed, so submissions, claims, ends
+// and requeues are committed without the owner's knowledge.
 func TestLostAnswersOfTheStore(t *testing.T) {
-	inWorld(t, 2, 3, nil, func(w *world) {
+	runCluster(t, 2, 3, nil, func(w *cluster) {
 		owner := w.owner("acme")
 		w.entry(owner).ctl.Set(fault.Plan{LoseAnswer: 0.3, Delay: 0.2, Match: onStore,
 			Patience: fault.Exactly(300 * time.Millisecond), Landing: fault.Range{Max: 8 * time.Second}})
-		if n := w.fill(owner, "acme", 24); n != 24 {
+		if n := w.submitAll(owner, "acme", 24); n != 24 {
 			t.Fatalf("%d of 24 accepted", n)
 		}
-		took := w.until(3*time.Minute, "all done", w.settled(24))
+		took := w.until(3*time.Minute, "all done", w.allSettled(24))
 		w.checkResults(24)
 		c := &w.entry(owner).count
 		if n := c.shardsLost.Load(); n != 0 {
-			t.Errorf("%d shards given up over lost answers", n)
+			t.Errorf("%d shards lost because of lost answers", n)
 		}
 		t.Logf("done after %s; %d unknown outcomes, %d found applied", took, c.commitsUnknown.Load(), c.commitsFoundApplied.Load())
 	})
 }
 
-// Story: all shards and all agents are taken for dead at once when the store
-// comes back. Everybody was alive, but nobody could renew or read for minutes;
-// the first reading shows counters unchanged for longer than any lease.
+// Guards against: all shards and all agents are declared dead at once when the
+// store returns. All were alive, but none could renew or read for minutes; the
+// first reading shows each counter unchanged for longer than its lease.
 func TestStoreOutage(t *testing.T) {
 	leases := []time.Duration{agent.DefaultLease}
 	if *measure {
@@ -188,14 +189,14 @@
 	}
 	for _, lease := range leases {
 		for _, outage := range []time.Duration{time.Minute, 5 * time.Minute, 30 * time.Minute} {
-			prepare := func(w *world) { w.lease, w.runTime = lease, min(outage, 10*time.Minute)+time.Minute }
-			inWorld(t, 2, 1, prepare, func(w *world) { w.outage(lease, outage) })
+			prepare := func(w *cluster) { w.lease, w.runTime = lease, min(outage, 10*time.Minute)+time.Minute }
+			runCluster(t, 2, 1, prepare, func(w *cluster) { w.outage(lease, outage) })
 		}
 	}
 }
 
-func (w *world) outage(lease, length time.Duration) {
-	w.fill("e0", "acme", 8)
+func (w *cluster) outage(lease, length time.Duration) {
+	w.submitAll("e0", "acme", 8)
 	w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] == 8 })
 	before := w.sum(func(c *counters) int64 { return c.shardsTaken.Load() })
 	w.cutStore(true)
@@ -208,7 +209,7 @@
 	time.Sleep(time.Minute)
 	moved := w.sum(func(c *counters) int64 { return c.shardsTaken.Load() }) - before
 	fenced := w.sum(func(c *counters) int64 { return c.agentsFenced.Load() })
-	w.until(2*time.Hour, "all done", func() bool { time.Sleep(5 * time.Second); return w.settled(8)() })
+	w.until(2*time.Hour, "all done", func() bool { time.Sleep(5 * time.Second); return w.allSettled(8)() })
 	w.checkResults(8)
 	again := structs.Epoch(0)
 	for _, j := range w.jobs() {
@@ -221,13 +222,13 @@
 	}
 }
 
-// Story: a season's batch is cancelled, and some of it is lodged anyway. The
+// Guards against: some jobs of a large cancelled batch run anyway. The
 // cancellations arrive while starts are on their way to the agents.
 func TestCancelWave(t *testing.T) {
-	inWorld(t, 2, 8, nil, func(w *world) {
+	runCluster(t, 2, 8, nil, func(w *cluster) {
 		const jobs = 10_000
 		owner := w.owner("acme")
-		w.fill(w.other("acme"), "acme", jobs)
+		w.submitAll(w.nonOwner("acme"), "acme", jobs)
 		w.entry(owner).ctl.Set(fault.Plan{Timeout: 0.3, Delay: 0.3, Match: onNetwork,
 			Patience: fault.Exactly(time.Second), Landing: fault.Range{Max: 20 * time.Second}})
 		w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] > 20 })
@@ -256,26 +257,26 @@
 	})
 }
 
-// Story: evicted or abandoned work is lost, or resumes twice. An agent is
-// killed, restarted, or told to give its tasks up; each time the job must be
-// claimed again once, and no earlier than its task has stopped.
+// Guards against: evicted or abandoned work is lost, or resumes twice. An
+// agent is killed, restarted, or told to stop its tasks; each time the job
+// must be claimed again once, after its task has stopped.
 func TestWaysToRequeue(t *testing.T) {
 	for _, way := range []struct {
 		name  string
-		end   func(w *world)
+		end   func(w *cluster)
 		limit time.Duration
 		by    func(c *counters) int64
 	}{
-		{"agent killed", func(w *world) { w.killAgent("i0") }, 75 * time.Second,
+		{"agent killed", func(w *cluster) { w.killAgent("i0") }, 75 * time.Second,
 			func(c *counters) int64 { return c.requeuedByLapse.Load() }},
-		{"agent restarted", func(w *world) { w.killAgent("i0"); w.startAgent("i0") }, 8 * time.Second,
+		{"agent restarted", func(w *cluster) { w.killAgent("i0"); w.startAgent("i0") }, 8 * time.Second,
 			func(c *counters) int64 { return c.requeuedByIncarnation.Load() }},
-		{"tasks evicted", func(w *world) { w.evict(w.agents["i0"]) }, 4 * time.Second,
+		{"tasks evicted", func(w *cluster) { w.evict(w.agents["i0"]) }, 4 * time.Second,
 			func(c *counters) int64 { return c.reportsSettled.Load() }},
 	} {
 		t.Run(way.name, func(t *testing.T) {
-			inWorld(t, 2, 1, func(w *world) { w.runTime = 5 * time.Minute }, func(w *world) {
-				w.fill("e0", "acme", 4)
+			runCluster(t, 2, 1, func(w *cluster) { w.runTime = 5 * time.Minute }, func(w *cluster) {
+				w.submitAll("e0", "acme", 4)
 				w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] == 4 })
 				w.startAgent("i1")
 				time.Sleep(time.Second)
@@ -298,12 +299,12 @@
 	}
 }
 
-// Story: two grades for one sample before one buyer. An agent is frozen beyond
-// its lease, its tasks stop with the worker's lease and the jobs run elsewhere
-// at the next epoch. The agent wakes and reports the old ends.
+// Guards against: a job has two results. An agent is frozen beyond its lease,
+// its tasks stop with the worker's lease and the jobs run elsewhere at the
+// next epoch. The agent resumes and reports the old ends.
 func TestAgentFrozenPastItsLease(t *testing.T) {
-	inWorld(t, 2, 1, func(w *world) { w.runTime = 2 * time.Minute }, func(w *world) {
-		w.fill("e0", "acme", 4)
+	runCluster(t, 2, 1, func(w *cluster) { w.runTime = 2 * time.Minute }, func(w *cluster) {
+		w.submitAll("e0", "acme", 4)
 		w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] == 4 })
 		w.startAgent("i1")
 		w.freeze(w.agents["i0"], 70*time.Second)
@@ -322,7 +323,7 @@
 		if slices.Contains(reply.Settled, false) {
 			t.Errorf("late reports settled: %v", reply.Settled)
 		}
-		w.until(10*time.Minute, "all done", w.settled(4))
+		w.until(10*time.Minute, "all done", w.allSettled(4))
 		w.checkResults(4)
 		for id, j := range w.jobs() {
 			if j.Epoch != 2 || j.Checkpoint != "" {
@@ -332,11 +333,11 @@
 	})
 }
 
-// Story: a claim is lodged twice. The agent admits the task, its answer is
+// Guards against: a job runs twice. The agent admits the task, its answer is
 // lost, and then the agent can't be reached: the repeated start provably was
 // not sent, but the first one was.
 func TestStartAnswerLostThenUnreachable(t *testing.T) {
-	inWorld(t, 1, 1, func(w *world) { w.runTime = 20 * time.Second }, func(w *world) {
+	runCluster(t, 1, 1, func(w *cluster) { w.runTime = 20 * time.Second }, func(w *cluster) {
 		w.entry("e0").ctl.Set(fault.Plan{LoseAnswer: 1, Match: onNetwork, Patience: fault.Exactly(time.Second)})
 		w.submit("e0", "acme", "acme-0")
 		w.until(5*time.Second, "running", func() bool { return len(w.runs.Running()) == 1 })
@@ -344,7 +345,7 @@
 		w.entry("e0").ctl.Set(fault.Plan{Down: 1, Match: onNetwork})
 		time.Sleep(10 * time.Second)
 		w.entry("e0").ctl.Heal()
-		w.until(time.Minute, "done", w.settled(1))
+		w.until(time.Minute, "done", w.allSettled(1))
 		w.checkResults(1)
 		if j := w.jobs()["acme-0"]; j.Epoch != 1 {
 			t.Errorf("started %d times", j.Epoch)
@@ -352,28 +353,29 @@
 	})
 }
 
-// Story: a job waits for ever though every instance is idle. Its start is lost,
-// the instance is gone, and the claim ends by lapse before any agent answered.
+// Guards against: a job waits for ever though every instance is idle. Its
+// start is lost, the instance fails, and the claim ends by lapse before any
+// agent answered.
 func TestClaimEndsBeforeItsStartIsAnswered(t *testing.T) {
-	inWorld(t, 1, 1, nil, func(w *world) {
+	runCluster(t, 1, 1, nil, func(w *cluster) {
 		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, Patience: fault.Exactly(time.Minute)})
 		go w.submit("e0", "acme", "acme-0")
 		w.until(5*time.Second, "claimed", func() bool { return w.states()[structs.JobRunning] == 1 })
 		w.killAgent("i0")
 		w.entry("e0").ctl.Heal()
 		w.startAgent("i1")
-		w.until(2*time.Minute, "done", w.settled(1))
+		w.until(2*time.Minute, "done", w.allSettled(1))
 	})
 }
 
-// Story: a report runs twice. Its start never leaves the owner, which puts it
-// back; the store is slow, and before that write has landed the link is whole
-// and the owner sends the start again. It runs, and is then put back and claimed
-// elsewhere. The cause: the proof that a start never left says nothing of its
-// repeat.
-func TestUnsentStartIsNotRepeatedWhilePutBack(t *testing.T) {
-	prepare := func(w *world) { w.slots, w.runTime = 1, 20*time.Second }
-	inWorld(t, 1, 1, prepare, func(w *world) {
+// Guards against: a job runs twice. Its start never leaves the owner, which
+// requeues the job; the store is slow, and before that write is applied the
+// link works again and the owner sends the start again. The task runs, and the
+// job is then requeued and claimed elsewhere. The cause: the proof that a
+// start was never sent does not cover its repeat.
+func TestUnsentStartIsNotRepeatedWhileRequeued(t *testing.T) {
+	prepare := func(w *cluster) { w.slots, w.runTime = 1, 20*time.Second }
+	runCluster(t, 1, 1, prepare, func(w *cluster) {
 		first, owner := w.agents["i0"], w.entry("e0")
 		w.until(time.Minute, "the agent is in use", func() bool { return w.Agents()[0].Lease != 0 && w.Agents()[0].Load.Free.Slots == 1 })
 		first.ctl.Cut(true)
@@ -387,9 +389,9 @@
 		first.ctl.Cut(false)
 		time.Sleep(10 * time.Second)
 		owner.ctl.Set(fault.Plan{})
-		w.until(time.Minute, "done", w.settled(1))
+		w.until(time.Minute, "done", w.allSettled(1))
 		if n := owner.count.startsUnsent.Load(); n == 0 {
-			t.Error("the start was not unsent; nothing is shown")
+			t.Error("the start was sent, so the test shows nothing")
 		}
 	})
 }
--- a/entry/batch/change.go
+++ b/entry/batch/change.go
@@ -11,31 +11,31 @@
 	"persimmonrock.example/wire"
 )
 
-// change is one wish to change a job. It is decided by the shard's writer on
-// the latest state, and settled once that decision is durable.
+// change is one requested change of a job. The shard's writer decides it on
+// the latest state and settles it once that decision is durable.
 type change struct {
 	job structs.JobID
-	// decide returns the job's next state, or errKeep, errAbsent or a refusal.
+	// decide returns the job's next state, or an error below or a refusal.
 	decide func(v *view, current structs.Job, found bool) (structs.Job, error)
-	// settle gets the durable state, or the error. It must not block.
+	// settle receives the durable state, or the error. It must not block.
 	settle func(structs.Job, error)
-	// taken is set when the change has gone into a transaction; before that it
-	// can be withdrawn with proof that it had no effect.
+	// taken is set when the writer has put the change into a transaction; before
+	// that it can be withdrawn with proof that it had no effect.
 	taken bool
 }
 
-// Verdicts of a change's decision and errors of its settling.
+// Results of a change's decision and errors passed to its settle function.
 var (
-	// errKeep says that the job stays as it is; the job is the answer.
-	errKeep = errors.New("batch: nothing to change")
-	// errAbsent says that the owner knows no such job. It is only told after
-	// a write has proved that this entry is still the owner.
+	// errUnchanged leaves the job as it is; the job is the answer.
+	errUnchanged = errors.New("batch: nothing to change")
+	// errAbsent says that the owner has no such job. It is returned only after a
+	// write has proved that this entry is still the owner.
 	errAbsent = errors.New("batch: no such job")
-	// errStale says that the change knows a later epoch than this entry.
-	errStale = errors.New("batch: this entry is behind")
+	// errStale says that the change names a later epoch than this entry knows.
+	errStale = errors.New("batch: the change names a later epoch")
 	// errNotApplied proves that the change had no effect and never will.
-	errNotApplied = errors.New("batch: not applied")
-	// errUncertain says that the change may have been made, or may be yet.
+	errNotApplied = errors.New("batch: change not applied")
+	// errUncertain says that the change may have taken effect, or may yet.
 	errUncertain = errors.New("batch: outcome unknown")
 )
 
@@ -47,7 +47,7 @@
 	return h.Sum64()
 }
 
-// submitChange inserts a job, or finds the same submission again.
+// submitChange inserts a job, or returns that of an equal earlier submission.
 func (t *tenure) submitChange(j structs.Job) *change {
 	sum := digest(j.Spec)
 	return &change{job: j.ID, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
@@ -56,15 +56,15 @@
 				return current, t.m.refusal(structs.RefusedKeyReused, http.StatusConflict, "submit",
 					"job %s was submitted with another body", j.ID)
 			}
-			return current, errKeep
+			return current, errUnchanged
 		}
-		if v.t.outside.marked(j.ID) {
-			// It left the memory since the caller's row was looked up.
+		if v.t.offloaded.contains(j.ID) {
+			// The job was offloaded after the caller had looked it up.
 			return current, errNotApplied
 		}
 		contract, known := t.m.deps.Contracts.Contract(j.Customer)
 		if !known {
-			return current, t.m.refusal(structs.RefusedForbidden, http.StatusForbidden, "submit", "no contract")
+			return current, t.m.refusal(structs.RefusedForbidden, http.StatusForbidden, "submit", "the customer has no contract")
 		}
 		if v.unfinished(j.Customer) >= contract.BatchQueue {
 			r := t.m.refusal(structs.RefusedQueueFull, http.StatusTooManyRequests, "submit",
@@ -80,18 +80,18 @@
 	}}
 }
 
-// claimChange starts an epoch of a queued job on one agent lease.
+// claimChange starts a new epoch of a queued job under one agent lease.
 func (t *tenure) claimChange(id structs.JobID, a AgentView, share int, borrowed bool) *change {
 	return &change{job: id, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		if !found || current.State != structs.JobQueued {
-			return current, errKeep
+			return current, errUnchanged
 		}
 		if !borrowed && v.held(current.Customer)+slotsOf(current) > share {
 			t.m.count.claimsOverShare.Add(1)
-			return current, errKeep
+			return current, errUnchanged
 		}
-		if t.m.facts.voids(a.Instance, a.Lease) {
-			return current, errKeep
+		if t.m.agentLeases.leaseEnded(a.Instance, a.Lease) {
+			return current, errUnchanged
 		}
 		current.State = structs.JobRunning
 		current.Epoch++
@@ -102,8 +102,8 @@
 	}}
 }
 
-// endChange records the end of one claim. Another epoch, or the same epoch no
-// longer running, makes the report void: an epoch leaves running only once.
+// endChange records the end of one claim. A report of an earlier epoch, or of
+// one that is no longer running, is void: an epoch leaves running only once.
 func (t *tenure) endChange(r wire.TaskReport) *change {
 	return &change{job: r.Job, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		switch {
@@ -113,14 +113,14 @@
 			return current, errStale
 		case r.Epoch < current.Epoch || current.State != structs.JobRunning:
 			t.m.count.reportsVoid.Add(1)
-			return current, errKeep
+			return current, errUnchanged
 		}
-		return t.ended(current, r), nil
+		return t.afterClaimEnd(current, r), nil
 	}}
 }
 
-// ended is the state of a running job after its claim ended as r says.
-func (t *tenure) ended(j structs.Job, r wire.TaskReport) structs.Job {
+// afterClaimEnd returns the state of a running job after its claim's end r.
+func (t *tenure) afterClaimEnd(j structs.Job, r wire.TaskReport) structs.Job {
 	if r.Checkpoint != "" {
 		j.Checkpoint = r.Checkpoint
 	}
@@ -149,7 +149,7 @@
 	return j
 }
 
-// requeueChange puts a job back whose claim provably ended without a report.
+// requeueChange requeues a job whose claim provably ended without a report.
 func (t *tenure) requeueChange(id structs.JobID, e structs.Epoch) *change {
 	return t.endChange(wire.TaskReport{Job: id, Shard: t.shard, Epoch: e, End: wire.EndEvicted})
 }
@@ -168,15 +168,15 @@
 			current.CancelRequested = true
 			return current, nil
 		}
-		return current, errKeep
+		return current, errUnchanged
 	}}
 }
 
-// parkChange takes a queued job out of the queue with its reason.
+// parkChange takes a queued job out of the queue and records the reason.
 func (t *tenure) parkChange(id structs.JobID, reason string) *change {
 	return &change{job: id, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		if !found || current.State != structs.JobQueued {
-			return current, errKeep
+			return current, errUnchanged
 		}
 		current.State = structs.JobParked
 		current.Reason = reason
@@ -191,7 +191,7 @@
 		case !found || current.Customer != customer:
 			return current, errAbsent
 		case current.State != structs.JobParked:
-			return current, errKeep
+			return current, errUnchanged
 		}
 		current.State = structs.JobQueued
 		current.Failures = 0
--- a/entry/batch/cost_test.go
+++ b/entry/batch/cost_test.go
@@ -18,10 +18,10 @@
 	"persimmonrock.example/wire"
 )
 
-// measure runs what only gives figures for the design notes.
+// measure enables tests that only produce figures for the design notes.
 var measure = flag.Bool("batch.measure", false, "run the measurements")
 
-// TestCostOfJobs counts the store's work for a steady stream of jobs.
+// TestCostOfJobs counts the store's requests for a steady stream of jobs.
 func TestCostOfJobs(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run with -batch.measure")
@@ -33,15 +33,15 @@
 	}
 }
 
-// TestCostOfLeases counts the writes that keep running tasks leased.
+// TestCostOfLeases counts the writes that keep agents' leases alive.
 func TestCostOfLeases(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run with -batch.measure")
 	}
 	for _, slots := range []int{1, 8, 32} {
-		prepare := func(w *world) { w.lease, w.slots, w.runTime = agent.DefaultLease, slots, time.Hour }
-		inWorld(t, 1, 4, prepare, func(w *world) {
-			w.fill("e0", "acme", 4*slots)
+		prepare := func(w *cluster) { w.lease, w.slots, w.runTime = agent.DefaultLease, slots, time.Hour }
+		runCluster(t, 1, 4, prepare, func(w *cluster) {
+			w.submitAll("e0", "acme", 4*slots)
 			w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] == 4*slots })
 			all, entries := float64(w.table.Writes()), w.storeCounts().writes
 			time.Sleep(10 * time.Minute)
@@ -53,8 +53,8 @@
 
 // measureStream submits rate jobs a second for ten seconds over 96 customers.
 func measureStream(t *testing.T, flush time.Duration, rate int) {
-	prepare := func(w *world) { w.flush, w.slots, w.runTime = flush, 800, 4*time.Second }
-	inWorld(t, 2, 4, prepare, func(w *world) {
+	prepare := func(w *cluster) { w.flush, w.slots, w.runTime = flush, 800, 4*time.Second }
+	runCluster(t, 2, 4, prepare, func(w *cluster) {
 		time.Sleep(5 * time.Second)
 		idle := w.storeCounts()
 		time.Sleep(10 * time.Second)
@@ -64,7 +64,7 @@
 			go w.submit("e0", structs.Customer(fmt.Sprintf("c%d", i%96)), fmt.Sprintf("c%d-%d", i%96, i))
 			time.Sleep(time.Second / time.Duration(rate))
 		}
-		took := 10*time.Second + w.until(time.Minute, "all done", w.settled(10*rate))
+		took := 10*time.Second + w.until(time.Minute, "all done", w.allSettled(10*rate))
 		used := w.storeCounts().minus(before)
 		n := float64(10 * rate)
 		t.Logf("flush %s, %d jobs/s: %.2f writes/s (idle %.2f), %.2f reads/s; a job: %.3f writes, %.2f rows written",
@@ -79,7 +79,7 @@
 	return storeUse{a.reads - b.reads, a.writes - b.writes, a.rows - b.rows}
 }
 
-func (w *world) storeCounts() storeUse {
+func (w *cluster) storeCounts() storeUse {
 	sum := func(of func(*counters) int64) float64 { return float64(w.sum(of)) }
 	return storeUse{
 		reads:  sum(func(c *counters) int64 { return c.reads.Load() }),
@@ -90,7 +90,7 @@
 
 // fleet is a directory of agents without faults that admit everything.
 type fleet struct {
-	world
+	cluster
 	views   []AgentView
 	planner decide.Planner
 	learnt  *decide.Interference
@@ -114,7 +114,7 @@
 	return out
 }
 
-// holdAll asks the real planner, which finds no room, as an entry's placer does.
+// holdAll asks the real planner, as a placer does; it finds no capacity.
 func (f *fleet) holdAll(s Snapshot) (out []Placement) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +132,7 @@
 	return out
 }
 
-// newFleet writes n jobs in a state over 110 customers and starts one entry
+// newFleet writes n jobs in one state over 110 customers and starts one entry
 // that owns them all; peer answers for every agent.
 func newFleet(b *testing.B, n int, state structs.JobState, peer wire.AgentPeer) *Manager {
 	f := &fleet{learnt: decide.NewInterference(), peer: peer}
@@ -169,8 +169,8 @@
 	ended := make(chan error, 1)
 	began := time.Now()
 	go func() { ended <- m.Run(ctx) }()
-	// The next run of the benchmark measures the heap, so nothing of this one
-	// may still work.
+	// The next run of the benchmark measures the heap, so all goroutines of this
+	// one must have ended.
 	b.Cleanup(func() {
 		stop()
 		<-ended
@@ -205,9 +205,9 @@
 	return wire.StartReply{Refused: make([]*structs.Refusal, len(r.Tasks))}, nil
 }
 
-type silent struct{ wire.AgentPeer }
+type unresponsiveAgent struct{ wire.AgentPeer }
 
-func (silent) Start(ctx context.Context, r wire.StartRequest) (wire.StartReply, error) {
+func (unresponsiveAgent) Start(ctx context.Context, r wire.StartRequest) (wire.StartReply, error) {
 	encode(r)
 	<-ctx.Done()
 	return wire.StartReply{}, &wire.PeerError{Step: "start", Sent: true, Err: ctx.Err()}
@@ -237,7 +237,7 @@
 	b.ReportMetric(float64(m.count.writes.Load())/float64(b.N), "writes/job")
 }
 
-// BenchmarkMemory reports what one queued or final job takes in its owner.
+// BenchmarkMemory reports the memory of one job in its owner, by state.
 func BenchmarkMemory(b *testing.B) {
 	for _, state := range []structs.JobState{structs.JobQueued, structs.JobRunning, structs.JobDone} {
 		b.Run(string(state), func(b *testing.B) {
--- a/entry/batch/counters.go
+++ b/entry/batch/counters.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/structs"
 )
 
-// counters are the sums that Vars shows. Reads and writes count requests to
+// counters are the sums that Vars returns. Reads and writes count requests to
 // the table service.
 type counters struct {
 	reads, writes, rowsWritten, renewals        atomic.Int64
@@ -80,8 +80,8 @@
 	return v
 }
 
-// broken counts a broken invariant and logs the first one.
-func (m *Manager) broken(format string, args ...any) {
+// reportViolation counts a broken invariant and logs the first one.
+func (m *Manager) reportViolation(format string, args ...any) {
 	m.count.invariantBroken.Add(1)
 	m.brokenOnce.Do(func() {
 		m.deps.Log.Error().Msg("invariant broken: " + fmt.Sprintf(format, args...))
--- a/entry/batch/deliver_test.go
+++ b/entry/batch/deliver_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Story: urgent checks at an entry turn slow after it has taken over the queue
-// shards of another. The agents of the running tasks can't be reached, and the
-// entry spends half a core on sending all their starts again every 2 s. When
-// the network is back, jobs must not wait for a pause that has grown long.
-func TestStartsArePacedWhileAnAgentIsSilent(t *testing.T) {
-	inSlotWorld(t, func(y *slotWorld) {
+// Guards against: calls at an entry turn slow after it has taken over the
+// queue shards of another. The agents of the running tasks can't be reached,
+// and the entry spends half a core on sending all their starts again every 2 s.
+// When the network works again, jobs must not wait out a long pause.
+func TestStartsBackOffWhileAnAgentIsUnreachable(t *testing.T) {
+	runSlotCluster(t, func(y *slotCluster) {
 		y.mu.Lock()
 		y.down = true
 		y.free["i0"] = instanceSlots
 		y.mu.Unlock()
 		for i := range instanceSlots {
-			y.hand(fmt.Sprintf("j%d", i), event{Size: 1})
+			y.submitJob(fmt.Sprintf("j%d", i), event{Size: 1})
 		}
 		time.Sleep(10*time.Minute + 20*time.Second)
 		if sent := y.m.count.startsSent.Load(); sent > 20*instanceSlots {
@@ -31,7 +31,7 @@
 		y.mu.Lock()
 		defer y.mu.Unlock()
 		if len(y.running) != instanceSlots {
-			t.Errorf("%d of %d tasks run 500 ms after the agent was heard again", len(y.running), instanceSlots)
+			t.Errorf("%d of %d tasks run 500 ms after the agent reported again", len(y.running), instanceSlots)
 		}
 	})
 }
--- a/entry/batch/doc.go
+++ b/entry/batch/doc.go
@@ -6,8 +6,8 @@
 // shard's jobs in memory and one serialised writer. Every change of a job goes
 // through that writer, which gathers changes for a few tens of milliseconds
 // and commits them in one transaction that is conditional on the shard row's
-// version. A replaced owner can therefore write nothing, whatever it believes;
-// it finds its transaction refused and drops the tenure.
+// version. A replaced owner can therefore write nothing: its transaction is
+// refused, and it ends the tenure.
 //
 // The reasons and figures are in docs/notes/queue-shards.md and
 // docs/notes/recovery.md.
--- a/entry/batch/evidence.go
+++ b/entry/batch/evidence.go
@@ -10,15 +10,15 @@
 	"persimmonrock.example/structs"
 )
 
-// facts holds the latest state of the agents' lease rows that this entry
-// read. A row's incarnation only rises, and within one incarnation fenced and
-// released are final, so a fact once true stays true.
-type facts struct {
+// agentLeases holds the latest state of the agents' lease rows that this entry
+// has read. A row's incarnation only rises, and within one incarnation fenced
+// and released are final, so the proven end of a lease stays proven.
+type agentLeases struct {
 	mu     sync.Mutex
-	agents map[structs.InstanceID]*sighting[structs.AgentLease]
+	agents map[structs.InstanceID]*observedLease[structs.AgentLease]
 }
 
-// proof says why a claim is known to have ended.
+// proof is the reason why a claim is known to have ended.
 type proof int
 
 // The proofs that a claim's task no longer runs.
@@ -29,19 +29,19 @@
 	proofIncarnation
 	// proofReleased: the agent stopped all tasks before it wrote the row.
 	proofReleased
-	// proofFenced: the row stayed unchanged for its whole length.
+	// proofFenced: the row stayed unchanged for the full length of the lease.
 	proofFenced
 )
 
-// proofOf says whether lease i of an instance provably runs no task any more.
-func (f *facts) proofOf(id structs.InstanceID, i structs.Incarnation) proof {
+// proofOf returns the proof that a lease of an instance runs no task any more.
+func (f *agentLeases) proofOf(id structs.InstanceID, incarnation structs.Incarnation) proof {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.agents[id]
 	switch {
-	case s == nil || s.lease.Incarnation < i:
+	case s == nil || s.lease.Incarnation < incarnation:
 		return noProof
-	case s.lease.Incarnation > i:
+	case s.lease.Incarnation > incarnation:
 		return proofIncarnation
 	case s.lease.State == structs.LeaseReleased:
 		return proofReleased
@@ -51,43 +51,43 @@
 	return noProof
 }
 
-func (f *facts) voids(id structs.InstanceID, i structs.Incarnation) bool {
-	return f.proofOf(id, i) != noProof
+func (f *agentLeases) leaseEnded(id structs.InstanceID, incarnation structs.Incarnation) bool {
+	return f.proofOf(id, incarnation) != noProof
 }
 
-// see takes one reading of a row; a lower incarnation than known is dropped.
-func (f *facts) see(row infra.Row, l structs.AgentLease, now time.Time, interval time.Duration) (s sighting[structs.AgentLease], blind bool) {
+// observe records one reading of a row, unless a newer version is known.
+func (f *agentLeases) observe(row infra.Row, l structs.AgentLease, now time.Time, interval time.Duration) (s observedLease[structs.AgentLease], late bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.agents == nil {
-		f.agents = make(map[structs.InstanceID]*sighting[structs.AgentLease])
+		f.agents = make(map[structs.InstanceID]*observedLease[structs.AgentLease])
 	}
 	known := f.agents[l.Instance]
 	if known == nil {
-		known = &sighting[structs.AgentLease]{}
+		known = &observedLease[structs.AgentLease]{}
 		f.agents[l.Instance] = known
 	}
 	if row.Version >= known.version {
-		blind = known.see(l, row.Version, l.Counter, now, interval)
+		late = known.observe(l, row.Version, l.Counter, now, interval)
 	}
-	return *known, blind
+	return *known, late
 }
 
-// observeAgents reads all lease rows and fences those that lapsed.
+// observeAgents reads all lease rows and fences the lapsed leases.
 func (m *Manager) observeAgents(ctx context.Context) {
 	sent := time.Now()
-	pace := m.agentScanPace()
+	interval := m.agentScanInterval()
 	rows := int64(0)
-	var lapsed []sighting[structs.AgentLease]
+	var lapsed []observedLease[structs.AgentLease]
 	err := m.scan(ctx, structs.AgentLeasePrefix, func(r infra.Row) {
 		rows++
 		var l structs.AgentLease
 		if json.Unmarshal(r.Value, &l) != nil || structs.AgentLeaseKey(l.Instance) != r.Key {
-			m.broken("lease row %s can't be read", r.Key)
+			m.reportViolation("lease row %s can't be decoded", r.Key)
 			return
 		}
-		s, blind := m.facts.see(r, l, sent, pace)
-		if blind {
+		s, late := m.agentLeases.observe(r, l, sent, interval)
+		if late {
 			m.count.observerBlind.Add(1)
 		}
 		if l.State == structs.LeaseActive && s.unchanged > l.Length.Std()+m.cfg.LeaseMargin {
@@ -100,13 +100,13 @@
 	for _, s := range lapsed {
 		m.fence(ctx, s)
 	}
-	m.wakeAll()
+	m.wakeAllTenures()
 }
 
-// fence writes that a lapsed lease is over. The write is conditional on the
-// version that was seen unchanged, so that a holder that renewed in time, or
-// a new incarnation, wins. With an unknown outcome the next reading tells.
-func (m *Manager) fence(ctx context.Context, s sighting[structs.AgentLease]) {
+// fence marks a lapsed lease as fenced. The write is conditional on the
+// version that was seen unchanged, so that a holder that renewed in time, or a
+// new incarnation, wins. The next reading resolves an unknown outcome.
+func (m *Manager) fence(ctx context.Context, s observedLease[structs.AgentLease]) {
 	key := structs.AgentLeaseKey(s.lease.Instance)
 	fenced := s.lease
 	fenced.State = structs.LeaseFenced
@@ -121,15 +121,15 @@
 	if err != nil {
 		return
 	}
-	m.facts.see(infra.Row{Key: key, Version: versions[0]}, fenced, time.Now(), m.agentScanPace())
+	m.agentLeases.observe(infra.Row{Key: key, Version: versions[0]}, fenced, time.Now(), m.agentScanInterval())
 	m.count.agentsFenced.Add(1)
 	m.deps.Events.Record(structs.Event{Step: StepAgentFenced, Peer: string(s.lease.Instance)})
 	m.deps.Log.Warn().Str("instance", string(s.lease.Instance)).Msg("agent lease lapsed, fenced")
 }
 
-// confirmLease reads one agent's row now, because its agent says that it has
-// a newer lease. What the row says counts, not what the agent said.
-func (m *Manager) confirmLease(ctx context.Context, id structs.InstanceID) {
+// rereadLease reads one agent's row at once, because the agent reports a newer
+// lease. Only the row is proof, not the report.
+func (m *Manager) rereadLease(ctx context.Context, id structs.InstanceID) {
 	sent := time.Now()
 	row, err := m.get(ctx, structs.AgentLeaseKey(id))
 	if err != nil {
@@ -139,58 +139,58 @@
 	if json.Unmarshal(row.Value, &l) != nil || l.Instance != id {
 		return
 	}
-	m.facts.see(row, l, sent, m.agentScanPace())
+	m.agentLeases.observe(row, l, sent, m.agentScanInterval())
 }
 
-func (m *Manager) wakeAll() {
+func (m *Manager) wakeAllTenures() {
 	for _, t := range m.tenures() {
-		signal(t.plan)
+		signal(t.wakeWork)
 	}
 }
 
-// requeueProven puts back every running job of the tenure whose lease is
-// known to be over. An agent that says to have a newer lease than a job names
-// has its row read first.
-func (t *tenure) requeueProven(agents map[structs.InstanceID]AgentView) {
-	for _, instance := range t.outdated(agents) {
-		t.m.confirmLease(t.ctx, instance)
+// requeueEndedClaims requeues every running job of the tenure whose lease is
+// known to have ended. If an agent reports a newer lease than a job names, its
+// row is read first.
+func (t *tenure) requeueEndedClaims(agents map[structs.InstanceID]AgentView) {
+	for _, instance := range t.instancesWithNewerLease(agents) {
+		t.m.rereadLease(t.ctx, instance)
 	}
 	type claim struct {
 		job   structs.Job
 		proof proof
 	}
-	var over []claim
+	var endedClaims []claim
 	t.mu.Lock()
 	for instance, on := range t.running {
-		if !t.m.facts.voids(instance, on.lowest) {
+		if !t.m.agentLeases.leaseEnded(instance, on.lowestLease) {
 			continue
 		}
 		for id := range on.jobs {
 			j := &t.jobs[id].job
-			if why := t.m.facts.proofOf(instance, j.Incarnation); why != noProof {
-				over = append(over, claim{*j, why})
+			if why := t.m.agentLeases.proofOf(instance, j.Incarnation); why != noProof {
+				endedClaims = append(endedClaims, claim{*j, why})
 			}
 		}
 	}
 	t.mu.Unlock()
-	for _, c := range over {
+	for _, c := range endedClaims {
 		t.requeue(c.job.ID, c.job.Epoch, c.proof)
 	}
 }
 
-// outdated are the instances whose agent names a newer lease than one of
-// their jobs, and whose row has not shown it yet.
-func (t *tenure) outdated(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
+// instancesWithNewerLease returns the instances whose agent reports a newer
+// lease than one of their jobs names, and whose row has not shown it yet.
+func (t *tenure) instancesWithNewerLease(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for instance, on := range t.running {
 		lease := agents[instance].Lease
-		if lease <= on.lowest {
+		if lease <= on.lowestLease {
 			continue
 		}
 		for id := range on.jobs {
 			i := t.jobs[id].job.Incarnation
-			if lease > i && !t.m.facts.voids(instance, i) {
+			if lease > i && !t.m.agentLeases.leaseEnded(instance, i) {
 				list = append(list, instance)
 				break
 			}
--- a/entry/batch/expire_test.go
+++ b/entry/batch/expire_test.go
@@ -10,16 +10,16 @@
 	"persimmonrock.example/structs"
 )
 
-// kept is short, so that little fake time passes; a period is a minute.
-const kept = retention.Keep * time.Minute
+// testRetention is short, to save fake time; a period is a minute.
+const testRetention = retention.Keep * time.Minute
 
-// runAll submits jobs and ends each with a result.
-func (y *slotWorld) runAll(n int) {
+// runJobs submits jobs and ends each with a result.
+func (y *slotCluster) runJobs(n int) {
 	y.mu.Lock()
 	y.free["i0"] = instanceSlots
 	y.mu.Unlock()
 	for i := range n {
-		y.hand(fmt.Sprintf("j%d", i), event{Size: 1})
+		y.submitJob(fmt.Sprintf("j%d", i), event{Size: 1})
 		y.objects.Put(y.ctx, fmt.Sprintf("result/j%d", i), []byte("grade"))
 		time.Sleep(time.Second)
 		y.mu.Lock()
@@ -29,23 +29,23 @@
 	}
 }
 
-// Story: a treasurer's program repeats a claim under its Idempotency-Key a day
-// after the claim was lodged, and it is lodged again. Thousands of other jobs
-// have ended in the meantime, and the queue's owner had deleted the old row to
-// make room. Or the row is never deleted, and the table grows by each job.
-func TestEndedJobIsFoundUntilItsRetentionIsOver(t *testing.T) {
+// Guards against: a customer repeats a submission under its Idempotency-Key a
+// day later, and the job runs again. Thousands of other jobs have ended in the
+// meantime, and the shard's owner had deleted the old row to save space. Or
+// the row is never deleted, and the table grows by each job.
+func TestEndedJobIsFoundUntilItsRetentionEnds(t *testing.T) {
 	const jobs = 10
-	inSlotWorldOf(t, Config{Retain: 2, JobRetention: kept}, func(y *slotWorld) {
+	runSlotClusterOf(t, Config{Retain: 2, JobRetention: testRetention}, func(y *slotCluster) {
 		old := structs.Job{ID: "old", Customer: "acme", Shard: structs.ShardOf("acme"), State: structs.JobDone, Epoch: 1, Submitted: 1}
 		y.table.Commit(y.ctx, infra.Txn{Op: "old", Puts: []infra.Put{{Key: structs.JobKey(old.Shard, old.ID), Value: encode(old)}}})
-		y.runAll(jobs)
+		y.runJobs(jobs)
 		bytes := 0
 		for _, j := range y.jobs() {
 			bytes = max(bytes, len(encode(j)))
 		}
 		t.Logf("the row of a final job without payload has up to %d bytes", bytes)
 		began := time.Now()
-		for time.Since(began) < kept-time.Minute {
+		for time.Since(began) < testRetention-time.Minute {
 			time.Sleep(time.Minute)
 			for i := range jobs {
 				spec := structs.JobSpec{Kind: "grade", Declared: structs.Resources{Slots: 1}}
@@ -58,8 +58,8 @@
 				t.Fatalf("after %s the result is gone: %v", time.Since(began), err)
 			}
 		}
-		// 26 steps of the count, each up to half a period late, and one pass.
-		time.Sleep(kept)
+		// 26 steps of the period count, each up to half a period late, and one pass.
+		time.Sleep(testRetention)
 		if n := len(y.jobs()); n != 0 {
 			t.Errorf("%d rows are left %s after the last end", n, time.Since(began))
 		}
--- a/entry/batch/manager.go
+++ b/entry/batch/manager.go
@@ -11,7 +11,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Steps of the time line.
+// Steps of the events that a Manager records.
 const (
 	StepShardTaken    structs.Step = "shard-taken"
 	StepShardReleased structs.Step = "shard-released"
@@ -25,10 +25,10 @@
 	cfg  Config
 	deps Deps
 
-	count      counters
-	brokenOnce sync.Once
-	facts      facts
-	// leaseRows is how many lease rows the last scan saw.
+	count       counters
+	brokenOnce  sync.Once
+	agentLeases agentLeases
+	// leaseRows is the number of lease rows in the last complete scan.
 	leaseRows atomic.Int64
 	retention *retention.Counter
 	reserved  reservations
@@ -36,14 +36,14 @@
 
 	mu       sync.Mutex
 	owned    map[structs.ShardID]*tenure
-	shards   [structs.ShardCount]sighting[structs.ShardLease]
+	shards   [structs.ShardCount]observedLease[structs.ShardLease]
 	draining bool
-	// levelAfter is when this entry may next give a shard to another.
-	levelAfter time.Time
-	// distrusted entries let a shard lapse; each until when.
-	distrusted map[structs.EntryID]time.Time
-	ctx        context.Context
-	running    sync.WaitGroup
+	// rebalanceAfter is the earliest time of the next rebalancing release.
+	rebalanceAfter time.Time
+	// excludedUntil is when an entry that let a shard lapse counts again.
+	excludedUntil map[structs.EntryID]time.Time
+	ctx           context.Context
+	running       sync.WaitGroup
 }
 
 // New returns a Manager that owns nothing until Run.
@@ -55,12 +55,12 @@
 	return &Manager{
 		cfg: cfg, deps: deps, retention: retention.New(deps.Table, "jobs", cfg.JobRetention),
 		owned: make(map[structs.ShardID]*tenure), ctx: context.Background(),
-		distrusted: make(map[structs.EntryID]time.Time),
+		excludedUntil: make(map[structs.EntryID]time.Time),
 	}
 }
 
-// Run owns shards and moves their jobs until ctx ends. Ending ctx leaves the
-// shard rows as they are; call Drain first for a planned stop.
+// Run acquires shards and moves their jobs until ctx ends. Ending ctx leaves
+// the shard rows as they are; call Drain first for a planned stop.
 func (m *Manager) Run(ctx context.Context) error {
 	m.mu.Lock()
 	m.ctx = ctx
@@ -79,7 +79,7 @@
 	return ctx.Err()
 }
 
-// every runs f at once and then at each interval after it returned.
+// every calls f at once and again one interval after each return.
 func (m *Manager) every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	for ctx.Err() == nil {
 		f(ctx)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Drain finishes pending transactions and gives all shards up, so that other
-// entries take them at once. It returns when all are released or ctx ends.
+// Drain finishes pending transactions and releases all shards, so that other
+// entries acquire them at once. It returns when all are released or ctx ends.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	m.draining = true
--- a/entry/batch/monotonic_test.go
+++ b/entry/batch/monotonic_test.go
@@ -9,12 +9,12 @@
 	"persimmonrock.example/structs"
 )
 
-// A client is told by one entry that its job is done, asks the owner of the
-// job's shard for the result, and is told that the job still runs: the owner's
-// transaction is in the store, and its answer on the way.
+// Guards against: one entry shows a client that its job is done, and the owner
+// of the job's shard then shows it as running: the owner's transaction is in
+// the store, and the store's answer is still on its way.
 func TestOwnerShowsNoEarlierStateThanTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := makeWorld(t)
+		w := newCluster(t)
 		defer w.close()
 		w.start(2, 1)
 		const customer = "granite-notch"
--- a/entry/batch/ownership.go
+++ b/entry/batch/ownership.go
@@ -12,13 +12,13 @@
 	"persimmonrock.example/structs"
 )
 
-// levelPause is how long an entry levels out nothing after it took back a
-// shard that no other entry wanted, and how long an entry that let a shard
-// lapse is not counted on.
-const levelPause = time.Minute
+// rebalancePause is the time for which an entry releases no shard after it
+// reacquired one that no other entry had acquired, and for which an entry that
+// let a shard lapse is not counted.
+const rebalancePause = time.Minute
 
-// observeShards reads the shard rows, drops tenures that were replaced, takes
-// shards that are free and gives up what is beyond an even part.
+// observeShards reads the shard rows, stops replaced tenures, acquires free
+// shards and releases shards above the target.
 func (m *Manager) observeShards(ctx context.Context) {
 	sent := time.Now()
 	var rows [structs.ShardCount]infra.Row
@@ -26,7 +26,7 @@
 	err := m.scan(ctx, structs.ShardPrefix, func(r infra.Row) {
 		var l structs.ShardLease
 		if json.Unmarshal(r.Value, &l) != nil || l.Shard >= structs.ShardCount {
-			m.broken("shard row %s can't be read", r.Key)
+			m.reportViolation("shard row %s can't be decoded", r.Key)
 			return
 		}
 		rows[l.Shard] = r
@@ -37,21 +37,21 @@
 	}
 	m.mu.Lock()
 	for s := range rows {
-		if m.shards[s].see(leases[s], rows[s].Version, leases[s].Counter, sent, m.cfg.ScanEvery) {
+		if m.shards[s].observe(leases[s], rows[s].Version, leases[s].Counter, sent, m.cfg.ScanEvery) {
 			m.count.observerBlind.Add(1)
 		}
 	}
 	draining := m.draining
 	m.mu.Unlock()
-	m.dropReplaced()
+	m.stopReplaced()
 	if !draining {
-		m.takeFree(ctx)
-		m.levelOut()
+		m.acquireFreeShards(ctx)
+		m.rebalance()
 	}
 }
 
-// dropReplaced ends tenures whose row names a later epoch.
-func (m *Manager) dropReplaced() {
+// stopReplaced ends tenures whose row names a later epoch.
+func (m *Manager) stopReplaced() {
 	for _, t := range m.tenures() {
 		m.mu.Lock()
 		seen := m.shards[t.shard].lease
@@ -62,8 +62,9 @@
 	}
 }
 
-// evenPart is the number of shards that this entry should own at most.
-func (m *Manager) evenPart() int {
+// targetShards is the largest number of shards that this entry should own, an
+// even share of all shards.
+func (m *Manager) targetShards() int {
 	live := map[structs.EntryID]bool{m.cfg.Entry: true}
 	for _, e := range m.deps.Directory.Entries() {
 		live[e] = true
@@ -75,13 +76,13 @@
 			live[s.lease.Owner] = true
 		}
 	}
-	// An entry that let a shard lapse will not take others.
+	// An entry that let a shard lapse will not acquire others.
 	for i := range m.shards {
 		if s := &m.shards[i]; m.lapsed(s) && s.lease.Owner != m.cfg.Entry {
-			m.distrusted[s.lease.Owner] = time.Now().Add(levelPause)
+			m.excludedUntil[s.lease.Owner] = time.Now().Add(rebalancePause)
 		}
 	}
-	for e, until := range m.distrusted {
+	for e, until := range m.excludedUntil {
 		if time.Now().Before(until) {
 			delete(live, e)
 		}
@@ -90,14 +91,14 @@
 }
 
 // lapsed reports whether the holder of a shard row has lost its lease.
-func (m *Manager) lapsed(s *sighting[structs.ShardLease]) bool {
+func (m *Manager) lapsed(s *observedLease[structs.ShardLease]) bool {
 	return s.unchanged > s.lease.Length.Std()+m.cfg.LeaseMargin
 }
 
-// takeFree takes shards that nobody holds, up to the even part. A shard that
-// stays free longer is taken in any case.
-func (m *Manager) takeFree(ctx context.Context) {
-	part := m.evenPart()
+// acquireFreeShards acquires shards without a valid owner, up to the target. A
+// shard that stays free longer is acquired even above the target.
+func (m *Manager) acquireFreeShards(ctx context.Context) {
+	target := m.targetShards()
 	type free struct {
 		shard  structs.ShardID
 		orphan bool
@@ -110,35 +111,35 @@
 		if m.owned[id] != nil {
 			continue
 		}
-		// A row that names this entry without a tenure is left from a tenure
-		// that ended or from this entry's former process: nobody else serves it.
-		open := s.lease.Owner == "" || s.lease.Owner == m.cfg.Entry
-		if open || m.lapsed(s) {
-			patience := m.cfg.ShardLease
-			if !open {
-				patience += s.lease.Length.Std() + m.cfg.LeaseMargin
+		// A row that names this entry without a tenure is left from an ended
+		// tenure or this entry's former process: no other entry serves the shard.
+		unowned := s.lease.Owner == "" || s.lease.Owner == m.cfg.Entry
+		if unowned || m.lapsed(s) {
+			orphanAfter := m.cfg.ShardLease
+			if !unowned {
+				orphanAfter += s.lease.Length.Std() + m.cfg.LeaseMargin
 			}
-			list = append(list, free{id, s.unchanged > patience})
+			list = append(list, free{id, s.unchanged > orphanAfter})
 		}
 	}
 	m.mu.Unlock()
 	for _, f := range list {
-		if len(m.tenures()) < part {
-			m.take(ctx, f.shard)
+		if len(m.tenures()) < target {
+			m.acquireShard(ctx, f.shard)
 		} else if f.orphan {
-			m.take(ctx, f.shard)
+			m.acquireShard(ctx, f.shard)
 			m.mu.Lock()
-			m.levelAfter = time.Now().Add(levelPause)
+			m.rebalanceAfter = time.Now().Add(rebalancePause)
 			m.mu.Unlock()
 		}
 	}
 }
 
-// take raises the shard's epoch in this entry's name, by a conditional write.
-// After an unknown outcome nothing is assumed: the next reading of the row
-// shows this entry as owner or not, and in both cases the epoch is raised
-// again before anything is served.
-func (m *Manager) take(ctx context.Context, s structs.ShardID) {
+// acquireShard raises the shard's epoch in this entry's name by a conditional
+// write. After an unknown outcome nothing is assumed: the next read of the row
+// shows whether this entry is the owner, and in both cases the epoch is raised
+// again before the shard is served.
+func (m *Manager) acquireShard(ctx context.Context, s structs.ShardID) {
 	m.mu.Lock()
 	seen := m.shards[s]
 	m.mu.Unlock()
@@ -162,7 +163,7 @@
 	t := newTenure(ctx, m, lease, versions[0], sent)
 	m.mu.Lock()
 	m.owned[s] = t
-	m.shards[s].see(lease, versions[0], lease.Counter, sent, m.cfg.ScanEvery)
+	m.shards[s].observe(lease, versions[0], lease.Counter, sent, m.cfg.ScanEvery)
 	m.mu.Unlock()
 	m.count.shardsTaken.Add(1)
 	m.deps.Events.Record(structs.Event{Step: StepShardTaken, Peer: key, Epoch: lease.Epoch})
@@ -176,17 +177,17 @@
 
 // run loads the shard and serves it until the tenure ends.
 func (t *tenure) run() {
-	go t.write()
+	go t.writeLoop()
 	if t.load() {
 		go t.expire()
-		t.work()
+		t.workLoop()
 	}
 	<-t.done
 	t.m.drop(t)
 }
 
-// load reads all rows of the shard. Every older write of the shard is
-// impossible since the epoch was raised, so what is read is final.
+// load reads all rows of the shard. The raised epoch makes every older write
+// of the shard impossible, so the rows read are final.
 func (t *tenure) load() bool {
 	for {
 		rows := make(map[structs.JobID]structs.Job)
@@ -194,7 +195,7 @@
 		err := t.m.scan(t.ctx, structs.JobShardPrefix(t.shard), func(r infra.Row) {
 			var j structs.Job
 			if json.Unmarshal(r.Value, &j) != nil {
-				t.m.broken("job row %s can't be read", r.Key)
+				t.m.reportViolation("job row %s can't be decoded", r.Key)
 				return
 			}
 			rows[j.ID] = j
@@ -219,15 +220,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, id := range ids {
-		r := t.store(rows[id], versions[id])
+		r := t.setConfirmed(rows[id], versions[id])
 		r.mayHaveSent = r.job.State == structs.JobRunning
 	}
-	t.trim()
+	t.offloadFinals()
 	t.loaded = true
-	signal(t.plan)
+	signal(t.wakeWork)
 }
 
-// drop forgets an ended tenure.
+// drop removes an ended tenure and its reservations.
 func (m *Manager) drop(t *tenure) {
 	m.mu.Lock()
 	if m.owned[t.shard] == t {
@@ -235,7 +236,7 @@
 	}
 	m.mu.Unlock()
 	key := structs.ShardKey(t.shard)
-	m.reserved.forget(t)
+	m.reserved.removeTenure(t)
 	if context.Cause(t.ctx) == errDrained {
 		m.count.shardsReleased.Add(1)
 		m.deps.Events.Record(structs.Event{Step: StepShardReleased, Peer: key, Epoch: t.epoch})
@@ -246,26 +247,25 @@
 	m.deps.Log.Info().Str("shard", key).Uint64("epoch", uint64(t.epoch)).Msg("shard lost")
 }
 
-// levelOut releases one shard while this entry owns more than its even part
-// and every shard has an owner.
+// rebalance releases one shard if this entry owns more than its target and
+// every shard has an owner.
 //
-// Failure guarded against: an entry that is believed alive takes nothing, and
-// shards are given up for it that nobody serves. It shows as a released shard
-// that stays free. The guard: the next shard is released only after another
-// entry took the last one, and not for a while after this entry had to take
-// one back.
-func (m *Manager) levelOut() {
-	part := m.evenPart()
+// Failure guarded against: an entry that counts as alive acquires no shard,
+// and shards released to it stay free and unserved. The guard: the next shard
+// is released only after another entry has acquired the last one, and not
+// within rebalancePause after this entry had to reacquire one.
+func (m *Manager) rebalance() {
+	target := m.targetShards()
 	owned := m.tenures()
-	if len(owned) <= part || !m.allHeld() {
+	if len(owned) <= target || !m.mayRebalance() {
 		return
 	}
 	slices.SortFunc(owned, func(a, b *tenure) int { return cmp.Compare(a.shard, b.shard) })
 	owned[len(owned)-1].release()
 }
 
-// allHeld reports that every shard has an owner and levelling out may go on.
-func (m *Manager) allHeld() bool {
+// mayRebalance reports whether all shards have owners and no pause is running.
+func (m *Manager) mayRebalance() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range m.shards {
@@ -273,13 +273,13 @@
 			return false
 		}
 	}
-	return time.Now().After(m.levelAfter)
+	return time.Now().After(m.rebalanceAfter)
 }
 
-// release makes the writer finish what is pending and give the shard up.
+// release makes the writer commit what is pending and release the shard.
 func (t *tenure) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.draining = true
-	signal(t.wake)
+	signal(t.wakeWriter)
 }
--- a/entry/batch/place.go
+++ b/entry/batch/place.go
@@ -6,7 +6,7 @@
 	"persimmonrock.example/structs"
 )
 
-// place runs one round of placement and hands the claims to the writer.
+// place runs one round of placement and passes the claims to the writer.
 func (t *tenure) place(agents map[structs.InstanceID]AgentView) {
 	snapshot := t.snapshot(agents)
 	if len(snapshot.Queue) == 0 {
@@ -17,23 +17,23 @@
 		jobs[j.ID] = j
 	}
 	for _, p := range t.m.deps.Placer.Place(snapshot) {
-		j, asked := jobs[p.Job]
+		j, queued := jobs[p.Job]
 		delete(jobs, p.Job)
 		agent, known := agents[p.Instance]
 		switch {
-		case !asked:
+		case !queued:
 		case p.Park:
 			t.park(j.ID, p.Reason)
 		case p.Instance == "" || !known:
-			t.looked(j.ID, p.Reason, false)
+			t.markConsidered(j.ID, p.Reason, false)
 		default:
-			t.looked(j.ID, "", true)
+			t.markConsidered(j.ID, "", true)
 			t.claim(j, agent, snapshot.ShareSlots[j.Customer], p.Borrowed)
 		}
 	}
-	// What a full round left undecided is part of the next one.
+	// Jobs that a full round left undecided are part of the next one.
 	for id := range jobs {
-		t.lookAgain(id)
+		t.reconsider(id)
 	}
 }
 
@@ -49,10 +49,10 @@
 	}
 	s.Agents = make([]AgentView, 0, len(agents))
 	for _, a := range agents {
-		if a.Lease == 0 || a.Load.Draining || t.m.facts.voids(a.Instance, a.Lease) {
+		if a.Lease == 0 || a.Load.Draining || t.m.agentLeases.leaseEnded(a.Instance, a.Lease) {
 			continue
 		}
-		a.Load.Free = t.m.reserved.minus(a.Instance, a.Load.Free)
+		a.Load.Free = t.m.reserved.subtractFrom(a.Instance, a.Load.Free)
 		s.Agents = append(s.Agents, a)
 	}
 	return s
@@ -67,11 +67,11 @@
 	if r == nil || r.job.State != structs.JobQueued {
 		return
 	}
-	r.waiting = reason
-	r.notBefore = time.Now().Add(min(lastHold, firstHold<<min(r.waits, 10)))
-	r.looked = 0
-	t.sweep.holdUntil(r.notBefore)
-	r.waits++
+	r.waitReason = reason
+	r.notBefore = time.Now().Add(min(maxBackoff, minBackoff<<min(r.backoffs, 10)))
+	r.considered = 0
+	t.sweep.reconsiderAt(r.notBefore)
+	r.backoffs++
 }
 
 func (t *tenure) park(id structs.JobID, reason string) {
@@ -82,7 +82,7 @@
 			t.jobEvent(j)
 			return
 		}
-		t.lookAgain(id)
+		t.reconsider(id)
 	}
 	t.submit(c)
 }
@@ -93,7 +93,7 @@
 	c.settle = func(after structs.Job, err error) {
 		if err != nil || after.Epoch != j.Epoch+1 {
 			t.m.reserved.remove(t, j.ID)
-			t.lookAgain(j.ID)
+			t.reconsider(j.ID)
 			return
 		}
 		t.m.count.claims.Add(1)
--- a/entry/batch/queue_bench_test.go
+++ b/entry/batch/queue_bench_test.go
@@ -9,21 +9,21 @@
 	"persimmonrock.example/structs"
 )
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkQueueThatFitsNowhere reports which part of a core one owner of all
-// shards takes for queued jobs while no instance has a slot for them. One
+// BenchmarkQueueThatFitsNowhere reports the part of a core that one owner of
+// all shards uses for queued jobs while no instance has a slot for them. One
 // operation is a second of waiting: run it with -benchtime 5x.
 func BenchmarkQueueThatFitsNowhere(b *testing.B) {
 	for _, queued := range []int{0, 3000, 30_000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
 			newFleet(b, queued, structs.JobQueued, admitAll{})
-			reportCore(b)
+			reportCoreUse(b)
 		})
 	}
 }
@@ -31,18 +31,18 @@
 // BenchmarkAgentsUnreachable does the same for an owner that has taken over
 // 28,000 running tasks whose agents don't answer.
 func BenchmarkAgentsUnreachable(b *testing.B) {
-	newFleet(b, 28_000, structs.JobRunning, silent{})
-	reportCore(b)
+	newFleet(b, 28_000, structs.JobRunning, unresponsiveAgent{})
+	reportCoreUse(b)
 }
 
 // BenchmarkRunning does the same for an owner of 28,000 running tasks.
 func BenchmarkRunning(b *testing.B) {
 	newFleet(b, 28_000, structs.JobRunning, admitAll{})
-	reportCore(b)
+	reportCoreUse(b)
 }
 
-// BenchmarkRestart reports, besides the time until all shards are loaded, how
-// long an entry then takes to claim new jobs, with 30,000 rows in the table.
+// BenchmarkRestart reports, besides the time until all shards are loaded, an
+// entry's time to claim new jobs then, with 30,000 rows in the table.
 func BenchmarkRestart(b *testing.B) {
 	const fresh = 100
 	m := newFleet(b, 30_000, structs.JobRunning, admitAll{})
@@ -57,7 +57,7 @@
 	b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-claims")
 }
 
-func reportCore(b *testing.B) {
+func reportCoreUse(b *testing.B) {
 	time.Sleep(2 * time.Second)
 	b.ResetTimer()
 	used := processorTime()
--- a/entry/batch/random_test.go
+++ b/entry/batch/random_test.go
@@ -17,11 +17,11 @@
 // seeds is the number of random histories; each is the plan of one seed.
 var seeds = flag.Int("batch.seeds", 5, "number of random histories, from seed 1")
 
-// firstSeed lets a failed history be run alone.
+// firstSeed allows a failed history to be run alone.
 var firstSeed = flag.Int("batch.first", 1, "first seed of the random histories")
 
-// act is one thing that happens in a random history.
-type act struct {
+// action is one step of a random history.
+type action struct {
 	At     time.Duration
 	Kind   string
 	Target int
@@ -29,8 +29,8 @@
 	Rate   float64
 }
 
-var acts = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) act {
-	return act{
+var actions = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) action {
+	return action{
 		At: time.Duration(rapid.IntRange(0, 120_000).Draw(t, "at")) * time.Millisecond,
 		Kind: rapid.SampledFrom([]string{
 			"submit", "submit", "submit", "cancel", "kill entry", "freeze entry", "cut entry", "drain entry",
@@ -43,16 +43,16 @@
 	}
 }), 12, 40)
 
-// client submits and cancels as customers do, and keeps what it was told.
+// client submits and cancels as customers do, and keeps the answers.
 type client struct {
-	w        *world
+	w        *cluster
 	n        int
 	accepted map[string]bool
 	refused  map[string]bool
 }
 
-// submit tries one entry after another while the outcome is unknown. After a
-// refusal that says "not run" at the first try it gives the job up for good.
+// submit tries one entry after another while the outcome is unknown. It
+// abandons the job if the first try is refused as not run.
 func (c *client) submit(target int) {
 	customer := structs.Customer([]string{"acme", "kowhai", "hill"}[target%3])
 	for range 20 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// perform does one act and undoes it after its time.
-func (c *client) perform(a act) {
+// perform does one action and undoes it after its time.
+func (c *client) perform(a action) {
 	w := c.w
 	entry := fmt.Sprintf("e%d", a.Target%3)
 	e := w.entry(entry)
@@ -108,45 +108,45 @@
 		w.startEntry(entry)
 	case "freeze entry":
 		e.ctl.Freeze()
-		w.later(a.For, e.ctl.Unfreeze)
+		w.runAfter(a.For, e.ctl.Unfreeze)
 	case "cut entry":
 		e.ctl.Cut(true)
-		w.later(a.For, func() { e.ctl.Cut(e.dead) })
+		w.runAfter(a.For, func() { e.ctl.Cut(e.dead) })
 	case "lossy entry":
-		c.spoil(e.ctl, a.For, a.lossy())
+		c.setFaults(e.ctl, a.For, a.lossy())
 	case "store down":
 		w.cutStore(true)
-		w.later(a.For, func() { w.cutStore(false) })
+		w.runAfter(a.For, func() { w.cutStore(false) })
 	}
 	if agent != nil {
-		c.harm(a, agent)
+		c.disturbAgent(a, agent)
 	}
 }
 
-func (c *client) harm(a act, n *agentNode) {
+func (c *client) disturbAgent(a action, n *agentNode) {
 	w := c.w
 	switch a.Kind {
 	case "kill agent":
 		w.killAgent(n.id)
-		w.later(a.For, func() { w.startAgent(n.id) })
+		w.runAfter(a.For, func() { w.startAgent(n.id) })
 	case "restart agent":
 		w.killAgent(n.id)
 		w.startAgent(n.id)
 	case "freeze agent":
 		w.freeze(n, a.For)
 	case "cut agent":
-		c.spoil(n.ctl, a.For, fault.Plan{Down: 1, Match: onNetwork})
+		c.setFaults(n.ctl, a.For, fault.Plan{Down: 1, Match: onNetwork})
 	case "lossy agent":
 		link := a.lossy()
-		c.spoil(n.ctl, a.For, a.lossy())
-		c.spoil(n.link, a.For, link)
+		c.setFaults(n.ctl, a.For, a.lossy())
+		c.setFaults(n.link, a.For, link)
 	case "agent without store":
-		c.spoil(n.ctl, a.For, fault.Plan{Down: 1, Match: func(o fault.Operation) bool { return o.Service == "table" && o.Key != "net" }})
+		c.setFaults(n.ctl, a.For, fault.Plan{Down: 1, Match: func(o fault.Operation) bool { return o.Service == "table" && o.Key != "net" }})
 	case "evict":
 		w.evict(n)
 	case "failing agent":
 		c.fail(n.id, true)
-		w.later(a.For/4, func() { c.fail(n.id, false) })
+		w.runAfter(a.For/4, func() { c.fail(n.id, false) })
 	}
 }
 
@@ -156,43 +156,43 @@
 	c.w.instances[instance].fails = on
 }
 
-// spoil sets a plan of faults for a while.
-func (c *client) spoil(ctl *fault.Control, d time.Duration, p fault.Plan) {
+// setFaults sets a plan of faults for a limited time.
+func (c *client) setFaults(ctl *fault.Control, d time.Duration, p fault.Plan) {
 	ctl.Set(p)
-	c.w.later(d, func() { ctl.Set(fault.Plan{}) })
+	c.w.runAfter(d, func() { ctl.Set(fault.Plan{}) })
 }
 
-// lossy is the plan in which anything can happen to a request.
-func (a act) lossy() fault.Plan {
+// lossy returns the plan in which any fault can happen to a request.
+func (a action) lossy() fault.Plan {
 	return fault.Plan{Down: a.Rate / 4, Timeout: a.Rate / 4, LoseAnswer: a.Rate, Delay: a.Rate / 2,
 		Patience: fault.Range{Max: 3 * time.Second}, Landing: fault.Range{Max: a.For}}
 }
 
-// Story: a season in which everything fails, together and twice. Whatever the
-// order, each accepted job reaches one final state, none that was refused as
-// not run exists, and none runs in two places.
+// TestRandomHistories combines all faults in random order. Whatever the order,
+// each accepted job reaches one final state, none that was refused as not run
+// exists, and none runs in two places.
 func TestRandomHistories(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
-		plan := acts.Example(seed)
+		plan := actions.Example(seed)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { history(t, plan) })
+			synctest.Test(t, func(t *testing.T) { runHistory(t, plan) })
 		})
 	}
 }
 
-func history(t *testing.T, plan []act) {
-	w := makeWorld(t)
+func runHistory(t *testing.T, plan []action) {
+	w := newCluster(t)
 	defer w.close()
 	w.runTime = 15 * time.Second
 	w.start(3, 4)
 	c := &client{w: w, accepted: map[string]bool{}, refused: map[string]bool{}}
 	last := time.Duration(0)
 	for _, a := range plan {
-		w.later(a.At, func() { c.perform(a) })
+		w.runAfter(a.At, func() { c.perform(a) })
 		last = max(last, a.At+a.For)
 	}
 	for i := range 6 {
-		w.later(time.Duration(i)*20*time.Second, func() { c.submit(i) })
+		w.runAfter(time.Duration(i)*20*time.Second, func() { c.submit(i) })
 	}
 	time.Sleep(last + time.Second)
 	took := w.until(10*time.Minute, "all settled", func() bool {
@@ -211,10 +211,10 @@
 		}
 	}
 	w.checkResults(len(jobs))
-	t.Logf("%d acts, settled %s after the last, %v", len(plan), took, w.states())
+	t.Logf("%d actions, settled %s after the last, %v", len(plan), took, w.states())
 }
 
-func (w *world) allAnswered(c *client) bool {
+func (w *cluster) allAnswered(c *client) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range c.accepted {
--- a/entry/batch/refuse.go
+++ b/entry/batch/refuse.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Waits that refusals advise.
+// Delays that refusals recommend before a retry.
 const (
 	retryNoOwner = 2 * time.Second
 	retryStore   = 5 * time.Second
--- a/entry/batch/reserve.go
+++ b/entry/batch/reserve.go
@@ -6,9 +6,9 @@
 	"persimmonrock.example/structs"
 )
 
-// reservations holds what claims on their way take on each instance, so that
-// two rounds, or two shards of this entry, don't give the same slot away. It
-// only spares refusals: the agent's own ledger decides.
+// reservations holds the resources of unanswered claims on each instance, so
+// that two rounds, or two shards of this entry, don't assign the same slot. It
+// only avoids refusals: the agent's own ledger decides.
 type reservations struct {
 	mu   sync.Mutex
 	jobs map[*tenure]map[structs.JobID]reservation
@@ -30,7 +30,7 @@
 	if r.jobs[t] == nil {
 		r.jobs[t] = make(map[structs.JobID]reservation)
 	}
-	if _, twice := r.jobs[t][j.ID]; twice {
+	if _, exists := r.jobs[t][j.ID]; exists {
 		return
 	}
 	size := j.Spec.Declared
@@ -42,10 +42,10 @@
 func (r *reservations) remove(t *tenure, id structs.JobID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop(t, id)
+	r.removeLocked(t, id)
 }
 
-func (r *reservations) drop(t *tenure, id structs.JobID) {
+func (r *reservations) removeLocked(t *tenure, id structs.JobID) {
 	held, ok := r.jobs[t][id]
 	if !ok {
 		return
@@ -58,12 +58,12 @@
 	}
 }
 
-// forget drops all reservations of an ended tenure.
-func (r *reservations) forget(t *tenure) {
+// removeTenure removes all reservations of an ended tenure.
+func (r *reservations) removeTenure(t *tenure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.jobs[t] {
-		r.drop(t, id)
+		r.removeLocked(t, id)
 	}
 	delete(r.jobs, t)
 }
@@ -75,13 +75,13 @@
 	return ok
 }
 
-func (r *reservations) minus(on structs.InstanceID, free structs.Resources) structs.Resources {
+func (r *reservations) subtractFrom(on structs.InstanceID, free structs.Resources) structs.Resources {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return plus(free, r.sums[on], -1)
 }
 
-// plus adds b to a sign times.
+// plus returns a plus sign times b.
 func plus(a, b structs.Resources, sign int) structs.Resources {
 	a.Slots += sign * b.Slots
 	a.MilliCores += sign * b.MilliCores
--- a/entry/batch/room.go
+++ b/entry/batch/room.go
@@ -9,18 +9,18 @@
 
 // agentsView is the directory by instance, shared by all shards for one round.
 type agentsView struct {
-	mu    sync.Mutex
-	taken time.Time
-	all   map[structs.InstanceID]AgentView
-	// free is what each instance had left in this view, less what claims on
-	// their way take; changes counts what could let a waiting job start.
-	free     map[structs.InstanceID]spot
-	changes  uint64
-	revision structs.Revision
+	mu      sync.Mutex
+	builtAt time.Time
+	all     map[structs.InstanceID]AgentView
+	// capacities is the free capacity of each instance in this view, less
+	// reservations; changes counts what could let a waiting job start.
+	capacities map[structs.InstanceID]capacity
+	changes    uint64
+	revision   structs.Revision
 }
 
-// spot is the part of an instance that decides whether a job fits.
-type spot struct {
+// capacity is the state of an instance that decides whether a job fits.
+type capacity struct {
 	lease       structs.Incarnation
 	free, total structs.Resources
 }
@@ -31,7 +31,7 @@
 	v := &m.view
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if time.Since(v.taken) < m.cfg.PlanEvery/2 {
+	if time.Since(v.builtAt) < m.cfg.PlanEvery/2 {
 		return v.all, v.changes
 	}
 	list := m.deps.Directory.Agents()
@@ -39,30 +39,29 @@
 	for _, a := range list {
 		v.all[a.Instance] = a
 	}
-	v.compare(m.reserved.freeOf(list))
+	v.updateCapacities(m.reserved.capacitiesOf(list))
 	if r := m.deps.Contracts.Config().Revision; r != v.revision {
 		v.revision = r
 		v.changes++
 	}
-	v.taken = time.Now()
+	v.builtAt = time.Now()
 	return v.all, v.changes
 }
 
-// compare counts the view as a change if any instance can take more than in
-// the last one.
-func (v *agentsView) compare(free map[structs.InstanceID]spot) {
-	for id, now := range free {
-		if before, known := v.free[id]; !known || now.roomier(before) {
+// updateCapacities counts a change if any instance can take more than before.
+func (v *agentsView) updateCapacities(capacities map[structs.InstanceID]capacity) {
+	for id, now := range capacities {
+		if before, known := v.capacities[id]; !known || now.hasMoreThan(before) {
 			v.changes++
 			break
 		}
 	}
-	v.free = free
+	v.capacities = capacities
 }
 
-// roomier reports whether s may take a job that before could not. Without a
-// free slot it takes none.
-func (s spot) roomier(before spot) bool {
+// hasMoreThan reports whether s may fit a job that before could not. Without a
+// free slot s fits none.
+func (s capacity) hasMoreThan(before capacity) bool {
 	if s.free.Slots <= 0 {
 		return false
 	}
@@ -72,15 +71,15 @@
 		s.free.Connections > before.free.Connections
 }
 
-// freeOf returns what the instances that take claims have left.
-func (r *reservations) freeOf(list []AgentView) map[structs.InstanceID]spot {
+// capacitiesOf returns the free capacity of the instances that accept claims.
+func (r *reservations) capacitiesOf(list []AgentView) map[structs.InstanceID]capacity {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[structs.InstanceID]spot, len(list))
+	out := make(map[structs.InstanceID]capacity, len(list))
 	for i := range list {
 		a := &list[i]
 		if a.Lease != 0 && !a.Load.Draining {
-			out[a.Instance] = spot{a.Lease, plus(a.Load.Free, r.sums[a.Instance], -1), a.Load.Total}
+			out[a.Instance] = capacity{a.Lease, plus(a.Load.Free, r.sums[a.Instance], -1), a.Load.Total}
 		}
 	}
 	return out
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -19,22 +19,22 @@
 	defaultDeadline = 10 * time.Second
 	// forwardPause is the wait before a forwarded request is repeated.
 	forwardPause = 100 * time.Millisecond
-	// unsentTries is how often an owner that can't be reached is tried.
-	unsentTries = 5
-	// stallLimit is how long a transaction may be in doubt before requests
-	// that would wait behind it are refused at once.
+	// maxUnsentTries bounds the attempts at an owner that can't be reached.
+	maxUnsentTries = 5
+	// stallLimit is the time for which a transaction's outcome may be unknown
+	// before requests that would wait behind it are refused at once.
 	stallLimit = time.Second
 )
 
-// Submit stores a job, or finds the same submission again. job.ID must be
-// set to make repeats by the caller safe; an empty one is chosen here.
+// Submit stores a job, or returns that of an equal earlier submission. job.ID
+// must be set to make repeats by the caller safe; Submit fills an empty one.
 func (m *Manager) Submit(ctx context.Context, job structs.Job) (structs.Job, *structs.Refusal) {
 	if job.ID == "" {
 		job.ID = structs.JobID(rand.Text())
 	}
 	job.Shard = structs.ShardOf(job.Customer)
 	var stored structs.Job
-	refused := m.atOwner(ctx, job.Shard, "submit", job.ID, ownerCall{
+	refused := m.callOwner(ctx, job.Shard, "submit", job.ID, ownerCall{
 		local: func(ctx context.Context, t *tenure) *structs.Refusal {
 			j, r := t.serveSubmit(ctx, job)
 			stored = j
@@ -52,13 +52,13 @@
 	return stored, refused
 }
 
-// Cancel asks for the end of jobs of one customer. Both results have one
-// entry for each ID: the job as it is now, or the refusal.
+// Cancel requests the end of jobs of one customer. Both results have one
+// element for each ID: the current job, or the refusal.
 func (m *Manager) Cancel(ctx context.Context, customer structs.Customer, ids []structs.JobID) ([]structs.Job, []*structs.Refusal) {
 	shard := structs.ShardOf(customer)
 	jobs := make([]structs.Job, len(ids))
 	refusals := make([]*structs.Refusal, len(ids))
-	refused := m.atOwner(ctx, shard, "cancel", "", ownerCall{
+	refused := m.callOwner(ctx, shard, "cancel", "", ownerCall{
 		local: func(ctx context.Context, t *tenure) *structs.Refusal {
 			jobs, refusals = t.serveCancel(ctx, customer, ids)
 			return nil
@@ -87,7 +87,7 @@
 // the table service.
 func (m *Manager) Get(ctx context.Context, customer structs.Customer, id structs.JobID) (structs.Job, *structs.Refusal) {
 	shard := structs.ShardOf(customer)
-	if t := m.tenure(shard); t != nil && t.valid() {
+	if t := m.tenure(shard); t != nil && t.leaseValid() {
 		if j, ok := t.current(id); ok && j.Customer == customer {
 			return j, nil
 		}
@@ -109,9 +109,9 @@
 // Release puts a parked job back into the queue, at the owner of its shard.
 func (m *Manager) Release(ctx context.Context, customer structs.Customer, id structs.JobID) (structs.Job, *structs.Refusal) {
 	var released structs.Job
-	refused := m.atOwner(ctx, structs.ShardOf(customer), "release", id, ownerCall{
+	refused := m.callOwner(ctx, structs.ShardOf(customer), "release", id, ownerCall{
 		local: func(ctx context.Context, t *tenure) *structs.Refusal {
-			j, r := t.ask(ctx, t.releaseChange(customer, id), "release")
+			j, r := t.submitAndWait(ctx, t.releaseChange(customer, id), "release")
 			released = j
 			return r
 		},
@@ -135,35 +135,35 @@
 	return seen.lease.Address
 }
 
-// ownerCall is a request in its two forms.
+// ownerCall holds the local and the remote form of a request.
 type ownerCall struct {
 	local  func(context.Context, *tenure) *structs.Refusal
 	remote func(context.Context, wire.EntryPeer) (*structs.Refusal, error)
 }
 
-// atOwner runs a repeatable request at the owner of a shard. Once the request
-// may have reached an owner, only an answer or the deadline ends it.
-func (m *Manager) atOwner(ctx context.Context, s structs.ShardID, step string, id structs.JobID, call ownerCall) *structs.Refusal {
+// callOwner runs a repeatable request at the owner of a shard. Once the
+// request may have reached an owner, only success or the deadline ends it.
+func (m *Manager) callOwner(ctx context.Context, s structs.ShardID, step string, id structs.JobID, call ownerCall) *structs.Refusal {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, defaultDeadline)
 		defer cancel()
 	}
-	maybe := false
+	maybeSent := false
 	for try := 1; ; try++ {
-		refused, sent := m.oneTry(ctx, s, step, call)
+		refused, sent := m.tryOnce(ctx, s, step, call)
 		retry := refused != nil && (refused.Type == structs.RefusedNotOwner || refused.Outcome == structs.Unknown)
-		if !retry && (!maybe || refused == nil) {
+		if !retry && (!maybeSent || refused == nil) {
 			return refused
 		}
-		maybe = maybe || sent
-		hopeless := refused.Type == structs.RefusedNotOwner && m.Owner(s) == "" && m.tenure(s) == nil
-		if !maybe && (hopeless || try >= unsentTries) {
+		maybeSent = maybeSent || sent
+		noOwner := refused.Type == structs.RefusedNotOwner && m.Owner(s) == "" && m.tenure(s) == nil
+		if !maybeSent && (noOwner || try >= maxUnsentTries) {
 			return refused
 		}
 		select {
 		case <-ctx.Done():
-			if maybe {
+			if maybeSent {
 				return m.refuseUnknown(id, step, "no answer from the owner of its shard in time")
 			}
 			return refused
@@ -172,8 +172,8 @@
 	}
 }
 
-// oneTry sends the request once. sent is false only if it had no effect.
-func (m *Manager) oneTry(ctx context.Context, s structs.ShardID, step string, call ownerCall) (refused *structs.Refusal, sent bool) {
+// tryOnce sends the request once. sent is false only if it had no effect.
+func (m *Manager) tryOnce(ctx context.Context, s structs.ShardID, step string, call ownerCall) (refused *structs.Refusal, sent bool) {
 	if t := m.tenure(s); t != nil {
 		refused = call.local(ctx, t)
 		return refused, refused != nil && refused.Outcome == structs.Unknown
@@ -196,7 +196,7 @@
 }
 
 // ServeSubmit answers another entry. It never forwards, so that no request
-// goes round between entries that disagree on the owner.
+// circulates between entries that disagree on the owner.
 func (m *Manager) ServeSubmit(r wire.SubmitRequest, reply *wire.SubmitReply) error {
 	shard := structs.ShardOf(r.Job.Customer)
 	t := m.tenure(shard)
@@ -232,7 +232,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.ctx, defaultDeadline)
 	defer cancel()
-	reply.Job, reply.Refused = t.ask(ctx, t.releaseChange(r.Customer, r.Job), "release")
+	reply.Job, reply.Refused = t.submitAndWait(ctx, t.releaseChange(r.Customer, r.Job), "release")
 	return nil
 }
 
@@ -266,8 +266,8 @@
 	for ; waiting > 0; waiting-- {
 		select {
 		case a := <-answers:
-			reply.Settled[a.at] = a.err == nil || errors.Is(a.err, errKeep) || errors.Is(a.err, errAbsent)
-			m.reported(r.Instance, r.Reports[a.at], a.job, a.err)
+			reply.Settled[a.at] = a.err == nil || errors.Is(a.err, errUnchanged) || errors.Is(a.err, errAbsent)
+			m.handleRecordedEnd(r.Instance, r.Reports[a.at], a.job, a.err)
 		case <-limit:
 			m.count.reportsPending.Add(int64(waiting))
 			return nil
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// reported lets the placer learn from an end that was just recorded.
-func (m *Manager) reported(on structs.InstanceID, r wire.TaskReport, j structs.Job, err error) {
+// handleRecordedEnd passes an end that was just recorded to the placer.
+func (m *Manager) handleRecordedEnd(on structs.InstanceID, r wire.TaskReport, j structs.Job, err error) {
 	if err != nil {
 		return
 	}
@@ -292,7 +292,7 @@
 	if t.recall(ctx, job.ID) != nil {
 		return structs.Job{}, t.m.refuseStore("submit")
 	}
-	j, refused := t.ask(ctx, t.submitChange(job), "submit")
+	j, refused := t.submitAndWait(ctx, t.submitChange(job), "submit")
 	if refused == nil {
 		t.m.count.submitted.Add(1)
 	}
@@ -304,11 +304,11 @@
 	refusals := make([]*structs.Refusal, len(ids))
 	changes := make([]*change, len(ids))
 	for i, id := range ids {
-		// A row that can't be read is a final one: there is nothing to cancel.
+		// A job whose row can't be read is final: there is nothing to cancel.
 		_ = t.recall(ctx, id)
 		changes[i] = t.cancelChange(customer, id)
 	}
-	for i, wait := range t.askAll(changes) {
+	for i, wait := range t.submitAll(changes) {
 		jobs[i], refusals[i] = wait(ctx, "cancel")
 		if refusals[i] == nil {
 			t.m.count.cancelled.Add(1)
@@ -317,26 +317,26 @@
 	return jobs, refusals
 }
 
-// ask hands one change to the writer and waits for its answer.
-func (t *tenure) ask(ctx context.Context, c *change, step string) (structs.Job, *structs.Refusal) {
-	return t.askAll([]*change{c})[0](ctx, step)
+// submitAndWait passes one change to the writer and waits for its outcome.
+func (t *tenure) submitAndWait(ctx context.Context, c *change, step string) (structs.Job, *structs.Refusal) {
+	return t.submitAll([]*change{c})[0](ctx, step)
 }
 
 type waiter func(ctx context.Context, step string) (structs.Job, *structs.Refusal)
 
-type settled struct {
+type outcome struct {
 	job structs.Job
 	err error
 }
 
-// askAll hands changes to the writer at once and returns their waiters.
-func (t *tenure) askAll(changes []*change) []waiter {
+// submitAll passes changes to the writer at once and returns their waiters.
+func (t *tenure) submitAll(changes []*change) []waiter {
 	waiters := make([]waiter, len(changes))
 	for i, c := range changes {
-		got := make(chan settled, 1)
-		c.settle = func(j structs.Job, err error) { got <- settled{j, err} }
+		got := make(chan outcome, 1)
+		c.settle = func(j structs.Job, err error) { got <- outcome{j, err} }
 		waiters[i] = func(ctx context.Context, step string) (structs.Job, *structs.Refusal) {
-			return t.await(ctx, c, got, step)
+			return t.awaitOutcome(ctx, c, got, step)
 		}
 	}
 	if t.stalled() || !t.submit(changes...) {
@@ -347,23 +347,23 @@
 	return waiters
 }
 
-// stalled reports that a transaction has been in doubt for long.
+// stalled reports whether a transaction's outcome has been unknown for long.
 func (t *tenure) stalled() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.stalledSince.IsZero() && time.Since(t.stalledSince) > stallLimit
 }
 
-// valid reports whether this entry's lease on the shard stands by its own
-// elapsed time.
-func (t *tenure) valid() bool {
+// leaseValid reports whether this entry's lease on the shard is valid by its
+// own elapsed time.
+func (t *tenure) leaseValid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Now().Before(t.validUntil)
 }
 
-func (t *tenure) await(ctx context.Context, c *change, got chan settled, step string) (structs.Job, *structs.Refusal) {
-	var s settled
+func (t *tenure) awaitOutcome(ctx context.Context, c *change, got chan outcome, step string) (structs.Job, *structs.Refusal) {
+	var s outcome
 	select {
 	case s = <-got:
 	case <-ctx.Done():
@@ -373,25 +373,25 @@
 		select {
 		case s = <-got:
 		default:
-			return structs.Job{}, t.m.refuseUnknown(c.job, step, "its transaction is in doubt")
+			return structs.Job{}, t.m.refuseUnknown(c.job, step, "the outcome of its transaction is unknown")
 		}
 	}
-	return t.translate(c, s, step)
+	return t.response(c, s, step)
 }
 
-func (t *tenure) translate(c *change, s settled, step string) (structs.Job, *structs.Refusal) {
+func (t *tenure) response(c *change, s outcome, step string) (structs.Job, *structs.Refusal) {
 	var refused *structs.Refusal
 	switch {
-	case s.err == nil || errors.Is(s.err, errKeep):
+	case s.err == nil || errors.Is(s.err, errUnchanged):
 		return s.job, nil
 	case errors.As(s.err, &refused):
 		return structs.Job{}, refused
 	case errors.Is(s.err, errAbsent):
 		return structs.Job{}, t.m.refuseNotFound(c.job, step)
 	case errors.Is(s.err, errUncertain):
-		return structs.Job{}, t.m.refuseUnknown(c.job, step, "its transaction is in doubt")
+		return structs.Job{}, t.m.refuseUnknown(c.job, step, "the outcome of its transaction is unknown")
 	case t.ctx.Err() != nil:
-		return structs.Job{}, t.m.refusal(structs.RefusedNotOwner, http.StatusServiceUnavailable, step, "the shard has moved")
+		return structs.Job{}, t.m.refusal(structs.RefusedNotOwner, http.StatusServiceUnavailable, step, "the owner of the shard has changed")
 	}
 	return structs.Job{}, t.m.refuseStore(step)
 }
--- a/entry/batch/scanpace.go
+++ b/entry/batch/scanpace.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Pace of the scans of the agents' lease rows. The rows of 1,000 agents are
-// 18 KB, too many bytes for a scan every few seconds.
+// Bounds of the interval between scans of the agents' lease rows. The rows of
+// 1,000 agents are 18 KB, too many bytes for a scan every few seconds.
 const (
-	// leaseRowsAtPace is up to how many rows AgentScanEvery holds; with more
-	// it is stretched in proportion, so that the bytes a second stay.
-	leaseRowsAtPace = 200
-	// longestAgentScan bounds it, as a multiple of AgentScanEvery. A lapsed
-	// lease is noticed up to two scans after its end.
-	longestAgentScan = 6
+	// maxUnstretchedRows is the largest number of rows that is scanned every
+	// AgentScanEvery; with more rows the interval grows in proportion, so that
+	// the bytes a second stay the same.
+	maxUnstretchedRows = 200
+	// maxScanStretch bounds the interval, as a multiple of AgentScanEvery. A
+	// lapsed lease is noticed up to two scans after its end.
+	maxScanStretch = 6
 )
 
 // watchAgents reads the agents' lease rows until ctx ends.
@@ -22,16 +23,15 @@
 		m.observeAgents(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(m.agentScanPace()):
+		case <-time.After(m.agentScanInterval()):
 		}
 	}
 }
 
-// agentScanPace is the pause after a scan that saw as many rows as the last
-// one. It is also the gap between two readings that this entry explains itself
-// by; see sighting.
-func (m *Manager) agentScanPace() time.Duration {
-	every := m.cfg.AgentScanEvery
-	stretched := every * time.Duration(m.leaseRows.Load()) / leaseRowsAtPace
-	return min(max(every, stretched), longestAgentScan*every)
+// agentScanInterval is the pause after a scan that saw as many rows as the
+// last one, and the expected gap between two readings; see observedLease.
+func (m *Manager) agentScanInterval() time.Duration {
+	interval := m.cfg.AgentScanEvery
+	stretched := interval * time.Duration(m.leaseRows.Load()) / maxUnstretchedRows
+	return min(max(interval, stretched), maxScanStretch*interval)
 }
--- a/entry/batch/scanpace_test.go
+++ b/entry/batch/scanpace_test.go
@@ -12,11 +12,11 @@
 	"persimmonrock.example/structs"
 )
 
-// One of 1,000 instances fails and its lease row stands still while the others
-// renew theirs. Its tasks wait until the row has lapsed in the entry's sight:
-// never before the lease ends, and at most two scans later, at the pace that
-// keeps an entry's bytes within its budget. No other agent is fenced.
-func TestLapseIsSeenAtTheStretchedPace(t *testing.T) {
+// One of 1,000 instances fails and its lease row stays unchanged while the
+// others renew theirs. Its tasks wait until the entry sees the lease as
+// lapsed: never before the lease ends, and at most two scans later, at the
+// interval that fits the entry's byte budget. No other agent is fenced.
+func TestLapseIsDetectedAtTheStretchedInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const agents, length = 1000, 10 * time.Minute
 		table := memory.NewTable()
@@ -32,7 +32,7 @@
 		defer cancel()
 		go m.watchAgents(ctx)
 		time.Sleep(time.Millisecond)
-		pace := m.agentScanPace()
+		interval := m.agentScanInterval()
 		reads := table.Reads()
 		began, counter := time.Now(), 1
 		for m.count.agentsFenced.Load() == 0 && time.Since(began) < 2*length {
@@ -43,26 +43,26 @@
 			}
 		}
 		took := time.Since(began)
-		if earliest := length + DefaultLeaseMargin; took < earliest || took > earliest+2*pace+30*time.Second {
-			t.Errorf("fenced after %s at a pace of %s", took, pace)
+		if earliest := length + DefaultLeaseMargin; took < earliest || took > earliest+2*interval+30*time.Second {
+			t.Errorf("fenced after %s with a scan every %s", took, interval)
 		}
-		if n := m.count.agentsFenced.Load(); n != 1 || m.facts.proofOf("i0", 1) != proofFenced {
+		if n := m.count.agentsFenced.Load(); n != 1 || m.agentLeases.proofOf("i0", 1) != proofFenced {
 			t.Errorf("%d agents fenced", n)
 		}
-		t.Logf("%d agents: a scan every %s, %.3f reads a second, fenced after %s", agents, pace, float64(table.Reads()-reads)/took.Seconds(), took)
-		if pace <= DefaultAgentScan {
-			t.Errorf("the pace of %d rows is %s", agents, pace)
+		t.Logf("%d agents: a scan every %s, %.3f reads a second, fenced after %s", agents, interval, float64(table.Reads()-reads)/took.Seconds(), took)
+		if interval <= DefaultAgentScan {
+			t.Errorf("the scan interval for %d rows is %s", agents, interval)
 		}
 	})
 }
 
-// With today's few agents the pace is the one that is set; with very many it
+// With few agents the scan interval is the configured one; with very many it
 // stays within its bound, since recovery waits for it.
-func TestPaceOfLeaseScans(t *testing.T) {
+func TestIntervalOfLeaseScans(t *testing.T) {
 	m := New(Config{AgentScanEvery: 10 * time.Second}, Deps{})
-	for rows, want := range map[int64]time.Duration{0: 10 * time.Second, leaseRowsAtPace: 10 * time.Second, 2 * leaseRowsAtPace: 20 * time.Second, 100_000: time.Minute} {
+	for rows, want := range map[int64]time.Duration{0: 10 * time.Second, maxUnstretchedRows: 10 * time.Second, 2 * maxUnstretchedRows: 20 * time.Second, 100_000: time.Minute} {
 		m.leaseRows.Store(rows)
-		if got := m.agentScanPace(); got != want {
+		if got := m.agentScanInterval(); got != want {
 			t.Errorf("%d rows: %s, want %s", rows, got, want)
 		}
 	}
--- a/entry/batch/sighting.go
+++ b/entry/batch/sighting.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// sighting is what an observer knows of one lease row.
+// observedLease is an observer's state of one lease row.
 //
-// Failure guarded against: an observer that could not read (store down) or
-// did not run (paused) sees an old counter and takes a live holder for dead,
-// for every lease at once. The guard: only time in which the observer was
-// reading counts. A gap between two readings adds no more than the gap that
-// the reading interval explains. Seen time never exceeds elapsed time, so a
-// lease is never ended early by it.
-type sighting[L any] struct {
+// Failure guarded against: an observer that could not read (store down) or did
+// not run (paused) sees an old counter and declares a live holder dead, for
+// every lease at once. The guard: only time in which the observer was reading
+// counts. A gap of more than two reading intervals counts as one interval.
+// Counted time never exceeds elapsed time, so no lease ends early by it.
+type observedLease[L any] struct {
 	known   bool
 	lease   L
 	version uint64
 	counter uint64
-	// last is when the row was read last; unchanged is the seen time since
+	// last is the time of the last reading; unchanged is the counted time since
 	// the counter last changed.
 	last      time.Time
 	unchanged time.Duration
 }
 
-// see takes one reading of the row at now, a reading on the observer's own
-// clock from before the read was sent.
-func (s *sighting[L]) see(lease L, version, counter uint64, now time.Time, interval time.Duration) (blind bool) {
+// observe records one reading of the row at now, a time on the observer's own
+// clock from before the read was sent. It reports whether the reading is late.
+func (s *observedLease[L]) observe(lease L, version, counter uint64, now time.Time, interval time.Duration) (late bool) {
 	gap := now.Sub(s.last)
-	if blind = s.known && gap > 2*interval; blind {
+	if late = s.known && gap > 2*interval; late {
 		gap = interval
 	}
 	if !s.known || s.version != version || s.counter != counter {
@@ -38,5 +37,5 @@
 	s.version = version
 	s.counter = counter
 	s.last = now
-	return blind
+	return late
 }
--- a/entry/batch/sweep_test.go
+++ b/entry/batch/sweep_test.go
@@ -16,18 +16,18 @@
 	"persimmonrock.example/wire"
 )
 
-// startBound is how long a job may fit somewhere and still be queued.
-const startBound = sweepEvery + 2*time.Second
+// maxStartDelay is the longest time for which a job may fit and stay queued.
+const maxStartDelay = sweepEvery + 2*time.Second
 
-// slotWorld is a fleet whose instances gain and lose slots as the test says.
-type slotWorld struct {
-	world
+// slotCluster is a fleet whose instances gain and lose slots as the test says.
+type slotCluster struct {
+	cluster
 	m        *Manager
 	mu       sync.Mutex
 	free     map[string]int
 	running  []structs.Job
 	revision structs.Revision
-	// down agents answer nobody; sequence numbers their reports.
+	// Agents that are down answer nobody; sequence numbers their reports.
 	down     bool
 	sequence uint64
 	fits     map[structs.JobID]time.Time
@@ -35,12 +35,12 @@
 
 const instanceSlots = 8
 
-func (y *slotWorld) Entries() []structs.EntryID          { return nil }
-func (y *slotWorld) Observe(wire.Load)                   {}
-func (y *slotWorld) Entry(string) wire.EntryPeer         { return nil }
-func (y *slotWorld) Agent(address string) wire.AgentPeer { return slotAgent{y: y, id: address} }
+func (y *slotCluster) Entries() []structs.EntryID          { return nil }
+func (y *slotCluster) Observe(wire.Load)                   {}
+func (y *slotCluster) Entry(string) wire.EntryPeer         { return nil }
+func (y *slotCluster) Agent(address string) wire.AgentPeer { return slotAgent{y: y, id: address} }
 
-func (y *slotWorld) Agents() (list []AgentView) {
+func (y *slotCluster) Agents() (list []AgentView) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for id, free := range y.free {
@@ -50,16 +50,16 @@
 	return list
 }
 
-func (y *slotWorld) Config() structs.Config {
+func (y *slotCluster) Config() structs.Config {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return structs.Config{Revision: y.revision}
 }
 
 // Place puts each job on any instance with enough slots.
-func (y *slotWorld) Place(s Snapshot) (out []Placement) {
+func (y *slotCluster) Place(s Snapshot) (out []Placement) {
 	for _, j := range s.Queue {
-		p := Placement{Job: j.ID, Reason: "no room", Borrowed: true}
+		p := Placement{Job: j.ID, Reason: "no free capacity", Borrowed: true}
 		for i := range s.Agents {
 			if free := &s.Agents[i].Load.Free; free.Slots >= slotsOf(j) {
 				free.Slots -= slotsOf(j)
@@ -74,7 +74,7 @@
 
 type slotAgent struct {
 	wire.AgentPeer
-	y  *slotWorld
+	y  *slotCluster
 	id string
 }
 
@@ -97,8 +97,8 @@
 	return reply, nil
 }
 
-// check fails once a job has fitted for longer than the bound.
-func (y *slotWorld) check() {
+// checkStartDelays fails once a job has fitted for longer than maxStartDelay.
+func (y *slotCluster) checkStartDelays() {
 	most := 0
 	y.mu.Lock()
 	for _, free := range y.free {
@@ -107,13 +107,13 @@
 	y.mu.Unlock()
 	for _, t := range y.m.tenures() {
 		for _, id := range y.overdue(t, most) {
-			y.t.Fatalf("job %s waits for more than %s beside %d free slots", id, startBound, most)
+			y.t.Fatalf("job %s waits for more than %s beside %d free slots", id, maxStartDelay, most)
 		}
 	}
 }
 
-// overdue are the jobs of a tenure that have fitted for longer than the bound.
-func (y *slotWorld) overdue(t *tenure, most int) (late []structs.JobID) {
+// overdue returns a tenure's jobs that have fitted for longer than that.
+func (y *slotCluster) overdue(t *tenure, most int) (late []structs.JobID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.jobs {
@@ -123,14 +123,14 @@
 			delete(y.fits, id)
 		case !fitted:
 			y.fits[id] = time.Now()
-		case time.Since(since) > startBound:
+		case time.Since(since) > maxStartDelay:
 			late = append(late, id)
 		}
 	}
 	return late
 }
 
-// event is one change of a random history of room.
+// event is one step of a random history of free capacity.
 type event struct {
 	Kind   string
 	Target int
@@ -138,7 +138,7 @@
 	Pause  time.Duration
 }
 
-var roomEvents = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
+var capacityEvents = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 	return event{
 		Kind:   rapid.SampledFrom([]string{"submit", "submit", "many", "end", "end", "free", "take", "come", "go", "revision"}).Draw(t, "kind"),
 		Target: rapid.IntRange(0, 3).Draw(t, "target"),
@@ -147,17 +147,17 @@
 	}
 }), 20, 60)
 
-func (y *slotWorld) happen(n int, e event) {
+func (y *slotCluster) applyEvent(n int, e event) {
 	id := fmt.Sprintf("i%d", e.Target)
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	free, known := y.free[id]
 	switch e.Kind {
 	case "submit":
-		go y.hand(fmt.Sprintf("j%d", n), e)
+		go y.submitJob(fmt.Sprintf("j%d", n), e)
 	case "many":
 		for i := range 150 {
-			go y.hand(fmt.Sprintf("j%d-%d", n, i), event{Target: e.Target, Size: instanceSlots})
+			go y.submitJob(fmt.Sprintf("j%d-%d", n, i), event{Target: e.Target, Size: instanceSlots})
 		}
 	case "free":
 		if known {
@@ -180,14 +180,14 @@
 	}
 }
 
-func (y *slotWorld) hand(id string, e event) {
+func (y *slotCluster) submitJob(id string, e event) {
 	c := structs.Customer([]string{"acme", "kowhai", "hill", "acme"}[e.Target])
 	spec := structs.JobSpec{Kind: "grade", Declared: structs.Resources{Slots: e.Size}}
 	y.m.Submit(y.ctx, structs.Job{ID: structs.JobID(id), Customer: c, Spec: spec})
 }
 
-// endOne ends a running task and gives its slots back, if its instance stands.
-func (y *slotWorld) endOne(at int) {
+// endOne ends a running task and frees its slots if its instance still exists.
+func (y *slotCluster) endOne(at int) {
 	if len(y.running) == 0 {
 		return
 	}
@@ -201,13 +201,13 @@
 	go y.m.ServeReport(wire.ReportRequest{Instance: j.Instance, Reports: []wire.TaskReport{report}}, &wire.ReportReply{})
 }
 
-// inSlotWorld runs a story with one owner of all shards and no instance.
-func inSlotWorld(t *testing.T, story func(y *slotWorld)) { inSlotWorldOf(t, Config{}, story) }
+// runSlotCluster runs a test with one owner of all shards and no instance.
+func runSlotCluster(t *testing.T, test func(y *slotCluster)) { runSlotClusterOf(t, Config{}, test) }
 
-func inSlotWorldOf(t *testing.T, config Config, story func(y *slotWorld)) {
+func runSlotClusterOf(t *testing.T, config Config, test func(y *slotCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		y := &slotWorld{free: map[string]int{}, fits: map[structs.JobID]time.Time{}}
+		y := &slotCluster{free: map[string]int{}, fits: map[structs.JobID]time.Time{}}
 		y.t, y.ctx, y.table, y.objects = t, ctx, memory.NewTable(), memory.NewObjects()
 		y.queue.Store(20_000)
 		config.Entry, config.Address = "e", "e"
@@ -221,28 +221,28 @@
 			<-ended
 		}()
 		time.Sleep(5 * time.Second)
-		story(y)
+		test(y)
 	})
 }
 
-// Story: a customer's job stays queued beside a worker that has room for it.
-// The queue was looked at, nothing fitted, and no sign of the room that came
-// free later reached the owner: a task ended, an urgent call ended, an
-// instance or a contract came, all at once or while a sweep was under way.
+// Guards against: a job stays queued beside a worker that has capacity for it.
+// The queue was considered, nothing fitted, and no change that freed capacity
+// later reached the owner: a task ended, an urgent call ended, an instance or
+// a contract was added, all at once or during a sweep.
 func TestJobThatFitsStartsInTime(t *testing.T) {
 	for seed := range *seeds {
-		events := roomEvents.Example(*firstSeed + seed)
+		events := capacityEvents.Example(*firstSeed + seed)
 		t.Run(fmt.Sprint(*firstSeed+seed), func(t *testing.T) {
-			inSlotWorld(t, func(y *slotWorld) {
+			runSlotCluster(t, func(y *slotCluster) {
 				for n, e := range events {
-					y.happen(n, e)
+					y.applyEvent(n, e)
 					for until := time.Now().Add(e.Pause); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-						y.check()
+						y.checkStartDelays()
 					}
 				}
 				for range 200 {
 					time.Sleep(100 * time.Millisecond)
-					y.check()
+					y.checkStartDelays()
 				}
 			})
 		})
--- a/entry/batch/tenure.go
+++ b/entry/batch/tenure.go
@@ -22,21 +22,21 @@
 	// mayHaveSent is set before the first start of this epoch is sent, and
 	// for every running job that an earlier tenure claimed.
 	mayHaveSent bool
-	// sending is set while a start of this epoch is under way, or is being put
-	// back since it never left.
+	// sending is set while a start of this epoch is in flight, or while the job
+	// is requeued because its start was never sent.
 	sending bool
-	// nextSend is when a start or stop is sent again.
+	// nextSend is the time at which a start or stop is sent again.
 	nextSend time.Time
-	// notBefore keeps a queued job out of placement; waits counts how often.
+	// notBefore keeps a queued job out of placement; backoffs counts the times.
 	notBefore time.Time
-	waits     int
-	// looked is the sweep that last looked at the queued job.
-	looked uint64
-	// waiting says why the job is still queued, for people.
-	waiting string
+	backoffs  int
+	// considered is the number of the last sweep that considered the queued job.
+	considered uint64
+	// waitReason is the reason, for people, why the job is still queued.
+	waitReason string
 }
 
-// tally is what one customer has in the shard.
+// tally counts the jobs and slots of one customer in the shard.
 type tally struct {
 	unfinished int
 	heldSlots  int
@@ -51,27 +51,27 @@
 	}
 }
 
-// tasks are the running jobs of one instance. None names a lease below lowest,
-// so while nothing is proved of that one, the jobs need not be looked at.
-type tasks struct {
-	jobs   map[structs.JobID]struct{}
-	lowest structs.Incarnation
+// instanceTasks are the running jobs of one instance. No job names a lease
+// below lowestLease: until that lease has a proven end, they need no check.
+type instanceTasks struct {
+	jobs        map[structs.JobID]struct{}
+	lowestLease structs.Incarnation
 }
 
-// slotsOf is the number of slots that a task takes; each takes at least one.
+// slotsOf returns the number of slots that a task holds, at least one.
 func slotsOf(j structs.Job) int { return max(1, j.Spec.Declared.Slots) }
 
 // tenure is one period in which this entry owns a shard. All its state is
-// dropped with it; the next tenure loads the rows anew.
+// dropped with it; the next tenure reads the rows again.
 type tenure struct {
-	m     *Manager
-	shard structs.ShardID
-	epoch structs.Epoch
-	ctx   context.Context
-	stop  context.CancelCauseFunc
-	wake  chan struct{}
-	plan  chan struct{}
-	done  chan struct{}
+	m          *Manager
+	shard      structs.ShardID
+	epoch      structs.Epoch
+	ctx        context.Context
+	stop       context.CancelCauseFunc
+	wakeWriter chan struct{}
+	wakeWork   chan struct{}
+	done       chan struct{}
 
 	mu sync.Mutex
 	// lease and version are the shard row as last confirmed.
@@ -82,55 +82,55 @@
 	validUntil time.Time
 	loaded     bool
 	draining   bool
-	// stalledSince is when the transaction in flight was first sent without
-	// a known outcome, zero otherwise.
+	// stalledSince is when the transaction's outcome became unknown, or zero.
 	stalledSince time.Time
-	// inFlight are the jobs of the transaction whose answer has not come.
+	// inFlight are the jobs of the transaction in flight.
 	inFlight map[structs.JobID]struct{}
 	jobs     map[structs.JobID]*record
 	tallies  map[structs.Customer]*tally
 	queue    map[structs.Customer][]structs.JobID
-	running  map[structs.InstanceID]*tasks
-	// open are the instances that something has still to be sent to: a start
-	// that no agent has answered, or a stop.
-	open map[structs.InstanceID]*contact
-	// finals are the ended jobs in memory, in the order of their ends; outside
-	// marks those that left it, and expired are rows to be deleted.
+	running  map[structs.InstanceID]*instanceTasks
+	// outboxes hold what has still to be sent to each instance: starts without an
+	// answer, and stops.
+	outboxes map[structs.InstanceID]*outbox
+	// finals are the ended jobs in memory, in the order of their ends; offloaded
+	// marks those removed from memory, and expired are rows to be deleted.
 	finals    []structs.JobID
-	outside   outside
+	offloaded offloaded
 	expired   []structs.JobID
 	submitted uint64
 	sweep     sweep
-	// ends counts running jobs that left an instance: each gives its
-	// customer's share back.
-	ends    uint64
-	pending []*change
+	// claimEnds counts running jobs that left an instance: each frees a part of
+	// its customer's share.
+	claimEnds uint64
+	pending   []*change
 }
 
 // errReplaced ends a tenure whose shard row another entry has written.
 var errReplaced = errors.New("batch: the shard has another owner")
 
-// errDrained ends a tenure that gave its shard up.
+// errDrained ends a tenure that released its shard.
 var errDrained = errors.New("batch: the shard was released")
 
 func newTenure(ctx context.Context, m *Manager, lease structs.ShardLease, version uint64, sent time.Time) *tenure {
 	t := &tenure{
 		m: m, shard: lease.Shard, epoch: lease.Epoch, lease: lease, version: version,
 		validUntil: sent.Add(m.cfg.ShardLease),
-		wake:       make(chan struct{}, 1),
-		plan:       make(chan struct{}, 1),
+		wakeWriter: make(chan struct{}, 1),
+		wakeWork:   make(chan struct{}, 1),
 		done:       make(chan struct{}),
 		jobs:       make(map[structs.JobID]*record),
 		tallies:    make(map[structs.Customer]*tally),
 		queue:      make(map[structs.Customer][]structs.JobID),
-		running:    make(map[structs.InstanceID]*tasks),
-		open:       make(map[structs.InstanceID]*contact),
+		running:    make(map[structs.InstanceID]*instanceTasks),
+		outboxes:   make(map[structs.InstanceID]*outbox),
 	}
 	t.ctx, t.stop = context.WithCancelCause(ctx)
 	return t
 }
 
-// serving reports whether the rows are loaded and the tenure stands.
+// serving reports whether the rows are loaded and the tenure neither drains
+// nor has ended.
 func (t *tenure) serving() bool {
 	if t.ctx.Err() != nil {
 		return false
@@ -140,8 +140,8 @@
 	return t.loaded && !t.draining
 }
 
-// store makes j the confirmed state of its row. The caller holds t.mu.
-func (t *tenure) store(j structs.Job, version uint64) *record {
+// setConfirmed makes j the confirmed state of its row. The caller holds t.mu.
+func (t *tenure) setConfirmed(j structs.Job, version uint64) *record {
 	r := t.jobs[j.ID]
 	if r == nil {
 		r = &record{digest: digest(j.Spec)}
@@ -152,8 +152,8 @@
 	wasEnded := ended(r.job.State)
 	if r.job.Epoch != j.Epoch || r.job.State != j.State || r.job.CancelRequested != j.CancelRequested {
 		r.nextSend = time.Time{}
-		r.waiting = ""
-		r.looked = 0
+		r.waitReason = ""
+		r.considered = 0
 	}
 	if r.job.Epoch != j.Epoch {
 		r.confirmed = false
@@ -169,9 +169,9 @@
 		t.index(j)
 	}
 	if j.State == structs.JobRunning && (!r.confirmed || j.CancelRequested) {
-		t.opened(j)
+		t.queueSend(j)
 	} else {
-		t.closed(j.Instance, j.ID)
+		t.clearSend(j.Instance, j.ID)
 	}
 	t.submitted = max(t.submitted, j.Submitted)
 	return r
@@ -193,11 +193,11 @@
 	case j.State == structs.JobRunning:
 		on := t.running[j.Instance]
 		if on == nil {
-			on = &tasks{jobs: make(map[structs.JobID]struct{}), lowest: j.Incarnation}
+			on = &instanceTasks{jobs: make(map[structs.JobID]struct{}), lowestLease: j.Incarnation}
 			t.running[j.Instance] = on
 		}
 		on.jobs[j.ID] = struct{}{}
-		on.lowest = min(on.lowest, j.Incarnation)
+		on.lowestLease = min(on.lowestLease, j.Incarnation)
 	case ended(j.State):
 		t.finals = append(t.finals, j.ID)
 	}
@@ -221,7 +221,7 @@
 		q := t.queue[j.Customer]
 		at, _ := slices.BinarySearchFunc(q, j.Submitted, t.bySubmission)
 		if at == len(q) || q[at] != j.ID {
-			t.m.broken("queued job %s is not in the queue of its customer", j.ID)
+			t.m.reportViolation("queued job %s is not in the queue of its customer", j.ID)
 			return
 		}
 		if q = slices.Delete(q, at, at+1); len(q) == 0 {
@@ -230,7 +230,7 @@
 		}
 		t.queue[j.Customer] = q
 	case structs.JobRunning:
-		t.ends++
+		t.claimEnds++
 		on := t.running[j.Instance]
 		delete(on.jobs, j.ID)
 		if len(on.jobs) == 0 {
@@ -239,10 +239,10 @@
 	}
 }
 
-// current returns the confirmed state of a job, unless a transaction may have
-// changed it already. Its row may then be ahead of this process, and another
-// entry may have shown it to a client: one that asks here next would see the
-// job go back to an earlier state.
+// current returns the confirmed state of a job, unless a transaction in flight
+// may have changed it. Its row may then be ahead of this process, and a client
+// that has seen the row through another entry would see the job return to an
+// earlier state here.
 func (t *tenure) current(id structs.JobID) (structs.Job, bool) {
 	t.mu.Lock()
 	_, changing := t.inFlight[id]
@@ -262,8 +262,8 @@
 		return structs.Job{}, false
 	}
 	j := r.job
-	if j.State == structs.JobQueued && r.waiting != "" {
-		j.Reason = r.waiting
+	if j.State == structs.JobQueued && r.waitReason != "" {
+		j.Reason = r.waitReason
 	}
 	return j, true
 }
--- a/entry/batch/world_test.go
+++ b/entry/batch/world_test.go
@@ -22,9 +22,9 @@
 	"persimmonrock.example/wire"
 )
 
-// world is one store, some entries and some agents in one bubble of fake time.
-// It is Directory, Contracts and Placer of every entry.
-type world struct {
+// cluster simulates one store, some entries and some agents in one bubble of
+// fake time. It is Directory, Contracts and Placer of every entry.
+type cluster struct {
 	t       *testing.T
 	table   *memory.Table
 	objects *memory.Objects
@@ -45,7 +45,7 @@
 	broken    []string
 }
 
-// entryNode is one entry process; its control stands for its whole network.
+// entryNode is one entry process; ctl controls its whole network.
 type entryNode struct {
 	*Manager
 	ctl  *fault.Control
@@ -53,9 +53,9 @@
 	dead bool
 }
 
-// world returns the world of a story before anything in it starts.
-func makeWorld(t *testing.T) *world {
-	w := &world{
+// newCluster returns a cluster in which nothing has been started.
+func newCluster(t *testing.T) *cluster {
+	w := &cluster{
 		t: t, table: memory.NewTable(), objects: memory.NewObjects(), runs: memory.NewRunRegistry(zerolog.Nop()),
 		runTime: 5 * time.Second, lease: agentLease, slots: agentSlots,
 		entries: map[string]*entryNode{}, agents: map[string]*agentNode{}, instances: map[string]*instance{},
@@ -65,7 +65,7 @@
 	return w
 }
 
-func (w *world) start(entries, agents int) {
+func (w *cluster) start(entries, agents int) {
 	for i := range entries {
 		w.startEntry(fmt.Sprintf("e%d", i))
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (w *world) startEntry(name string) {
+func (w *cluster) startEntry(name string) {
 	e := &entryNode{ctl: fault.NewControl(uint64(structs.ShardOf(structs.Customer(name))))}
 	e.Manager = New(Config{Entry: structs.EntryID(name), Address: name, FlushEvery: w.flush}, Deps{
 		Table: fault.NewTable(w.table, e.ctl), Directory: w, Contracts: w, Placer: w,
@@ -88,8 +88,8 @@
 	w.wait.Go(func() { e.Run(ctx) })
 }
 
-// kill ends an entry as SIGKILL does: nothing of it goes out any more.
-func (w *world) kill(name string) {
+// kill ends an entry as SIGKILL does: it sends nothing any more.
+func (w *cluster) kill(name string) {
 	e := w.entry(name)
 	w.mu.Lock()
 	e.dead = true
@@ -98,14 +98,14 @@
 	e.stop()
 }
 
-func (w *world) entry(name string) *entryNode {
+func (w *cluster) entry(name string) *entryNode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.entries[name]
 }
 
-// close ends the world and checks what must hold at any time.
-func (w *world) close() {
+// close stops the cluster and checks what must hold at any time.
+func (w *cluster) close() {
 	w.mu.Lock()
 	for _, e := range w.entries {
 		e.ctl.Heal()
@@ -134,8 +134,8 @@
 	}
 }
 
-// until waits for a condition, bounded in fake time.
-func (w *world) until(limit time.Duration, what string, done func() bool) time.Duration {
+// until waits for a condition, up to a limit in fake time.
+func (w *cluster) until(limit time.Duration, what string, done func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
 	for !done() {
@@ -147,7 +147,7 @@
 	return time.Since(began)
 }
 
-func (w *world) jobs() map[structs.JobID]structs.Job {
+func (w *cluster) jobs() map[structs.JobID]structs.Job {
 	all := map[structs.JobID]structs.Job{}
 	for after := ""; ; {
 		rows, _ := w.table.Scan(context.Background(), structs.JobPrefix, after, 1000)
@@ -163,7 +163,7 @@
 	}
 }
 
-func (w *world) states() map[structs.JobState]int {
+func (w *cluster) states() map[structs.JobState]int {
 	n := map[structs.JobState]int{}
 	for _, j := range w.jobs() {
 		n[j.State]++
@@ -171,28 +171,28 @@
 	return n
 }
 
-func (w *world) owner(c structs.Customer) string {
+func (w *cluster) owner(c structs.Customer) string {
 	row, _ := w.table.Get(context.Background(), structs.ShardKey(structs.ShardOf(c)))
 	var l structs.ShardLease
 	json.Unmarshal(row.Value, &l)
 	return string(l.Owner)
 }
 
-func (w *world) settled(n int) func() bool {
+func (w *cluster) allSettled(n int) func() bool {
 	return func() bool {
 		s := w.states()
 		return s[structs.JobDone]+s[structs.JobCancelled]+s[structs.JobFailed] == n
 	}
 }
 
-func (w *world) submit(at string, c structs.Customer, id string) *structs.Refusal {
+func (w *cluster) submit(at string, c structs.Customer, id string) *structs.Refusal {
 	job := structs.Job{ID: structs.JobID(id), Customer: c, Spec: structs.JobSpec{Kind: "grade"}}
 	_, refused := w.entry(at).Submit(w.ctx, job)
 	return refused
 }
 
-// cutStore takes the store away from everybody, or gives it back.
-func (w *world) cutStore(down bool) {
+// cutStore cuts all processes off the store, or reconnects them.
+func (w *cluster) cutStore(down bool) {
 	plan := fault.Plan{}
 	if down {
 		plan = fault.Plan{Down: 1, Match: func(o fault.Operation) bool { return o.Service == "table" && o.Key != "net" }}
@@ -207,16 +207,16 @@
 	}
 }
 
-func (w *world) sum(of func(*counters) int64) (n int64) {
+func (w *cluster) sum(of func(*counters) int64) (n int64) {
 	for _, e := range w.entries {
 		n += of(&e.count)
 	}
 	return n
 }
 
-// served waits until every shard has an owner that serves, and the entries
-// have shared the shards out.
-func (w *world) served() {
+// waitServed waits until every shard has an owner that serves it, and the
+// shards are spread evenly over the entries.
+func (w *cluster) waitServed() {
 	w.until(time.Minute, "all shards served", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -231,13 +231,13 @@
 		}
 		return even && n == structs.ShardCount
 	})
-	// The others learn the owners at their next reading.
+	// The other entries learn the owners at their next reading.
 	time.Sleep(DefaultScanEvery + time.Second)
 }
 
 // Directory, Contracts and Placer.
 
-func (w *world) Agents() []AgentView {
+func (w *cluster) Agents() []AgentView {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []AgentView
@@ -252,7 +252,7 @@
 	return list
 }
 
-func (w *world) Entries() (ids []structs.EntryID) {
+func (w *cluster) Entries() (ids []structs.EntryID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, e := range w.entries {
@@ -263,7 +263,7 @@
 	return ids
 }
 
-func (w *world) Observe(l wire.Load) {
+func (w *cluster) Observe(l wire.Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a := w.agents[string(l.Instance)]; a != nil {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (w *world) Config() structs.Config {
+func (w *cluster) Config() structs.Config {
 	c := structs.Config{Revision: 1, Contracts: map[structs.Customer]structs.Contract{}}
 	names := []string{"acme", "kowhai", "hill"}
 	for i := range 96 {
@@ -283,15 +283,15 @@
 	return c
 }
 
-func (w *world) Ended(End) {}
+func (w *cluster) Ended(End) {}
 
-func (w *world) Contract(c structs.Customer) (structs.Contract, bool) {
+func (w *cluster) Contract(c structs.Customer) (structs.Contract, bool) {
 	return structs.Contract{Customer: c, BatchQueue: int(w.queue.Load()), Share: 1}, true
 }
 
-func (w *world) Place(s Snapshot) (out []Placement) {
+func (w *cluster) Place(s Snapshot) (out []Placement) {
 	for _, j := range s.Queue {
-		p := Placement{Job: j.ID, Reason: "no room"}
+		p := Placement{Job: j.ID, Reason: "no free capacity"}
 		for i := range s.Agents {
 			if s.Agents[i].Load.Free.Slots > 0 && len(out) < s.Max {
 				s.Agents[i].Load.Free.Slots--
@@ -304,9 +304,9 @@
 	return out
 }
 
-// dialer is how one process reaches others.
+// dialer connects one process to the others.
 type dialer struct {
-	w   *world
+	w   *cluster
 	ctl *fault.Control
 }
 
@@ -325,34 +325,34 @@
 	to string
 }
 
-// served is the far side of an exchange as a table service, so that the
-// faults of both processes apply to it.
-type served struct {
+// remoteTable presents the remote side of an exchange as a table service, so
+// that the faults of both processes apply to it.
+type remoteTable struct {
 	infra.Table
 	run func()
 }
 
-func (s served) Commit(context.Context, infra.Txn) ([]uint64, error) {
+func (s remoteTable) Commit(context.Context, infra.Txn) ([]uint64, error) {
 	s.run()
 	return nil, nil
 }
 
 // exchange runs one request at the process that target controls.
 func exchange[R any](ctx context.Context, d *dialer, target *fault.Control, run func(*R) error) (R, error) {
-	got := make(chan R, 1)
+	replies := make(chan R, 1)
 	failed := make(chan error, 1)
 	d.w.wait.Go(func() {
 		var reply R
-		far := fault.NewTable(served{run: func() { run(&reply) }}, target)
-		if _, err := fault.NewTable(far, d.ctl).Commit(ctx, infra.Txn{Puts: []infra.Put{{Key: "net"}}}); err != nil {
+		remote := fault.NewTable(remoteTable{run: func() { run(&reply) }}, target)
+		if _, err := fault.NewTable(remote, d.ctl).Commit(ctx, infra.Txn{Puts: []infra.Put{{Key: "net"}}}); err != nil {
 			failed <- err
 			return
 		}
-		got <- reply
+		replies <- reply
 	})
 	var none R
 	select {
-	case reply := <-got:
+	case reply := <-replies:
 		return reply, nil
 	case err := <-failed:
 		return none, &wire.PeerError{Step: "test", Sent: !errors.Is(err, infra.ErrUnavailable), Err: err}
@@ -361,7 +361,7 @@
 	}
 }
 
-var errGone = &wire.PeerError{Step: "test", Err: errors.New("no such process")}
+var errNoProcess = &wire.PeerError{Step: "test", Err: errors.New("no such process")}
 
 func (l *agentLink) agent() *agentNode {
 	l.w.mu.Lock()
@@ -372,7 +372,7 @@
 func (l *agentLink) Start(ctx context.Context, r wire.StartRequest) (wire.StartReply, error) {
 	a := l.agent()
 	if a == nil {
-		return wire.StartReply{}, errGone
+		return wire.StartReply{}, errNoProcess
 	}
 	return exchange(ctx, l.dialer, a.ctl, func(reply *wire.StartReply) error { return a.Start(r, reply) })
 }
@@ -380,7 +380,7 @@
 func (l *agentLink) Stop(ctx context.Context, r wire.StopRequest) error {
 	a := l.agent()
 	if a == nil {
-		return errGone
+		return errNoProcess
 	}
 	_, err := exchange(ctx, l.dialer, a.ctl, func(reply *wire.Empty) error { return a.Stop(r, reply) })
 	return err
@@ -402,7 +402,7 @@
 	return atEntry(ctx, l, func(e *entryNode, reply *wire.ReportReply) error { return e.ServeReport(r, reply) })
 }
 
-// Hello puts the agent into the directory, as the entry's own does.
+// Hello puts the agent into the directory, as an entry does.
 func (l *entryLink) Hello(ctx context.Context, r wire.HelloRequest) (wire.HelloReply, error) {
 	return atEntry(ctx, l, func(e *entryNode, reply *wire.HelloReply) error {
 		l.w.mu.Lock()
@@ -420,7 +420,7 @@
 	e := l.w.entry(l.to)
 	if e == nil {
 		var none R
-		return none, errGone
+		return none, errNoProcess
 	}
 	return exchange(ctx, l.dialer, e.ctl, func(reply *R) error { return run(e, reply) })
 }
--- a/entry/batch/writer.go
+++ b/entry/batch/writer.go
@@ -22,7 +22,7 @@
 // repeatPause is the wait between attempts of one transaction.
 const repeatPause = 20 * time.Millisecond
 
-// view is the shard's state with the decisions of one transaction on top.
+// view is the shard's state with the decisions of one transaction applied.
 type view struct {
 	t         *tenure
 	jobs      map[structs.JobID]structs.Job
@@ -34,7 +34,7 @@
 	expired []structs.JobID
 	// fence is set when an answer needs the proof of ownership.
 	fence bool
-	// release is set in the last transaction of a tenure that gives up.
+	// release is set in the last transaction of a tenure that releases its shard.
 	release bool
 }
 
@@ -68,10 +68,10 @@
 func (v *view) unfinished(c structs.Customer) int { return v.tally(c).unfinished }
 func (v *view) held(c structs.Customer) int       { return v.tally(c).heldSlots }
 
-// put decides the next state of a job, after checking what must always hold.
+// put records the next state of a job, after checking the transition.
 func (v *view) put(old structs.Job, found bool, next structs.Job) {
-	next = v.t.m.stamped(old, next)
-	v.t.m.checkStep(old, found, next)
+	next = v.t.m.withEndPeriod(old, next)
+	v.t.m.checkTransition(old, found, next)
 	y := v.tally(next.Customer)
 	if found {
 		y.add(old, -1)
@@ -85,24 +85,24 @@
 	v.bytes += len(next.Spec.Payload)
 }
 
-// checkStep asserts what must hold of every step of a job: a claim starts
-// from queued and raises the epoch by one, nothing else moves the epoch, and
-// a final state never changes except that an operator releases a parked job
-// or its customer cancels it.
-func (m *Manager) checkStep(old structs.Job, found bool, next structs.Job) {
+// checkTransition checks the rules of every step of a job: a claim starts from
+// queued and raises the epoch by one, nothing else changes the epoch, and a
+// final state never changes except that an operator releases a parked job or
+// its customer cancels it.
+func (m *Manager) checkTransition(old structs.Job, found bool, next structs.Job) {
 	claim := next.State == structs.JobRunning && old.State != structs.JobRunning
 	switch {
 	case claim && (old.State != structs.JobQueued || next.Epoch != old.Epoch+1):
-		m.broken("job %s is claimed from %s, epoch %d to %d", next.ID, old.State, old.Epoch, next.Epoch)
+		m.reportViolation("job %s is claimed from %s, epoch %d to %d", next.ID, old.State, old.Epoch, next.Epoch)
 	case !claim && next.Epoch != old.Epoch:
-		m.broken("job %s changes its epoch from %d to %d without a claim", next.ID, old.Epoch, next.Epoch)
+		m.reportViolation("job %s changes its epoch from %d to %d without a claim", next.ID, old.Epoch, next.Epoch)
 	case found && old.State.Final() && old.State != structs.JobParked && next.State != old.State:
-		m.broken("job %s leaves its final state %s for %s", next.ID, old.State, next.State)
+		m.reportViolation("job %s leaves its final state %s for %s", next.ID, old.State, next.State)
 	}
 }
 
-// submit hands changes to the writer; false means that the tenure has ended
-// and none of them will have an effect.
+// submit passes changes to the writer; false means that the tenure is not
+// serving and none of them will have an effect.
 func (t *tenure) submit(changes ...*change) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,12 +110,12 @@
 		return false
 	}
 	t.pending = append(t.pending, changes...)
-	signal(t.wake)
+	signal(t.wakeWriter)
 	return true
 }
 
-// withdraw takes a change back that is in no transaction yet; it then has no
-// effect and is not settled.
+// withdraw removes a change that is in no transaction yet; the change then has
+// no effect and is not settled.
 func (t *tenure) withdraw(c *change) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,25 +130,25 @@
 	return true
 }
 
-// write is the shard's only writer. It returns when the tenure ends.
-func (t *tenure) write() {
+// writeLoop is the shard's only writer. It returns when the tenure ends.
+func (t *tenure) writeLoop() {
 	defer close(t.done)
-	defer t.abandon()
+	defer t.rejectPending()
 	renew := time.NewTimer(t.m.cfg.ShardLease / 3)
 	defer renew.Stop()
 	for {
-		due := false
+		renewalDue := false
 		select {
 		case <-t.ctx.Done():
 			return
 		case <-renew.C:
-			due = true
-		case <-t.wake:
+			renewalDue = true
+		case <-t.wakeWriter:
 			if !t.pause(t.m.cfg.FlushEvery) {
 				return
 			}
 		}
-		if !t.flush(due) {
+		if !t.flush(renewalDue) {
 			return
 		}
 		renew.Reset(t.m.cfg.ShardLease / 3)
@@ -166,9 +166,9 @@
 
 // flush commits one transaction of pending changes. A due renewal is written
 // even without changes; every transaction renews the shard's lease.
-func (t *tenure) flush(due bool) bool {
+func (t *tenure) flush(renewalDue bool) bool {
 	v, taken := t.collect()
-	if len(v.order) == 0 && len(v.expired) == 0 && !v.fence && !due && !v.release {
+	if len(v.order) == 0 && len(v.expired) == 0 && !v.fence && !renewalDue && !v.release {
 		t.settle(v, taken, nil)
 		return true
 	}
@@ -185,10 +185,10 @@
 		return true
 	case errors.Is(err, infra.ErrUnavailable):
 		t.m.count.flushesUnavailable.Add(1)
-		t.landed()
+		t.clearInFlight()
 		t.settle(v, taken, errNotApplied)
 		if v.release {
-			signal(t.wake)
+			signal(t.wakeWriter)
 		}
 		return t.pause(repeatPause)
 	}
@@ -196,29 +196,29 @@
 	return false
 }
 
-// landed notes that no transaction is under way any more.
-func (t *tenure) landed() {
+// clearInFlight notes that no transaction is in flight any more.
+func (t *tenure) clearInFlight() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inFlight = nil
 }
 
-// decided is a change with its verdict.
-type decided struct {
+// decision is a change with the error that its decision returned.
+type decision struct {
 	change *change
 	err    error
 }
 
 // collect decides pending changes until a transaction is full.
-func (t *tenure) collect() (*view, []decided) {
+func (t *tenure) collect() (*view, []decision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.trim()
+	t.offloadFinals()
 	v := &view{
 		t: t, jobs: make(map[structs.JobID]structs.Job), tallies: make(map[structs.Customer]tally),
 		submitted: t.submitted,
 	}
-	var taken []decided
+	var taken []decision
 	for len(t.pending) > 0 && len(v.order) < maxJobRows && v.bytes < maxTxnBytes {
 		c := t.pending[0]
 		t.pending = t.pending[1:]
@@ -231,11 +231,11 @@
 		if errors.Is(err, errAbsent) || errors.Is(err, errStale) {
 			v.fence = true
 		}
-		taken = append(taken, decided{c, err})
+		taken = append(taken, decision{c, err})
 	}
 	v.expired = t.expired[:min(len(t.expired), maxJobRows-len(v.order))]
 	if len(t.pending) > 0 || len(v.expired) < len(t.expired) {
-		signal(t.wake)
+		signal(t.wakeWriter)
 		return v, taken
 	}
 	t.pending = nil
@@ -244,7 +244,7 @@
 }
 
 // transaction builds the conditional write of v. The shard row is its first
-// condition and first put: that is the fence.
+// condition and first put, which fences a replaced owner.
 func (t *tenure) transaction(v *view) (infra.Txn, structs.ShardLease) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -283,14 +283,15 @@
 // the shard row. Errors: ErrUnavailable (no effect), errNotApplied (replaced,
 // no effect), or errUncertain (replaced or ended, effect unknown).
 //
-// Failure guarded against: the store applies the write and its answer is
-// lost, or applies it long after the attempt timed out. It shows as an unknown
+// Failure guarded against: the store applies the write and its answer is lost,
+// or applies it long after the attempt timed out. It shows as an unknown
 // outcome. The guard: nothing else is written to the shard until the outcome
 // is known, and each repeat is conditional on the same shard row version. One
 // attempt at most can take effect, and the first that does makes all earlier
-// ones impossible, however late they land. A refusal that names our own
-// operation is our success. A refusal that names another's after an unknown
-// attempt proves nothing: we may have been applied and replaced since.
+// ones impossible, however late they arrive. A conflict that names this
+// transaction's operation means that it was applied. A conflict that names
+// another operation after an unknown attempt proves nothing: the transaction
+// may have been applied and then replaced.
 func (t *tenure) commit(txn infra.Txn) ([]uint64, error) {
 	unknown := false
 	defer t.setStalled(false)
@@ -304,11 +305,11 @@
 		case err == nil:
 			return versions, nil
 		case errors.As(err, &conflict):
-			return t.refused(txn, conflict, unknown)
+			return t.resolveConflict(txn, conflict, unknown)
 		case errors.Is(err, infra.ErrUnavailable) && !unknown:
 			return nil, err
 		case errors.Is(err, infra.ErrInvalid):
-			t.m.broken("the table service refuses a transaction as invalid: %v", err)
+			t.m.reportViolation("the table service refuses a transaction as invalid: %v", err)
 			return nil, infra.ErrUnavailable
 		case !errors.Is(err, infra.ErrUnavailable) && !unknown:
 			unknown = true
@@ -321,13 +322,13 @@
 	}
 }
 
-func (t *tenure) refused(txn infra.Txn, conflict *infra.ConflictError, unknown bool) ([]uint64, error) {
+func (t *tenure) resolveConflict(txn infra.Txn, conflict *infra.ConflictError, unknown bool) ([]uint64, error) {
 	if conflict.Current.Op == txn.Op {
 		t.m.count.commitsFoundApplied.Add(1)
-		return t.readFence(txn)
+		return t.readShardVersion(txn)
 	}
 	if conflict.Current.Key != structs.ShardKey(t.shard) && !unknown {
-		t.m.broken("row %s was changed past the owner of its shard", conflict.Current.Key)
+		t.m.reportViolation("row %s was changed by a process that does not own its shard", conflict.Current.Key)
 	}
 	t.m.count.commitsFenced.Add(1)
 	t.stop(errReplaced)
@@ -337,10 +338,10 @@
 	return nil, errNotApplied
 }
 
-// readFence reads the version that a transaction with a lost answer gave the
-// shard row. The job rows' versions stay unknown: the next write of such a
-// row relies on the fence alone.
-func (t *tenure) readFence(txn infra.Txn) ([]uint64, error) {
+// readShardVersion reads the version that a transaction with a lost answer
+// gave the shard row. The job rows' versions stay unknown: the next write of
+// such a row relies on the shard row's condition alone.
+func (t *tenure) readShardVersion(txn infra.Txn) ([]uint64, error) {
 	for {
 		row, err := t.m.get(t.ctx, structs.ShardKey(t.shard))
 		if err == nil && row.Op == txn.Op {
@@ -379,10 +380,10 @@
 		if i+1 < len(versions) {
 			version = versions[i+1]
 		}
-		t.store(v.jobs[id], version)
-		// A claim that has ended reserves nothing, however it ended: its start
-		// may have been lost, so that no answer ever removes the reservation.
-		// It would show as a job that waits for ever beside free workers.
+		t.setConfirmed(v.jobs[id], version)
+		// A claim that has ended reserves nothing, however it ended: its start may
+		// have been lost, so that no answer ever removes the reservation. A job
+		// would then wait for ever beside free workers.
 		if v.jobs[id].State != structs.JobRunning {
 			t.m.reserved.remove(t, id)
 		}
@@ -392,11 +393,11 @@
 	if len(v.order)+len(v.expired) == 0 {
 		t.m.count.renewals.Add(1)
 	}
-	signal(t.plan)
+	signal(t.wakeWork)
 }
 
-// settle answers the changes of one transaction.
-func (t *tenure) settle(v *view, taken []decided, err error) {
+// settle passes the results of one transaction to its changes.
+func (t *tenure) settle(v *view, taken []decision, err error) {
 	for _, d := range taken {
 		if d.change.settle == nil {
 			continue
@@ -410,9 +411,9 @@
 	}
 }
 
-// abandon answers what is still pending when the tenure ends: it is in no
-// transaction, so it had no effect.
-func (t *tenure) abandon() {
+// rejectPending settles the changes that are pending when the tenure ends:
+// they are in no transaction, so they had no effect.
+func (t *tenure) rejectPending() {
 	t.mu.Lock()
 	pending := t.pending
 	t.pending = nil
