--- a/agent/runner/answers.go
+++ b/agent/runner/answers.go
@@ -7,29 +7,28 @@
 )
 
 const (
-	// firstAnswer is the most that the first tries of a call wait for an
-	// answer beside the call's own wait, leastAnswer the least. Each later try
-	// waits twice as long as the one before, up to laterAnswer. Starts and
-	// listings may be repeated safely.
-	firstAnswer = 150 * time.Millisecond
-	leastAnswer = 50 * time.Millisecond
-	laterAnswer = 500 * time.Millisecond
-	firstTries  = 3
-	// mostDoubled bounds the doublings; more lead beyond laterAnswer.
-	mostDoubled = 8
+	// maxFirstTimeout and minTimeout bound the timeout of the first tries of a
+	// call, which is added to the call's own wait. Each later try doubles the
+	// timeout, up to maxTimeout. Starts and listings can be repeated safely.
+	maxFirstTimeout = 150 * time.Millisecond
+	minTimeout      = 50 * time.Millisecond
+	maxTimeout      = 500 * time.Millisecond
+	firstTries      = 3
+	// maxDoublings bounds the doublings; more would exceed maxTimeout.
+	maxDoublings = 8
 )
 
-// answerTimes tells how long the worker's answers take. The zero value waits
-// for the most.
+// answerTimes estimates the worker's answer times. The zero value uses the
+// longest timeouts.
 //
 // A healthy worker answers within a few milliseconds, one on a slow machine
-// later. Where answers are lost, a time-out that fits the worker finds that out
-// sooner: ends that were told in a lost answer come with the next.
+// later. A timeout that fits the worker detects a lost answer sooner, and the
+// ends in that answer then arrive sooner with the next one.
 type answerTimes struct{ rtt.Estimator }
 
-// timeout is how long the given try of a call waits for its answer.
+// timeout returns the time that the given try of a call waits for its answer.
 func (a *answerTimes) timeout(try int) time.Duration {
-	first := a.Timeout(leastAnswer, firstAnswer)
-	doubled := min(max(0, try-firstTries), mostDoubled)
-	return min(laterAnswer, first<<doubled)
+	first := a.Timeout(minTimeout, maxFirstTimeout)
+	doublings := min(max(0, try-firstTries), maxDoublings)
+	return min(maxTimeout, first<<doublings)
 }
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// provenAfter is how long a run has to be on a worker that answers until
-	// the run is no longer taken for the cause of a crash.
+	// provenAfter is the time after which a run on a worker that answers is no
+	// longer suspected as the cause of a crash.
 	provenAfter = time.Second
-	// crashSoon is the longest time from the start of a run to the first call that
-	// fails, if the run has crashed its worker at once.
-	crashSoon = 250 * time.Millisecond
-	// downSoon is the longest time from a worker's last answer to the first call
-	// that is refused after a crash: a listing and its pause.
-	downSoon = time.Second
-	// namedRuns bounds the runs that one log line names.
-	namedRuns = 16
+	// promptCrashTime is the longest time from the start of a run that crashes its
+	// worker at once to the first failed call.
+	promptCrashTime = 250 * time.Millisecond
+	// promptDownTime is the longest time from a worker's last answer to the first
+	// refused call after a crash: a listing and its pause.
+	promptDownTime = time.Second
+	// maxLoggedRuns bounds the runs named in one log line.
+	maxLoggedRuns = 16
 )
 
-// formerLife is a life that is over.
-type formerLife struct {
+// formerIncarnation is an incarnation of the worker that has ended.
+type formerIncarnation struct {
 	id workload.WorkerID
-	// fresh are the runs that may have crashed it.
-	fresh []dispatch.FreshRun
-	// changed is the change that told of its end.
+	// freshRuns are the runs that may have crashed it.
+	freshRuns []dispatch.FreshRun
+	// changed is the version at which its end was recorded.
 	changed uint64
 }
 
-// fresh lists the runs that may have crashed the worker: they may have begun,
-// and the worker has not answered since they had been there for provenAfter. A
-// worker that has said that it ends has not crashed. The caller holds mu.
-func (l *life) fresh() []dispatch.FreshRun {
-	if l.left {
+// freshRuns lists the runs that may have crashed the worker: they may have
+// begun, and were not yet on the worker for provenAfter at its last answer. A
+// worker that announced its shutdown has not crashed. The caller holds mu.
+func (inc *incarnation) freshRuns() []dispatch.FreshRun {
+	if inc.leaving {
 		return nil
 	}
 	var list []dispatch.FreshRun
-	for id, x := range l.runs {
-		if x.mayHaveBegun() && !x.proven(l.answeredAt) {
-			begun := x.state == dispatch.RunPresent && !x.found && l.crashedThen()
-			list = append(list, dispatch.FreshRun{Run: id, Begun: begun, Soon: begun && l.failedAt > 0 && l.failedAt-x.presentAt <= crashSoon})
+	for id, x := range inc.runs {
+		if x.mayHaveBegun() && !x.proven(inc.answeredAt) {
+			begun := x.state == dispatch.RunPresent && !x.inherited && inc.downPromptly()
+			list = append(list, dispatch.FreshRun{Run: id, Begun: begun, Soon: begun && inc.failedAt > 0 && inc.failedAt-x.presentAt <= promptCrashTime})
 		}
 	}
 	return list
 }
 
-// crashedThen reports whether the worker has crashed, if it has, soon after it
-// last answered, and not later: after its last lease it runs nothing.
-func (l *life) crashedThen() bool {
-	return !l.lapsed || l.downAt > 0 && l.downAt-l.answeredAt <= downSoon
+// downPromptly reports whether a crash must have come soon after the worker's
+// last answer, and not after its last lease, when the worker runs nothing.
+func (inc *incarnation) downPromptly() bool {
+	return !inc.lapsed || inc.downAt > 0 && inc.downAt-inc.answeredAt <= promptDownTime
 }
 
-// noteFailed notes that a call was left without an answer, or refused by the
-// worker's address. The caller holds mu.
-func (r *Runner) noteFailed(l *life, err error) {
-	if l.failedAt == 0 && (errors.Is(err, workerctl.ErrUnknown) || errors.Is(err, workerctl.ErrDown)) {
-		l.failedAt = r.deps.Now()
+// recordFailure records the time of the first call without an answer and of
+// the first one refused by the worker's address. The caller holds mu.
+func (r *Runner) recordFailure(inc *incarnation, err error) {
+	if inc.failedAt == 0 && (errors.Is(err, workerctl.ErrUnknown) || errors.Is(err, workerctl.ErrDown)) {
+		inc.failedAt = r.deps.Now()
 	}
-	if l.downAt == 0 && errors.Is(err, workerctl.ErrDown) {
-		l.downAt = r.deps.Now()
+	if inc.downAt == 0 && errors.Is(err, workerctl.ErrDown) {
+		inc.downAt = r.deps.Now()
 	}
 }
 
-// mayHaveBegun reports whether the run is on the worker, or an order of it may
-// have been carried out.
+// mayHaveBegun reports whether the run is on the worker, or one of its orders
+// may have been carried out.
 func (x *run) mayHaveBegun() bool {
 	return x.state == dispatch.RunPresent || x.state == dispatch.RunPending && (x.calling || x.uncertain)
 }
@@ -79,42 +79,41 @@
 	return x.presentAt > 0 && answeredAt-x.presentAt >= provenAfter
 }
 
-// seenPresent notes that the run is on the worker. The members of a gang begin
-// to work when all are there, so a run of a gang counts from its first work.
-func (x *run) seenPresent(works bool, now time.Duration) {
+// recordPresent records that the run is on the worker. A gang starts working
+// when all its members are present, so its runs count from their first work.
+func (x *run) recordPresent(works bool, now time.Duration) {
 	if x.presentAt == 0 && (works || !x.gang) {
 		x.presentAt = now
 	}
 }
 
-// tellProven tells once that a run is proven of which the scheduler wants to
-// know. The caller holds mu.
-func (r *Runner) tellProven(l *life, x *run) {
-	if x.watched && !x.toldProven && x.proven(l.answeredAt) {
-		x.toldProven = true
-		x.changed = r.touch(true)
+// reportProven reports once that a watched run is proven. The caller holds mu.
+func (r *Runner) reportProven(inc *incarnation, x *run) {
+	if x.watched && !x.provenReported && x.proven(inc.answeredAt) {
+		x.provenReported = true
+		x.changed = r.recordChange(true)
 	}
 }
 
-// formerLives lists the lives that are over, and the runs that may have crashed
-// those of them, or the present one, of which the caller has not read since.
-func (r *Runner) formerLives(since uint64) (lives []workload.WorkerID, fresh []dispatch.FreshRun) {
+// formerIncarnations lists the incarnations that have ended, and the runs that
+// may have crashed an ended or lapsed one, if that changed after version since.
+func (r *Runner) formerIncarnations(since uint64) (ids []workload.WorkerID, freshRuns []dispatch.FreshRun) {
 	for _, f := range r.former {
-		lives = append(lives, f.id)
+		ids = append(ids, f.id)
 		if since == 0 || f.changed > since {
-			fresh = append(fresh, f.fresh...)
+			freshRuns = append(freshRuns, f.freshRuns...)
 		}
 	}
-	if l := r.life; l != nil && l.lapsed && (since == 0 || l.changed > since) {
-		fresh = append(fresh, l.fresh()...)
+	if inc := r.incarnation; inc != nil && inc.lapsed && (since == 0 || inc.changed > since) {
+		freshRuns = append(freshRuns, inc.freshRuns()...)
 	}
-	return lives, fresh
+	return ids, freshRuns
 }
 
-// named returns what a log line shows of runs.
-func named(runs []dispatch.FreshRun) []fmt.Stringer {
-	list := make([]fmt.Stringer, 0, namedRuns)
-	for _, r := range runs[:min(len(runs), namedRuns)] {
+// loggedRuns returns the runs to name in a log line.
+func loggedRuns(runs []dispatch.FreshRun) []fmt.Stringer {
+	list := make([]fmt.Stringer, 0, maxLoggedRuns)
+	for _, r := range runs[:min(len(runs), maxLoggedRuns)] {
 		list = append(list, r.Run)
 	}
 	return list
--- a/agent/runner/fresh_test.go
+++ b/agent/runner/fresh_test.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// A run that can't have crashed its worker is blamed, or one that can is not.
+// A run is suspected exactly if it may have crashed its worker.
 func TestFreshRunsAreThoseThatMayHaveCrashedTheWorker(t *testing.T) {
 	const answered = time.Hour
 	cases := []struct {
@@ -19,15 +19,15 @@
 		{"on the worker for a moment", run{state: dispatch.RunPresent, presentAt: answered - provenAfter/2}, true},
 		{"confirmed by the last answer", run{state: dispatch.RunPresent, presentAt: answered}, true},
 		{"on the worker for long", run{state: dispatch.RunPresent, presentAt: answered - provenAfter}, false},
-		{"its order is under way", run{calling: true}, true},
-		{"its order was left without an answer", run{uncertain: true}, true},
+		{"its order is in flight", run{calling: true}, true},
+		{"its order got no answer", run{uncertain: true}, true},
 		{"ordered and not sent", run{}, false},
 		{"void", run{state: dispatch.RunVoid, uncertain: true}, false},
 	}
 	for _, c := range cases {
 		id := workload.RunID{Run: 1}
-		l := &life{answeredAt: answered, runs: map[workload.RunID]*run{id: &c.run}}
-		if got := len(l.fresh()) == 1; got != c.want {
+		inc := &incarnation{answeredAt: answered, runs: map[workload.RunID]*run{id: &c.run}}
+		if got := len(inc.freshRuns()) == 1; got != c.want {
 			t.Errorf("%s: fresh %t", c.name, got)
 		}
 	}
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// holdWait bounds how long a listing waits for an end. It is also the
-	// age of the lease and of the rough figures, which cover half a second.
+	// holdWait bounds the wait of a listing for an end. The lease and the rough
+	// figures, which cover half a second, reach the same age.
 	holdWait = 500 * time.Millisecond
-	// lossyWait replaces holdWait for lossyFor after a listing without an answer.
-	lossyWait = 100 * time.Millisecond
-	lossyFor  = 3 * time.Second
-	// holdRetry is the pause after a listing that failed.
-	holdRetry = 100 * time.Millisecond
-	// endPause is how long the next listing waits for the ends of the last
-	// one to be stored: a listing with old ends answers at once.
+	// lossyWait replaces holdWait for lossyPeriod after an unanswered listing.
+	lossyWait   = 100 * time.Millisecond
+	lossyPeriod = 3 * time.Second
+	// holdRetryPause is the pause after a failed listing of a candidate, or
+	// after more than firstTries failures in a row.
+	holdRetryPause = 100 * time.Millisecond
+	// endPause bounds the wait for the ends of the last listing to be stored:
+	// the next listing would return at once with the same ends.
 	endPause = 40 * time.Millisecond
-	// idleWait bounds the wait for a first report.
+	// idleWait bounds the wait for a worker's first report.
 	idleWait = time.Second
 )
 
-// holdLoop lists and holds the worker's life, one call at a time.
+// holdLoop lists the worker and renews its lease, one call at a time.
 func (r *Runner) holdLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		candidate := r.candidate
-		current := r.life
+		current := r.incarnation
 		r.mu.Unlock()
 		switch {
 		case candidate != nil:
@@ -45,20 +46,20 @@
 	}
 }
 
-// pause waits for d or a kick.
+// pause waits for d, a signal on holdWake or the end of ctx.
 func (r *Runner) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.kick:
+	case <-r.holdWake:
 	case <-ctx.Done():
 	}
 }
 
-// tryCandidate asks the worker that has reported for its lists. Only an
-// answer to a call that names it proves that it lives: a report of an earlier
-// life may arrive after the next one has begun.
+// tryCandidate requests a listing from the worker that has reported. Only an
+// answer to a call that names its incarnation proves that this one runs: a
+// report of an earlier incarnation may arrive after the next has started.
 func (r *Runner) tryCandidate(ctx context.Context, w workload.Worker) {
 	sent := r.deps.Now()
 	listing, err := r.deps.Control.Hold(ctx, w.ID, workerctl.HoldOrder{Token: r.token})
@@ -71,56 +72,56 @@
 	if r.candidate == nil || r.candidate.ID != w.ID {
 		return
 	}
-	if r.life != nil {
-		r.endLife("another life has begun")
+	if r.incarnation != nil {
+		r.endIncarnation("a new incarnation has started")
 	}
 	r.counters.Lives++
-	r.life = &life{id: w.ID, worker: *r.candidate, sequence: r.candidateSeq, reportedAt: r.candidateAt, runs: map[workload.RunID]*run{}}
+	r.incarnation = &incarnation{id: w.ID, worker: *r.candidate, sequence: r.candidateSeq, reportedAt: r.candidateAt, runs: map[workload.RunID]*run{}}
 	r.candidate = nil
-	r.life.changed = r.touch(true)
+	r.incarnation.changed = r.recordChange(true)
 	r.deps.Log.Info().Str("worker", string(w.ID)).Int("running", len(listing.Running)).Int("ended", len(listing.Ended)).
 		Uint64("token", r.token).Msg("worker found")
 	if r.deps.Found != nil && r.candidateSeq > 0 {
-		go r.deps.Found(ctx, r.life.worker)
+		go r.deps.Found(ctx, r.incarnation.worker)
 	}
-	r.life.stale = !r.reported(r.life)
-	r.answered(r.life)
-	r.apply(r.life, listing, sent)
+	r.incarnation.stale = !r.reportedRecently(r.incarnation)
+	r.recordAnswer(r.incarnation)
+	r.applyListing(r.incarnation, listing, sent)
 }
 
-// answered notes that the worker has answered a call.
-func (r *Runner) answered(l *life) {
-	l.answeredAt, l.failedAt, l.downAt = r.deps.Now(), 0, 0
-	failures := l.failures
-	l.failures = 0
-	if l.silent {
-		l.silent, l.lapsed = false, false
-		l.changed = r.touch(true)
+// recordAnswer records that the worker has answered a call.
+func (r *Runner) recordAnswer(inc *incarnation) {
+	inc.answeredAt, inc.failedAt, inc.downAt = r.deps.Now(), 0, 0
+	failures := inc.failures
+	inc.failures = 0
+	if inc.unresponsive {
+		inc.unresponsive, inc.lapsed = false, false
+		inc.changed = r.recordChange(true)
 	}
 	if failures > 0 {
-		r.deps.Log.Warn().Str("worker", string(l.id)).Int("failures", failures).Msg("worker answers again")
+		r.deps.Log.Warn().Str("worker", string(inc.id)).Int("failures", failures).Msg("worker answers again")
 	}
 }
 
-// checkSilent notes that the worker does not answer, so that nothing more is
-// placed there, and that its last lease is over: whether it is gone or only
-// out of reach, nothing runs there any more.
-func (r *Runner) checkSilent(l *life) {
+// checkUnresponsive records that the worker does not answer, so that nothing
+// more is placed there, and that its last lease has expired: whether the worker
+// is gone or only unreachable, nothing runs there any more.
+func (r *Runner) checkUnresponsive(inc *incarnation) {
 	now := r.deps.Now()
-	if now-l.answeredAt <= silentAfter {
+	if now-inc.answeredAt <= unresponsiveAfter {
 		return
 	}
-	if !l.silent {
-		l.silent = true
-		l.changed = r.touch(true)
+	if !inc.unresponsive {
+		inc.unresponsive = true
+		inc.changed = r.recordChange(true)
 	}
-	if l.lapsed || now <= l.leaseEnd {
+	if inc.lapsed || now <= inc.leaseEnd {
 		return
 	}
-	l.lapsed = true
-	l.changed = r.touch(true)
-	r.deps.Log.Warn().Str("worker", string(l.id)).Dur("silent", now-l.answeredAt).Int("runs", len(l.runs)).
-		Stringers("fresh", named(l.fresh())).Msg("worker silent beyond its last lease")
+	inc.lapsed = true
+	inc.changed = r.recordChange(true)
+	r.deps.Log.Warn().Str("worker", string(inc.id)).Dur("silent", now-inc.answeredAt).Int("runs", len(inc.runs)).
+		Stringers("fresh", loggedRuns(inc.freshRuns())).Msg("worker unresponsive beyond its last lease")
 }
 
 func (r *Runner) candidateFailed(ctx context.Context, id workload.WorkerID, err error) {
@@ -131,97 +132,98 @@
 			r.candidate = nil
 		}
 		r.mu.Unlock()
-		r.deps.Log.Info().Err(err).Str("worker", string(id)).Msg("report of a worker that does not answer to its name")
+		r.deps.Log.Info().Err(err).Str("worker", string(id)).Msg("reported worker is gone or refused the call")
 		return
 	}
-	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("worker reports but can't be listed")
-	r.pause(ctx, holdRetry)
+	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("listing of the reported worker failed")
+	r.pause(ctx, holdRetryPause)
 }
 
-// endLife notes that the life is over; nothing of it runs any more.
-func (r *Runner) endLife(why string) {
-	l := r.life
-	fresh := l.fresh()
-	r.deps.Log.Info().Str("worker", string(l.id)).Int("runs", len(l.runs)).Stringers("fresh", named(fresh)).Str("why", why).Msg("worker gone")
-	r.former = append(r.former, formerLife{id: l.id, fresh: fresh, changed: r.version + 1})
+// endIncarnation records that the current incarnation has ended; it runs
+// nothing any more.
+func (r *Runner) endIncarnation(why string) {
+	inc := r.incarnation
+	freshRuns := inc.freshRuns()
+	r.deps.Log.Info().Str("worker", string(inc.id)).Int("runs", len(inc.runs)).Stringers("fresh", loggedRuns(freshRuns)).Str("why", why).Msg("worker gone")
+	r.former = append(r.former, formerIncarnation{id: inc.id, freshRuns: freshRuns, changed: r.version + 1})
 	if len(r.former) > maxFormer {
 		r.former = r.former[1:]
 	}
-	r.life = nil
-	r.touch(true)
+	r.incarnation = nil
+	r.recordChange(true)
 }
 
-// listingWait is how long a listing of the worker may wait for an end: not
-// longer than until the next sample, which may tell whether filling work
-// presses on a serving task, before much harm is done.
+// listingWait returns the time that a listing may wait for an end: at most the
+// time between two samples, so that a sample can show early that filling work
+// presses on a serving task.
 //
-// Failure guarded against: a worker whose answers are lost now and then. A
-// listing without an answer is given up only after its whole wait, and the ends
-// that it would have told come that much later; of a step of tens of tasks one
-// is nearly always among them. While answers are lost listings wait less.
-func (r *Runner) listingWait(l *life) time.Duration {
+// Failure guarded against: some of the worker's answers are lost. A listing
+// without an answer times out only after its whole wait, which delays the ends
+// in that answer; a step of tens of tasks nearly always has an end among them.
+// While answers are lost, listings therefore wait less.
+func (r *Runner) listingWait(inc *incarnation) time.Duration {
 	longest := holdWait
-	if l.unansweredAt > 0 && r.deps.Now()-l.unansweredAt < lossyFor {
+	if inc.unansweredAt > 0 && r.deps.Now()-inc.unansweredAt < lossyPeriod {
 		longest = lossyWait
 	}
-	every := r.sampleTime(l)
-	if every <= 0 {
+	interval := r.currentSampleInterval(inc)
+	if interval <= 0 {
 		return longest
 	}
-	return min(longest, every)
+	return min(longest, interval)
 }
 
-func (r *Runner) holdOnce(ctx context.Context, l *life) {
+func (r *Runner) holdOnce(ctx context.Context, inc *incarnation) {
 	r.mu.Lock()
-	r.checkReports(l)
-	order := workerctl.HoldOrder{Token: r.token, Lease: r.leaseLimit(l), Seen: l.seen, Wait: r.listingWait(l)}
+	r.checkReports(inc)
+	order := workerctl.HoldOrder{Token: r.token, Lease: r.leaseLimit(inc), Seen: inc.storedEnd, Wait: r.listingWait(inc)}
 	r.counters.Holds++
-	if l.failures > 0 {
-		// Ends may have come since the call that was lost.
+	if inc.failures > 0 {
+		// Ends may have come since the lost call.
 		order.Wait = 0
 	}
-	answer, cancel := context.WithTimeout(ctx, order.Wait+l.answers.timeout(l.failures+1))
+	callCtx, cancel := context.WithTimeout(ctx, order.Wait+inc.answers.timeout(inc.failures+1))
 	r.mu.Unlock()
 	defer cancel()
 	sent := r.deps.Now()
-	listing, err := r.deps.Control.Hold(answer, l.id, order)
+	listing, err := r.deps.Control.Hold(callCtx, inc.id, order)
 	if err != nil {
-		r.holdFailed(ctx, l, err)
+		r.holdFailed(ctx, inc, err)
 		return
 	}
 	r.mu.Lock()
 	if order.Wait == 0 {
-		l.answers.Observe(r.deps.Now() - sent)
+		inc.answers.Observe(r.deps.Now() - sent)
 	}
-	if r.life == l {
-		r.answered(l)
-		r.apply(l, listing, sent)
+	if r.incarnation == inc {
+		r.recordAnswer(inc)
+		r.applyListing(inc, listing, sent)
 	}
-	waiting := len(l.ends) > 0
+	unstored := len(inc.ends) > 0
 	r.mu.Unlock()
-	if waiting {
+	if unstored {
 		r.pause(ctx, endPause)
 	}
 }
 
-func (r *Runner) holdFailed(ctx context.Context, l *life, err error) {
+func (r *Runner) holdFailed(ctx context.Context, inc *incarnation, err error) {
 	r.mu.Lock()
 	r.counters.HoldErrors++
-	l.failures++
-	l.unansweredAt = r.deps.Now()
-	r.noteFailed(l, err)
-	failures := l.failures
+	inc.failures++
+	inc.unansweredAt = r.deps.Now()
+	r.recordFailure(inc, err)
+	failures := inc.failures
 	first := failures == 1
 	var refused *workerctl.RefusedError
 	gone := errors.Is(err, workerctl.ErrGone)
 	fenced := errors.As(err, &refused)
 	switch {
-	case gone && r.life == l:
-		r.endLife("it answers that it is another life")
-	case r.life == l && l.left && l.downAt > 0:
-		r.endLife("it has said that it ends, and nothing listens there")
-	case r.life == l:
-		r.checkSilent(l)
+	case gone && r.incarnation == inc:
+		r.endIncarnation("the worker answered as another incarnation")
+	case r.incarnation == inc && inc.leaving && inc.downAt > 0:
+		r.endIncarnation("the worker announced its shutdown and nothing listens at its address")
+	case r.incarnation == inc:
+		r.checkUnresponsive(inc)
 	}
 	r.mu.Unlock()
 	if fenced {
@@ -231,67 +233,67 @@
 		return
 	}
 	if first {
-		r.deps.Log.Warn().Err(err).Str("worker", string(l.id)).Msg("worker does not answer")
+		r.deps.Log.Warn().Err(err).Str("worker", string(inc.id)).Msg("worker does not answer")
 	}
 	if failures <= firstTries {
 		r.pause(ctx, retryPause)
 		return
 	}
-	r.pause(ctx, holdRetry)
+	r.pause(ctx, holdRetryPause)
 }
 
-// apply takes a listing that was asked for at sent.
-func (r *Runner) apply(l *life, listing workerctl.Listing, sent time.Duration) {
-	r.applyEnds(l, listing.Ended)
+// applyListing applies a listing that was requested at sent.
+func (r *Runner) applyListing(inc *incarnation, listing workerctl.Listing, sent time.Duration) {
+	r.applyEnds(inc, listing.Ended)
 	// Answers on different connections may overtake each other: an older
 	// listing must not hide a run that a newer answer has confirmed.
-	if listing.Now < l.clock.now {
+	if listing.Now < inc.clock.now {
 		return
 	}
-	l.clock = clockReading{now: listing.Now, at: r.deps.Now()}
+	inc.clock = clockReading{now: listing.Now, at: r.deps.Now()}
 	present := make(map[workload.RunID]bool, len(listing.Running))
 	for _, s := range listing.Running {
 		present[s.Run] = true
-		r.applyRunning(l, s)
+		r.applyRunning(inc, s)
 	}
-	for id, x := range l.runs {
+	for id, x := range inc.runs {
 		if !present[id] {
-			r.applyAbsent(l, x, sent)
+			r.applyAbsent(inc, x, sent)
 		}
 	}
-	r.takeSample(l)
-	if !l.listed {
-		l.listed = true
-		l.changed = r.touch(true)
+	r.takeSample(inc)
+	if !inc.listed {
+		inc.listed = true
+		inc.changed = r.recordChange(true)
 	}
 }
 
-func (r *Runner) applyEnds(l *life, ends []workload.End) {
+func (r *Runner) applyEnds(inc *incarnation, ends []workload.End) {
 	sort.Slice(ends, func(i, j int) bool { return ends[i].Number < ends[j].Number })
 	for _, e := range ends {
-		if e.Number <= l.got {
+		if e.Number <= inc.readEnd {
 			continue
 		}
-		l.got = e.Number
-		if x := l.runs[e.Run]; x != nil && x.workedAt > 0 {
-			x.account(r.deps.Now())
+		inc.readEnd = e.Number
+		if x := inc.runs[e.Run]; x != nil && x.workedAt > 0 {
+			x.accountWork(r.deps.Now())
 			e.Worked = x.worked
 		}
-		delete(l.runs, e.Run)
-		l.ends = append(l.ends, endEntry{end: e, changed: r.touch(true)})
+		delete(inc.runs, e.Run)
+		inc.ends = append(inc.ends, endEntry{end: e, changed: r.recordChange(true)})
 		r.counters.Ends++
 		r.deps.Log.Info().Stringer("run", e.Run).Str("how", string(e.Kind)).Uint64("number", e.Number).
 			Bool("checkpoint", e.Checkpoint != "").Msg("run ended")
 	}
 }
 
-func (r *Runner) applyRunning(l *life, s workerctl.RunStatus) {
-	x, ok := l.runs[s.Run]
+func (r *Runner) applyRunning(inc *incarnation, s workerctl.RunStatus) {
+	x, ok := inc.runs[s.Run]
 	if !ok {
-		// A run of an earlier process of this agent: it takes room that is
-		// not known until the scheduler repeats its order.
-		x = &run{id: s.Run, found: true}
-		l.runs[s.Run] = x
+		// A run of an earlier process of this agent: its size is unknown
+		// until the scheduler repeats its order.
+		x = &run{id: s.Run, inherited: true}
+		inc.runs[s.Run] = x
 		r.deps.Log.Info().Stringer("run", s.Run).Msg("run found on the worker")
 	}
 	if x.state != dispatch.RunPresent {
@@ -300,47 +302,46 @@
 		if ok {
 			x.workedAt = x.confirmedAt
 		}
-		x.changed = r.touch(!ok)
+		x.changed = r.recordChange(!ok)
 	}
 	if s.Checkpoint != "" && s.Checkpoint != x.checkpoint {
 		x.checkpoint = s.Checkpoint
-		x.changed = r.touch(false)
+		x.changed = r.recordChange(false)
 	}
 	x.progress = s.Progress
-	x.seenPresent(s.Progress > 0 || s.Rough > 0, r.deps.Now())
-	r.tellProven(l, x)
+	x.recordPresent(s.Progress > 0 || s.Rough > 0, r.deps.Now())
+	r.reportProven(inc, x)
 	if !x.slow && x.straggles(r.deps.Now()) {
 		x.slow = true
-		x.changed = r.touch(true)
+		x.changed = r.recordChange(true)
 		r.deps.Log.Info().Stringer("run", x.id).Int("progress", x.progress).Int("before", x.firstProgress).
-			Dur("watched", r.deps.Now()-x.firstAt).Dur("estimate", x.estimate).Msg("run gets on slowly")
+			Dur("watched", r.deps.Now()-x.firstAt).Dur("estimate", x.estimate).Msg("run progresses slowly")
 	}
 	since := x.overSince
-	x.measure(s.Rough, r.deps.Now())
-	r.tellOver(l, x, since)
+	x.updateRough(s.Rough, r.deps.Now())
+	r.logOver(inc, x, since)
 }
 
-// applyAbsent takes note that a listing lacks a run.
-func (r *Runner) applyAbsent(l *life, x *run, sent time.Duration) {
+// applyAbsent handles a run that is missing from a listing requested at sent.
+func (r *Runner) applyAbsent(inc *incarnation, x *run, sent time.Duration) {
 	if x.state == dispatch.RunVoid {
 		return
 	}
 	settled := x.state == dispatch.RunPresent && x.confirmedAt < sent
 	if x.stopping {
-		// A stop makes every order of the run void, also one that is still
-		// on its way; before the stop is answered, one may yet be carried
-		// out.
+		// A stop voids every order of the run, also one still in transit.
+		// Until the stop is answered, such an order may be carried out.
 		settled = x.stopped && x.confirmedAt < sent
 	}
 	if settled {
-		r.makeVoid(l, x, "not on the worker")
+		r.makeVoid(inc, x, "not on the worker")
 	}
 }
 
-// makeVoid keeps the run until the scheduler has read that it is void.
-func (r *Runner) makeVoid(_ *life, x *run, reason string) {
+// makeVoid marks the run void and keeps it until the scheduler has read that.
+func (r *Runner) makeVoid(_ *incarnation, x *run, reason string) {
 	x.state = dispatch.RunVoid
 	x.reason = reason
-	x.changed = r.touch(true)
+	x.changed = r.recordChange(true)
 	r.deps.Log.Info().Stringer("run", x.id).Str("why", reason).Msg("run void")
 }
--- a/agent/runner/orders.go
+++ b/agent/runner/orders.go
@@ -13,28 +13,28 @@
 const (
 	// retryPause is the pause before an order is repeated.
 	retryPause = 30 * time.Millisecond
-	// notDoneTries is how often a start is repeated at a worker that turns
-	// it away: it may be unhealthy, and another worker serves better.
-	notDoneTries = 3
-	// orderFresh is the age beyond which an order is refused, counted from
-	// this agent's word that it answers to: an order that the network held up
-	// may be about a job that was cancelled since. The scheduler hears from
-	// each agent about once a second.
-	orderFresh = 2 * time.Second
-	// settleTime bounds the repeats of a start without an answer. Then it is
-	// stopped, which voids it.
-	settleTime = 2500 * time.Millisecond
+	// maxNotDoneTries bounds the tries of a start that the worker does not
+	// carry out: it may be unhealthy, and another worker serves better.
+	maxNotDoneTries = 3
+	// maxOrderAge is the age above which an order is refused, counted from
+	// this agent's message that it echoes: the job of an order that the network
+	// delayed may have been cancelled since. The scheduler receives a message
+	// from each agent about once a second.
+	maxOrderAge = 2 * time.Second
+	// startTimeout bounds the time for which a start without an answer is
+	// repeated. Then the run is stopped, which voids the start.
+	startTimeout = 2500 * time.Millisecond
 )
 
-// Order takes the scheduler's orders. What becomes of them is told by Watch.
+// Order accepts the scheduler's orders. Watch reports their outcomes.
 func (r *Runner) Order(ctx context.Context, args dispatch.OrderArgs) dispatch.OrderReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	refused := r.accept(args.Claim)
-	if refused == "" && (r.life == nil || r.life.worker.ID != args.Worker) {
+	refused := r.acceptClaim(args.Claim)
+	if refused == "" && (r.incarnation == nil || r.incarnation.worker.ID != args.Worker) {
 		refused = dispatch.RefusedWorker
 	}
-	if now := r.deps.Now(); refused == "" && (r.grantEnd <= now || now-args.Echo > orderFresh) {
+	if now := r.deps.Now(); refused == "" && (r.grantEnd <= now || now-args.Echo > maxOrderAge) {
 		refused = dispatch.RefusedGrant
 	}
 	if refused != "" {
@@ -42,19 +42,19 @@
 			Int("starts", len(args.Starts)).Int("stops", len(args.Stops)).Msg("orders refused")
 		return dispatch.OrderReply{Refused: refused}
 	}
-	r.forget(r.life, args.Seen)
+	r.dropEnds(r.incarnation, args.Seen)
 	for _, id := range args.Stops {
-		r.orderStop(ctx, r.life, id)
+		r.orderStop(ctx, r.incarnation, id)
 	}
 	for _, o := range args.Starts {
-		r.orderStart(ctx, r.life, o, args.Payloads[o.Run.Task.Job])
+		r.orderStart(ctx, r.incarnation, o, args.Payloads[o.Run.Task.Job])
 	}
 	return dispatch.OrderReply{}
 }
 
-// accept takes note of a scheduler's claim. An older scheduler's orders are
-// refused from the moment that a newer one has spoken.
-func (r *Runner) accept(c dispatch.Claim) dispatch.Refusal {
+// acceptClaim records a scheduler's claim or refuses it. After the claim of a
+// newer scheduler, those of older ones are refused.
+func (r *Runner) acceptClaim(c dispatch.Claim) dispatch.Refusal {
 	if c.Epoch < r.epoch {
 		return dispatch.RefusedEpoch
 	}
@@ -72,8 +72,8 @@
 	return ""
 }
 
-// acceptDrain takes note of whether the data centre is drained. Calls overtake
-// each other, so an older word never replaces a newer one.
+// acceptDrain records whether the data centre is drained. Calls overtake each
+// other, so an older version never replaces a newer one.
 func (r *Runner) acceptDrain(c dispatch.Claim) {
 	if c.DrainsVersion <= r.drainsVersion {
 		return
@@ -81,37 +81,37 @@
 	r.drainsVersion = c.DrainsVersion
 	if c.Drained != r.drained {
 		r.drained = c.Drained
-		r.deps.Log.Info().Bool("drained", c.Drained).Uint64("version", c.DrainsVersion).Msg("data centre")
+		r.deps.Log.Info().Bool("drained", c.Drained).Uint64("version", c.DrainsVersion).Msg("drain state of the data centre changed")
 	}
 }
 
-func (r *Runner) orderStart(ctx context.Context, l *life, o dispatch.StartOrder, payload string) {
-	if x, ok := l.runs[o.Run]; ok {
+func (r *Runner) orderStart(ctx context.Context, inc *incarnation, o dispatch.StartOrder, payload string) {
+	if x, ok := inc.runs[o.Run]; ok {
 		if x.state != dispatch.RunVoid {
-			x.size(o)
+			x.setSize(o)
 		}
 		return
 	}
-	for _, e := range l.ends {
+	for _, e := range inc.ends {
 		if e.end.Run == o.Run {
 			return
 		}
 	}
 	x := &run{id: o.Run, payload: payload, checkpoint: o.Checkpoint, ticket: o.Ticket}
-	x.size(o)
-	l.runs[o.Run] = x
-	if why := r.guard(l, x); why != "" {
+	x.setSize(o)
+	inc.runs[o.Run] = x
+	if why := r.startRefusal(inc, x); why != "" {
 		r.counters.Refused++
-		r.makeVoid(l, x, why)
+		r.makeVoid(inc, x, why)
 		return
 	}
 	r.counters.Starts++
 	r.deps.Log.Info().Stringer("run", o.Run).Uint64("epoch", r.epoch).Int("cpu", o.Need.CPU).Int("memory", o.Need.Memory).
 		Str("image", o.Image).Bool("fills", o.Fills).Bool("serves", o.TailTarget > 0).Bool("checkpoint", o.Checkpoint != "").Msg("start")
-	go r.start(ctx, l, x)
+	go r.start(ctx, inc, x)
 }
 
-func (x *run) size(o dispatch.StartOrder) {
+func (x *run) setSize(o dispatch.StartOrder) {
 	x.need = o.Need
 	x.fills = o.Fills
 	x.image = o.Image
@@ -122,115 +122,115 @@
 	x.sized = true
 }
 
-// guard is the last word on the worker's room: what runs, what was ordered
-// and what is being stopped all count until an end is listed. x is already
-// among the runs.
-func (r *Runner) guard(l *life, x *run) string {
-	if l.worker.Draining || l.left {
+// startRefusal returns why x must not start, or "". This is the final check of
+// the worker's capacity: runs that are present, ordered or being stopped all
+// count until an end is listed. x is already among the runs.
+func (r *Runner) startRefusal(inc *incarnation, x *run) string {
+	if inc.worker.Draining || inc.leaving {
 		return "the worker is leaving"
 	}
 	if r.drained {
 		return dispatch.ReasonDrained
 	}
-	if l.silent || r.deps.Now()-l.answeredAt > silentAfter || x.watched && l.failures > 0 {
+	if inc.unresponsive || r.deps.Now()-inc.answeredAt > unresponsiveAfter || x.watched && inc.failures > 0 {
 		return "the worker does not answer"
 	}
-	if !l.listed {
+	if !inc.listed {
 		return "the worker was not listed yet"
 	}
-	return r.lacksRoom(l)
+	return r.capacityRefusal(inc)
 }
 
 // start repeats one order until its outcome is known.
-func (r *Runner) start(ctx context.Context, l *life, x *run) {
+func (r *Runner) start(ctx context.Context, inc *incarnation, x *run) {
 	begun := r.deps.Now()
 	for try := 1; ctx.Err() == nil; try++ {
 		r.mu.Lock()
-		if r.life != l || x.state != dispatch.RunPending || x.stopping {
+		if r.incarnation != inc || x.state != dispatch.RunPending || x.stopping {
 			r.mu.Unlock()
 			return
 		}
-		lease := r.leaseLimit(l)
-		patience := l.answers.timeout(try)
-		reason := r.hinders(l, lease, begun)
+		lease := r.leaseLimit(inc)
+		answerTimeout := inc.answers.timeout(try)
+		reason := r.sendRefusal(inc, lease, begun)
 		x.calling = reason == ""
 		r.mu.Unlock()
 		if reason != "" {
-			r.giveUp(ctx, l, x, reason)
+			r.abandonStart(ctx, inc, x, reason)
 			return
 		}
-		answer, cancel := context.WithTimeout(ctx, patience)
+		callCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 		sent := r.deps.Now()
-		now, err := r.deps.Control.Start(answer, l.id, workerctl.StartOrder{
+		now, err := r.deps.Control.Start(callCtx, inc.id, workerctl.StartOrder{
 			Run: x.id, Payload: x.payload, Lease: lease, Token: r.token, Checkpoint: x.checkpoint, Ticket: x.ticket,
 		})
 		cancel()
 		if err == nil {
-			r.observeAnswer(l, r.deps.Now()-sent)
+			r.observeAnswer(inc, r.deps.Now()-sent)
 		}
-		done, reason := r.startAnswered(l, x, now, err)
+		done, reason := r.applyStartAnswer(inc, x, now, err)
 		if done {
 			return
 		}
-		if reason != "" || errors.Is(err, workerctl.ErrNotDone) && try >= notDoneTries {
+		if reason != "" || errors.Is(err, workerctl.ErrNotDone) && try >= maxNotDoneTries {
 			if reason == "" {
 				reason = "the worker turns starts away"
 			}
-			r.giveUp(ctx, l, x, reason)
+			r.abandonStart(ctx, inc, x, reason)
 			return
 		}
 		time.Sleep(retryPause)
 	}
 }
 
-// hinders says why a start that was first sent at begun must not be sent again
-// under lease, or is empty. The worker may have shrunk since. The caller holds
-// mu.
-func (r *Runner) hinders(l *life, lease workerctl.Clock, begun time.Duration) string {
+// sendRefusal returns why a start whose first try was at begun must not be sent
+// under lease, or "". The worker's capacity may have shrunk since. The caller
+// holds mu.
+func (r *Runner) sendRefusal(inc *incarnation, lease workerctl.Clock, begun time.Duration) string {
 	switch {
 	case r.drained:
 		return dispatch.ReasonDrained
-	case lease == 0 || r.deps.Now()-begun > settleTime:
+	case lease == 0 || r.deps.Now()-begun > startTimeout:
 		return "no answer within the grant"
 	}
-	return r.lacksRoom(l)
+	return r.capacityRefusal(inc)
 }
 
-// observeAnswer takes the time of an answer.
-func (r *Runner) observeAnswer(l *life, took time.Duration) {
+// observeAnswer records the time that an answer took.
+func (r *Runner) observeAnswer(inc *incarnation, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l.answers.Observe(took)
+	inc.answers.Observe(took)
 }
 
-// startAnswered takes the answer to a start. done says that nothing is left
-// to do; else a reason is the worker's final refusal.
-func (r *Runner) startAnswered(l *life, x *run, now workerctl.Clock, err error) (done bool, reason string) {
+// applyStartAnswer applies the answer to a start. If done is false, a reason is
+// the worker's final refusal, and without a reason the start is to be repeated.
+func (r *Runner) applyStartAnswer(inc *incarnation, x *run, now workerctl.Clock, err error) (done bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.calling = false
 	if errors.Is(err, workerctl.ErrUnknown) {
 		x.uncertain = true
 	}
-	if r.life != l {
+	if r.incarnation != inc {
 		return true, ""
 	}
-	r.noteFailed(l, err)
+	r.recordFailure(inc, err)
 	var refused *workerctl.RefusedError
 	switch {
 	case err == nil:
-		r.answered(l)
-		r.confirm(l, x, now)
+		r.recordAnswer(inc)
+		r.confirmRun(inc, x, now)
 		return true, ""
 	case errors.Is(err, workerctl.ErrGone):
-		r.endLife("it answers that it is another life")
+		r.endIncarnation("the worker answered as another incarnation")
 		return true, ""
 	case errors.As(err, &refused):
-		// "Old" after an order without an answer, or after an earlier agent
-		// process: the run may have been there and ended. The next listing
-		// tells.
+		// After an order without an answer, or one of an earlier agent
+		// process, the run may have been there and ended. The next listing
+		// shows whether it did.
 		if refused.Reason == workerctl.RefusedOld {
-			r.confirm(l, x, now)
+			r.confirmRun(inc, x, now)
 			return true, ""
 		}
 		return false, "the worker refused: " + string(refused.Reason)
@@ -239,55 +239,55 @@
 	return false, ""
 }
 
-func (r *Runner) confirm(l *life, x *run, now workerctl.Clock) {
+func (r *Runner) confirmRun(inc *incarnation, x *run, now workerctl.Clock) {
 	if x.state != dispatch.RunPending {
 		return
 	}
 	x.state = dispatch.RunPresent
 	x.confirmedAt = r.deps.Now()
-	x.seenPresent(false, x.confirmedAt)
+	x.recordPresent(false, x.confirmedAt)
 	x.workedAt = x.confirmedAt
-	x.changed = r.touch(false)
-	if now > l.clock.now {
-		l.clock = clockReading{now: now, at: x.confirmedAt}
+	x.changed = r.recordChange(false)
+	if now > inc.clock.now {
+		inc.clock = clockReading{now: now, at: x.confirmedAt}
 	}
 }
 
-// giveUp makes a start void: at once if no order of it can still be carried
-// out, else by a stop.
-func (r *Runner) giveUp(ctx context.Context, l *life, x *run, reason string) {
+// abandonStart voids a start: at once if none of its orders can still be
+// carried out, else by a stop.
+func (r *Runner) abandonStart(ctx context.Context, inc *incarnation, x *run, reason string) {
 	r.mu.Lock()
-	if r.life != l || x.state != dispatch.RunPending {
+	if r.incarnation != inc || x.state != dispatch.RunPending {
 		r.mu.Unlock()
 		return
 	}
 	r.counters.Refused++
 	if !x.uncertain {
-		r.makeVoid(l, x, reason)
+		r.makeVoid(inc, x, reason)
 		r.mu.Unlock()
 		return
 	}
-	begin := !x.stopping
+	needsStop := !x.stopping
 	x.stopping = true
 	x.reason = reason
 	r.mu.Unlock()
-	if begin {
-		r.stop(ctx, l, x)
+	if needsStop {
+		r.stop(ctx, inc, x)
 	}
 }
 
-func (r *Runner) orderStop(ctx context.Context, l *life, id workload.RunID) {
-	x, ok := l.runs[id]
+func (r *Runner) orderStop(ctx context.Context, inc *incarnation, id workload.RunID) {
+	x, ok := inc.runs[id]
 	if !ok {
-		// Nothing is known of the run: an order of an earlier process may
-		// still arrive, and the stop voids it.
-		for _, e := range l.ends {
+		// The run is unknown: an order of an earlier process may still
+		// arrive, and the stop voids that order.
+		for _, e := range inc.ends {
 			if e.end.Run == id {
 				return
 			}
 		}
 		x = &run{id: id, sized: true, uncertain: true}
-		l.runs[id] = x
+		inc.runs[id] = x
 	}
 	if x.stopping || x.state == dispatch.RunVoid {
 		return
@@ -295,33 +295,33 @@
 	x.stopping = true
 	r.counters.Stops++
 	r.deps.Log.Info().Stringer("run", id).Uint64("epoch", r.epoch).Msg("stop")
-	go r.stop(ctx, l, x)
+	go r.stop(ctx, inc, x)
 }
 
-// stop repeats a stop until it is answered. The listing after that shows the
-// run's end, or that it never was there.
-func (r *Runner) stop(ctx context.Context, l *life, x *run) {
+// stop repeats a stop until it is answered. The next listing shows the run's
+// end, or that the run was never there.
+func (r *Runner) stop(ctx context.Context, inc *incarnation, x *run) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		current := r.life == l && l.runs[x.id] == x
+		current := r.incarnation == inc && inc.runs[x.id] == x
 		r.mu.Unlock()
 		if !current {
 			return
 		}
-		_, err := r.deps.Control.Stop(ctx, l.id, x.id, r.token)
+		_, err := r.deps.Control.Stop(ctx, inc.id, x.id, r.token)
 		var refused *workerctl.RefusedError
 		if err == nil || errors.As(err, &refused) {
 			r.mu.Lock()
 			x.stopped = true
 			x.confirmedAt = r.deps.Now()
 			r.mu.Unlock()
-			r.kickHold()
+			r.wakeHold()
 			return
 		}
 		if errors.Is(err, workerctl.ErrGone) {
 			r.mu.Lock()
-			if r.life == l {
-				r.endLife("it answers that it is another life")
+			if r.incarnation == inc {
+				r.endIncarnation("the worker answered as another incarnation")
 			}
 			r.mu.Unlock()
 			return
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// paceInterval is the time between two looks at the tails, whose figures
-	// cover half a second.
+	// paceInterval is the time between two readings of the tails, whose
+	// figures cover half a second.
 	paceInterval = 250 * time.Millisecond
 	fullPace     = 100
-	// paceRepeat is the time after which a pace is told again.
+	// paceRepeat is the time after which an unchanged pace is sent again.
 	paceRepeat = 2 * time.Second
-	// atWork is the progress of a lasting task that has started up.
-	atWork = 100
+	// startedProgress is the progress of a lasting task that has started up.
+	startedProgress = 100
 )
 
-// paceLoop paces the filling work beside serving tasks.
+// paceLoop sets the pace of the filling work beside serving tasks.
 func (r *Runner) paceLoop(ctx context.Context) {
 	ticker := time.NewTicker(paceInterval)
 	defer ticker.Stop()
@@ -33,43 +33,43 @@
 		case <-ticker.C:
 		}
 		r.mu.Lock()
-		l := r.life
-		var orders []paced
-		if l != nil {
-			orders = r.planPace(l)
+		inc := r.incarnation
+		var orders []paceOrder
+		if inc != nil {
+			orders = r.planPaces(inc)
 		}
 		r.mu.Unlock()
 		for _, o := range orders {
-			go r.pace(ctx, l, o)
+			go r.sendPace(ctx, inc, o)
 		}
 	}
 }
 
-// planPace returns the orders that bring all filling work to its pace.
-func (r *Runner) planPace(l *life) []paced {
-	serving := r.serving(l)
-	filling := l.filling()
-	if len(filling) == 0 {
+// planPaces returns the orders that bring all filling work to its pace.
+func (r *Runner) planPaces(inc *incarnation) []paceOrder {
+	servingJobs := r.servingJobs(inc)
+	fillingWork := inc.fillingWork()
+	if len(fillingWork) == 0 {
 		return nil
 	}
-	list := make([]pressure.Filling, len(filling))
-	for i := range filling {
-		list[i] = filling[i].Filling
-		list[i].Rank = r.rankOf(filling[i].job)
+	list := make([]pressure.Filling, len(fillingWork))
+	for i := range fillingWork {
+		list[i] = fillingWork[i].Filling
+		list[i].Rank = r.rankOf(fillingWork[i].job)
 	}
-	next := pressure.Pace(serving, list, r.weight)
-	l.paces = make(map[paceKey]float64, len(filling))
-	for i, f := range filling {
+	next := pressure.Pace(servingJobs, list, r.weight)
+	inc.paces = make(map[paceKey]float64, len(fillingWork))
+	for i, f := range fillingWork {
 		if math.Abs(next[i]-f.Pace) > 0.1 || next[i] == 0 && f.Pace > 0 {
 			r.deps.Log.Info().Str("job", string(f.job)).Str("image", f.Image).Float64("pace", next[i]).Float64("before", f.Pace).
-				Float64("used", f.Used).Float64("tail_share", worstShare(serving)).Msg("pace")
+				Float64("used", f.Used).Float64("tail_share", worstShare(servingJobs)).Msg("pace")
 		}
-		l.paces[f.paceKey()] = next[i]
+		inc.paces[f.paceKey()] = next[i]
 	}
-	return r.paceOrders(l)
+	return r.paceOrders(inc)
 }
 
-// paceKey names what has one pace on a worker.
+// paceKey names the runs on a worker that share one pace.
 type paceKey struct {
 	job   workload.JobID
 	image string
@@ -85,8 +85,8 @@
 
 func (x *run) paceKey() paceKey { return paceKey{x.id.Task.Job, x.image} }
 
-// rankOf is the job's place in the scheduler's order; jobs of which it has not
-// told come last.
+// rankOf returns the job's place in the scheduler's order; jobs that are not in
+// this order come last.
 func (r *Runner) rankOf(id workload.JobID) int {
 	if rank, ok := r.ranks[id]; ok {
 		return rank
@@ -94,32 +94,32 @@
 	return len(r.ranks)
 }
 
-func (r *Runner) paceOrders(l *life) []paced {
-	var orders []paced
-	for _, x := range l.runs {
+func (r *Runner) paceOrders(inc *incarnation) []paceOrder {
+	var orders []paceOrder
+	for _, x := range inc.runs {
 		if !x.fills || x.state != dispatch.RunPresent || x.stopping {
 			continue
 		}
-		pace := int(math.Round(fullPace * l.paceOf(x)))
-		if r.repace(x, pace) {
-			x.account(r.deps.Now())
+		pace := int(math.Round(fullPace * inc.paceOf(x)))
+		if r.needsPace(x, pace) {
+			x.accountWork(r.deps.Now())
 			x.pace, x.pacedAt = pace, r.deps.Now()
-			orders = append(orders, paced{run: x.id, pace: pace})
+			orders = append(orders, paceOrder{run: x.id, pace: pace})
 		}
 	}
 	return orders
 }
 
-// paceOf is the pace of a run; what was never paced works at full speed.
-func (l *life) paceOf(x *run) float64 {
-	if p, ok := l.paces[x.paceKey()]; ok {
+// paceOf returns the pace of a run; a run without a pace works at full speed.
+func (inc *incarnation) paceOf(x *run) float64 {
+	if p, ok := inc.paces[x.paceKey()]; ok {
 		return p
 	}
 	return 1
 }
 
-// account counts the work until now at the pace so far.
-func (x *run) account(now time.Duration) {
+// accountWork adds the work until now, at the pace so far.
+func (x *run) accountWork(now time.Duration) {
 	if x.workedAt > 0 {
 		pace := fullPace
 		if x.pacedAt > 0 {
@@ -138,15 +138,15 @@
 	return worst
 }
 
-// serving lists the serving jobs at work on the worker. The tasks of one job
-// carry the same load, and each figure is rough, so their mean is taken.
-func (r *Runner) serving(l *life) []pressure.Serving {
+// servingJobs lists the jobs with started serving tasks on the worker. A job's
+// tasks carry the same load, and each figure is rough, so the mean is used.
+func (r *Runner) servingJobs(inc *incarnation) []pressure.Serving {
 	now := r.deps.Now()
 	index := map[workload.JobID]int{}
 	var list []pressure.Serving
 	var rates []meanRate
-	for _, x := range l.runs {
-		if !x.atWork() || x.rate <= 0 {
+	for _, x := range inc.runs {
+		if !x.serves() || x.rate <= 0 {
 			continue
 		}
 		i, ok := index[x.id.Task.Job]
@@ -180,18 +180,18 @@
 
 func (m *meanRate) mean() float64 { return m.sum / float64(max(1, m.n)) }
 
-// atWork reports whether x is a serving task that has started up.
-func (x *run) atWork() bool {
-	return x.tailTarget > 0 && x.state == dispatch.RunPresent && x.progress >= atWork && x.rough > 0
+// serves reports whether x is a serving task that has started up.
+func (x *run) serves() bool {
+	return x.tailTarget > 0 && x.state == dispatch.RunPresent && x.progress >= startedProgress && x.rough > 0
 }
 
-// rateGain is the weight of a new figure against those before it.
+// rateGain is the weight of a new figure against the earlier ones.
 const rateGain = 1.0
 
-// measure takes a new rough figure of a run.
-func (x *run) measure(rough float64, now time.Duration) {
+// updateRough records a new rough figure of a run.
+func (x *run) updateRough(rough float64, now time.Duration) {
 	x.rough = rough
-	if !x.atWork() {
+	if !x.serves() {
 		return
 	}
 	if x.rate == 0 {
@@ -206,35 +206,35 @@
 	}
 }
 
-// overWorthTelling is how long a tail has to have been over its target for a
-// line in the log: the rough figure alone goes over it for half a second.
-const overWorthTelling = time.Second
+// minLoggedOver is the shortest time over its target for which a tail is
+// logged: the rough figure alone is sometimes over it for half a second.
+const minLoggedOver = time.Second
 
-// tellOver logs that the tail of a serving task was over its target from since
-// on and no longer is.
-func (r *Runner) tellOver(l *life, x *run, since time.Duration) {
+// logOver logs that the tail of a serving task was over its target from since
+// until now.
+func (r *Runner) logOver(inc *incarnation, x *run, since time.Duration) {
 	over := r.deps.Now() - since
-	if since == 0 || x.overSince != 0 || over < overWorthTelling {
+	if since == 0 || x.overSince != 0 || over < minLoggedOver {
 		return
 	}
 	filled := false
-	for _, o := range l.runs {
+	for _, o := range inc.runs {
 		filled = filled || o.fills && o.state == dispatch.RunPresent
 	}
 	r.deps.Log.Info().Stringer("run", x.id).Str("image", x.image).Dur("over", over).Bool("filled", filled).Msg("tail was over its target")
 }
 
-// filling sums the filling work by job and image.
-func (l *life) filling() []jobFilling {
+// fillingWork sums the filling work by job and image.
+func (inc *incarnation) fillingWork() []jobFilling {
 	sums := map[paceKey]*jobFilling{}
-	whole := float64(max(1, l.worker.Capacity.CPU))
-	for _, x := range l.runs {
+	whole := float64(max(1, inc.worker.Capacity.CPU))
+	for _, x := range inc.runs {
 		if !x.fills || x.state != dispatch.RunPresent {
 			continue
 		}
 		f := sums[x.paceKey()]
 		if f == nil {
-			f = &jobFilling{Filling: pressure.Filling{Image: x.image, Pace: l.paceOf(x)}, job: x.id.Task.Job}
+			f = &jobFilling{Filling: pressure.Filling{Image: x.image, Pace: inc.paceOf(x)}, job: x.id.Task.Job}
 			sums[x.paceKey()] = f
 		}
 		f.Used += x.rough / whole
@@ -261,24 +261,24 @@
 	return m.Weight(p)
 }
 
-// repace reports whether a run has to be told its pace. It is told again now
-// and then: an order without an answer may be carried out seconds later,
-// after newer ones, and nothing shows the pace that is in force.
-func (r *Runner) repace(x *run, pace int) bool {
+// needsPace reports whether a run's pace has to be sent. A pace is repeated
+// after paceRepeat: an order without an answer may be carried out seconds
+// later, after newer ones, and nothing shows the pace that is in force.
+func (r *Runner) needsPace(x *run, pace int) bool {
 	if x.pacedAt == 0 {
 		return pace != fullPace
 	}
 	return x.pace != pace || r.deps.Now()-x.pacedAt > paceRepeat
 }
 
-// hasUnknownPair reports whether filling work runs beside a serving task of
-// which it is not known whether it presses there.
-func (r *Runner) hasUnknownPair(l *life) bool {
-	for _, s := range l.runs {
-		if !s.atWork() {
+// hasUnknownPair reports whether filling work runs beside a serving task while
+// it is not known whether this work presses on it.
+func (r *Runner) hasUnknownPair(inc *incarnation) bool {
+	for _, s := range inc.runs {
+		if !s.serves() {
 			continue
 		}
-		for _, f := range l.runs {
+		for _, f := range inc.runs {
 			if f.fills && f.state == dispatch.RunPresent && !r.weight(pressure.Pair{Serving: s.image, Filling: f.image}).Known {
 				return true
 			}
@@ -287,25 +287,25 @@
 	return false
 }
 
-// sampleTime is the time between two samples now.
-func (r *Runner) sampleTime(l *life) time.Duration {
-	if r.sampleUnknown < r.sampleEvery && r.hasUnknownPair(l) {
-		return r.sampleUnknown
+// currentSampleInterval returns the present time between two samples.
+func (r *Runner) currentSampleInterval(inc *incarnation) time.Duration {
+	if r.unknownInterval < r.sampleInterval && r.hasUnknownPair(inc) {
+		return r.unknownInterval
 	}
-	return r.sampleEvery
+	return r.sampleInterval
 }
 
-// takeSample records what ran together, for the scheduler to learn from.
-func (r *Runner) takeSample(l *life) {
+// takeSample records tails and the filling work, for the scheduler's learning.
+func (r *Runner) takeSample(inc *incarnation) {
 	now := r.deps.Now()
-	if every := r.sampleTime(l); every <= 0 || now-r.sampledAt < every {
+	if interval := r.currentSampleInterval(inc); interval <= 0 || now-r.sampledAt < interval {
 		return
 	}
 	s := &dispatch.TailSample{}
 	index := map[workload.JobID]int{}
 	var rates []meanRate
-	for _, x := range l.runs {
-		if !x.atWork() {
+	for _, x := range inc.runs {
+		if !x.serves() {
 			continue
 		}
 		i, ok := index[x.id.Task.Job]
@@ -324,7 +324,7 @@
 		return
 	}
 	// The list is in the order of the images.
-	for _, f := range l.filling() {
+	for _, f := range inc.fillingWork() {
 		if n := len(s.Filling); n > 0 && s.Filling[n-1].Image == f.Image {
 			s.Filling[n-1].Used += f.Used
 			continue
@@ -332,12 +332,13 @@
 		s.Filling = append(s.Filling, dispatch.FillingSample{Image: f.Image, Used: f.Used})
 	}
 	r.sample, r.sampledAt = s, now
-	r.touch(true)
+	r.recordChange(true)
 }
 
-// learn takes what the scheduler has learnt.
-func (r *Runner) learn(args *dispatch.WatchArgs) {
-	r.sampleEvery, r.sampleUnknown = args.SampleEvery, args.SampleUnknown
+// applyUpdate applies the sample intervals, the order of the jobs and the
+// learnt figures that the scheduler sends.
+func (r *Runner) applyUpdate(args *dispatch.WatchArgs) {
+	r.sampleInterval, r.unknownInterval = args.SampleEvery, args.SampleUnknown
 	if len(args.Order) > 0 {
 		r.ranks = make(map[workload.JobID]int, len(args.Order))
 		for rank, id := range args.Order {
--- a/agent/runner/register.go
+++ b/agent/runner/register.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// registerRetry is the pause before a registration is repeated.
-	registerRetry = 150 * time.Millisecond
-	// recordFor bounds the writing of a worker that was found. It only saves
-	// the next process a second.
-	recordFor = 5 * time.Second
+	// registerRetryPause is the pause before a registration is repeated.
+	registerRetryPause = 150 * time.Millisecond
+	// recordTimeout bounds the time for which the record of a found worker is
+	// tried. The record only saves the next process a second.
+	recordTimeout = 5 * time.Second
 )
 
-// Registration is an agent's row in the store.
+// Registration writes an agent's row in the store.
 type Registration struct {
 	Store   rowstore.Store
 	Node    string
@@ -32,29 +32,29 @@
 // the process before it had found, if any.
 func (g Registration) Register(ctx context.Context) (token uint64, before workload.Worker, err error) {
 	for {
-		token, before, err = g.once(ctx)
+		token, before, err = g.tryRegister(ctx)
 		if err == nil || ctx.Err() != nil {
 			return token, before, err
 		}
-		g.Log.Warn().Err(err).Msg("not registered yet")
-		time.Sleep(registerRetry)
+		g.Log.Warn().Err(err).Msg("agent not registered yet; trying again")
+		time.Sleep(registerRetryPause)
 	}
 }
 
-func (g Registration) once(ctx context.Context) (uint64, workload.Worker, error) {
+func (g Registration) tryRegister(ctx context.Context) (uint64, workload.Worker, error) {
 	row, err := rowstore.Get(ctx, g.Store, dispatch.AgentKey(g.Node))
 	if err != nil {
 		return 0, workload.Worker{}, eris.Wrap(err, "read the agent's row")
 	}
 	before, err := dispatch.DecodeAgentRow(row)
 	if err != nil {
-		g.Log.Error().Err(err).Msg("the agent's row can't be read; it is written anew")
+		g.Log.Error().Err(err).Msg("agent's row is unreadable; overwriting it")
 	}
-	token, err := g.write(ctx, before.Worker)
+	token, err := g.writeRow(ctx, before.Worker)
 	return token, before.Worker, err
 }
 
-func (g Registration) write(ctx context.Context, w workload.Worker) (uint64, error) {
+func (g Registration) writeRow(ctx context.Context, w workload.Worker) (uint64, error) {
 	value, err := dispatch.AgentRow{Address: g.Address, Worker: w}.Encode()
 	if err != nil {
 		return 0, err
@@ -63,16 +63,16 @@
 	return stamp.Version, eris.Wrap(err, "write the agent's row")
 }
 
-// Record notes the worker that was found, for the next process.
+// Record writes the worker that was found into the row, for the next process.
 func (g Registration) Record(ctx context.Context, w workload.Worker) {
-	ctx, cancel := context.WithTimeout(ctx, recordFor)
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		_, err := g.write(ctx, w)
+		_, err := g.writeRow(ctx, w)
 		if err == nil {
 			return
 		}
-		g.Log.Info().Err(err).Msg("found worker not recorded yet")
-		time.Sleep(registerRetry)
+		g.Log.Info().Err(err).Msg("found worker not recorded yet; trying again")
+		time.Sleep(registerRetryPause)
 	}
 }
--- a/agent/runner/room.go
+++ b/agent/runner/room.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// A worker's room may shrink while it runs, and only its reports tell. What an
-// earlier process of the agent has recorded, or a report long ago has said, may
-// be more than the worker has.
+// A worker's capacity may shrink while it runs, and only its reports show that.
+// The capacity that an earlier process of the agent recorded, or that an old
+// report gave, may be more than the worker has.
 
-// usualReportsHold is Config.ReportsHold where that is 0.
-const usualReportsHold = 3 * time.Second
+// defaultReportAge replaces a Config.ReportsHold of 0.
+const defaultReportAge = 3 * time.Second
 
-// reported reports whether the worker's room is known well enough to start
-// something there. The caller holds mu.
-func (r *Runner) reported(l *life) bool {
-	return l.reportedAt > 0 && r.deps.Now()-l.reportedAt <= cmp.Or(r.cfg.ReportsHold, usualReportsHold)
+// reportedRecently reports whether the worker's latest report of its capacity
+// is recent enough to start a run there. The caller holds mu.
+func (r *Runner) reportedRecently(inc *incarnation) bool {
+	return inc.reportedAt > 0 && r.deps.Now()-inc.reportedAt <= cmp.Or(r.cfg.ReportsHold, defaultReportAge)
 }
 
-// checkReports tells the scheduler when the worker's reports cease or come back.
-// The caller holds mu.
-func (r *Runner) checkReports(l *life) {
-	if stale := !r.reported(l); stale != l.stale {
-		l.stale = stale
-		l.changed = r.touch(true)
-		r.deps.Log.Info().Str("worker", string(l.id)).Bool("stale", stale).Msg("reports of the worker")
+// checkReports records for the scheduler when the worker's reports cease or
+// resume. The caller holds mu.
+func (r *Runner) checkReports(inc *incarnation) {
+	if stale := !r.reportedRecently(inc); stale != inc.stale {
+		inc.stale = stale
+		inc.changed = r.recordChange(true)
+		r.deps.Log.Info().Str("worker", string(inc.id)).Bool("stale", stale).Msg("staleness of the worker's reports changed")
 	}
 }
 
-// lacksRoom says why the worker has no room for what is on it or may be, or is
-// empty. What was ordered and what is being stopped counts until an end is
-// listed. The caller holds mu.
-func (r *Runner) lacksRoom(l *life) string {
-	used, sized := l.used()
+// capacityRefusal returns why the worker's capacity is not known to suffice for
+// the runs that are or may be on it, or "". Runs that are ordered or being
+// stopped count until an end is listed. The caller holds mu.
+func (r *Runner) capacityRefusal(inc *incarnation) string {
+	used, sized := inc.used()
 	switch {
-	case !r.reported(l):
+	case !r.reportedRecently(inc):
 		return "the worker has not reported lately"
 	case !sized:
 		return "the size of a run is not known yet"
-	case !used.Fits(l.worker.Capacity):
+	case !used.Fits(inc.worker.Capacity):
 		r.counters.RoomRefused++
 		return "no room"
 	}
--- a/agent/runner/rpc.go
+++ b/agent/runner/rpc.go
@@ -6,13 +6,13 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// RPC is the runner's part of net/rpc for the scheduler.
+// RPC is the runner's net/rpc service for the scheduler.
 type RPC struct {
 	ctx    context.Context
 	runner *Runner
 }
 
-// NewRPC returns what the scheduler may call until ctx ends.
+// NewRPC returns the service of r; the orders that it starts run until ctx ends.
 func NewRPC(ctx context.Context, r *Runner) *RPC { return &RPC{ctx: ctx, runner: r} }
 
 // Order implements the call of that name.
--- a/agent/runner/slow.go
+++ b/agent/runner/slow.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// slowFactor is how many times longer than estimated a run has to look
-	// before it is told as slow: estimates are off by a factor of two now and
-	// then, and a failing worker takes six times as long or for ever.
+	// slowFactor is the ratio of the actual to the estimated run time above
+	// which a run is reported as slow: estimates are sometimes off by a factor
+	// of two, and a failing worker takes six times as long or never finishes.
 	slowFactor = 3.5
-	// slowLook is how long a run is watched for that at least. Listings come
-	// each half second, and show whole per cents.
-	slowLook = 700 * time.Millisecond
+	// minSlowWatch is the least time for which progress is measured. Listings
+	// come every half second and show whole per cents.
+	minSlowWatch = 700 * time.Millisecond
 )
 
-// straggles takes note of a run's progress and reports whether it is far
-// slower than its estimate.
+// straggles records a run's first progress and reports whether the progress
+// since then is far slower than estimated.
 func (x *run) straggles(now time.Duration) bool {
 	if x.estimate <= 0 || x.stopping {
 		return false
@@ -23,7 +23,7 @@
 		return false
 	}
 	watched := now - x.firstAt
-	if watched < slowLook {
+	if watched < minSlowWatch {
 		return false
 	}
 	expected := min(float64(100-x.firstProgress), 100*watched.Seconds()/x.estimate.Seconds())
--- a/agent/runner/slow_test.go
+++ b/agent/runner/slow_test.go
@@ -27,7 +27,7 @@
 		x := &run{estimate: c.estimate, progress: c.first}
 		begun := time.Hour
 		if x.straggles(begun) {
-			t.Errorf("%s: slow at the first look", c.name)
+			t.Errorf("%s: slow at the first reading", c.name)
 		}
 		x.progress = c.now
 		if got := x.straggles(begun + c.watched); got != c.want {
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -8,16 +8,16 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Watch answers what has changed since the caller's last answer, at once if
-// something urgent has, else after args.Wait.
+// Watch returns the changes since the caller's last answer, at once after an
+// urgent change, else after args.Wait.
 func (r *Runner) Watch(ctx context.Context, args dispatch.WatchArgs) dispatch.WatchReply {
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
 	r.mu.Lock()
-	refused := r.accept(args.Claim)
+	refused := r.acceptClaim(args.Claim)
 	if refused == dispatch.RefusedProcess {
-		// The caller does not know this process yet: it gets everything,
-		// and grants nothing.
+		// The caller does not know this process yet: the reply holds the
+		// whole state, and the claim grants nothing.
 		args.Since = 0
 		refused = ""
 	}
@@ -27,12 +27,12 @@
 		return reply
 	}
 	r.acknowledge(args)
-	r.learn(&args)
+	r.applyUpdate(&args)
 	for args.Since != 0 && r.urgent <= args.Since {
-		wake := r.wake
+		watchWake := r.watchWake
 		r.mu.Unlock()
 		select {
-		case <-wake:
+		case <-watchWake:
 			r.mu.Lock()
 			continue
 		case <-timer.C:
@@ -45,63 +45,63 @@
 	return r.report(args.Since)
 }
 
-// acknowledge forgets ends that are stored and void runs that were read.
+// acknowledge drops ends that are stored and void runs that were read.
 func (r *Runner) acknowledge(args dispatch.WatchArgs) {
-	l := r.life
-	if l == nil {
+	inc := r.incarnation
+	if inc == nil {
 		return
 	}
 	if args.Since != 0 {
-		for id, x := range l.runs {
+		for id, x := range inc.runs {
 			if x.state == dispatch.RunVoid && x.changed <= args.Since {
-				delete(l.runs, id)
+				delete(inc.runs, id)
 			}
 		}
 	}
-	if l.id == args.Worker {
-		r.forget(l, args.Seen)
+	if inc.id == args.Worker {
+		r.dropEnds(inc, args.Seen)
 	}
 }
 
-// forget drops the ends up to seen: the store has their effect, so the worker
-// may forget them, too.
-func (r *Runner) forget(l *life, seen uint64) {
-	if seen <= l.seen {
+// dropEnds drops the ends up to storedEnd: their effect is stored, so the worker
+// may drop them, too.
+func (r *Runner) dropEnds(inc *incarnation, storedEnd uint64) {
+	if storedEnd <= inc.storedEnd {
 		return
 	}
-	l.seen = seen
-	kept := l.ends[:0]
-	for _, e := range l.ends {
-		if e.end.Number > l.seen {
+	inc.storedEnd = storedEnd
+	kept := inc.ends[:0]
+	for _, e := range inc.ends {
+		if e.end.Number > inc.storedEnd {
 			kept = append(kept, e)
 		}
 	}
-	l.ends = kept
-	r.kickHold()
+	inc.ends = kept
+	r.wakeHold()
 }
 
 func (r *Runner) report(since uint64) dispatch.WatchReply {
 	reply := dispatch.WatchReply{Process: r.token, At: r.deps.Now(), Version: r.version}
-	reply.Former, reply.Fresh = r.formerLives(since)
+	reply.Former, reply.Fresh = r.formerIncarnations(since)
 	if reply.Version == 0 {
-		// Version 0 would ask for everything again and never wait.
-		reply.Version = r.touch(false)
+		// With Since 0 the caller would get everything again and never wait.
+		reply.Version = r.recordChange(false)
 	}
-	l := r.life
-	if l == nil {
+	inc := r.incarnation
+	if inc == nil {
 		return reply
 	}
-	reply.Worker = l.worker
-	reply.Worker.Draining = l.worker.Draining || l.left
-	reply.Listed = l.listed && !l.silent && !l.stale
-	reply.Lapsed = l.lapsed
+	reply.Worker = inc.worker
+	reply.Worker.Draining = inc.worker.Draining || inc.leaving
+	reply.Listed = inc.listed && !inc.unresponsive && !inc.stale
+	reply.Lapsed = inc.lapsed
 	reply.Sample, r.sample = r.sample, nil
-	for _, x := range l.runs {
+	for _, x := range inc.runs {
 		if x.changed > since || since == 0 {
-			reply.Runs = append(reply.Runs, dispatch.RunReport{Run: x.id, State: x.state, Checkpoint: x.checkpoint, Reason: x.reason, Slow: x.slow, Proven: x.proven(l.answeredAt)})
+			reply.Runs = append(reply.Runs, dispatch.RunReport{Run: x.id, State: x.state, Checkpoint: x.checkpoint, Reason: x.reason, Slow: x.slow, Proven: x.proven(inc.answeredAt)})
 		}
 	}
-	for _, e := range l.ends {
+	for _, e := range inc.ends {
 		if e.changed > since {
 			reply.Ends = append(reply.Ends, e.end)
 		}
@@ -109,25 +109,25 @@
 	return reply
 }
 
-// Reported takes a worker's report about itself. sequence counts the reports
-// of one life: a late one must not undo a newer one.
+// Reported applies a worker's report about itself. sequence counts the reports
+// of one incarnation: a late report must not undo a newer one.
 func (r *Runner) Reported(w workload.Worker, sequence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.life; l != nil && l.id == w.ID {
-		if sequence <= l.sequence {
+	if inc := r.incarnation; inc != nil && inc.id == w.ID {
+		if sequence <= inc.sequence {
 			return
 		}
-		l.sequence, l.reportedAt = sequence, r.deps.Now()
-		if l.worker.Draining && !w.Draining {
+		inc.sequence, inc.reportedAt = sequence, r.deps.Now()
+		if inc.worker.Draining && !w.Draining {
 			w.Draining = true
 		}
-		if l.worker.Draining != w.Draining || l.worker.Capacity != w.Capacity {
-			l.changed = r.touch(true)
+		if inc.worker.Draining != w.Draining || inc.worker.Capacity != w.Capacity {
+			inc.changed = r.recordChange(true)
 			r.deps.Log.Info().Str("worker", string(w.ID)).Bool("draining", w.Draining).Int("cpu", w.Capacity.CPU).Msg("worker changed")
 		}
-		l.worker = w
-		r.checkReports(l)
+		inc.worker = w
+		r.checkReports(inc)
 		return
 	}
 	for _, f := range r.former {
@@ -140,57 +140,57 @@
 	}
 	r.candidate = &w
 	r.candidateSeq, r.candidateAt = sequence, r.deps.Now()
-	r.kickHold()
+	r.wakeHold()
 }
 
-// suggest names a worker that may live, without a report of its own.
+// suggest makes w the candidate without a report if there is no other worker.
 func (r *Runner) suggest(w workload.Worker) {
 	if w.ID == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life == nil && r.candidate == nil {
+	if r.incarnation == nil && r.candidate == nil {
 		r.candidate, r.candidateSeq, r.candidateAt = &w, 0, 0
-		r.kickHold()
+		r.wakeHold()
 	}
 }
 
-// Left takes the word of a worker that it ends.
+// Left records a worker's announcement of its shutdown.
 func (r *Runner) Left(id workload.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.candidate != nil && r.candidate.ID == id {
 		r.candidate = nil
 	}
-	if r.life == nil || r.life.worker.ID != id {
+	if r.incarnation == nil || r.incarnation.worker.ID != id {
 		return
 	}
-	r.life.left = true
-	r.life.changed = r.touch(true)
-	r.deps.Log.Info().Str("worker", string(id)).Int("runs", len(r.life.runs)).Msg("worker leaves")
+	r.incarnation.leaving = true
+	r.incarnation.changed = r.recordChange(true)
+	r.deps.Log.Info().Str("worker", string(id)).Int("runs", len(r.incarnation.runs)).Msg("worker announced its shutdown")
 }
 
-// Unreadable counts a report that could not be read. It names no worker to
-// use; what is known holds.
+// Unreadable counts a report that could not be decoded. It names no usable
+// worker, so the state stays as it is.
 func (r *Runner) Unreadable(err error) {
 	r.mu.Lock()
 	r.counters.Unreadable++
 	first := r.counters.Unreadable == 1
 	r.mu.Unlock()
 	if first {
-		r.deps.Log.Warn().Err(err).Msg("unreadable report of a worker; further ones are only counted")
+		r.deps.Log.Warn().Err(err).Msg("unreadable worker report; further ones are only counted")
 	}
 }
 
-// paced is the pace of one run.
-type paced struct {
+// paceOrder sets the pace of one run.
+type paceOrder struct {
 	run  workload.RunID
 	pace int
 }
 
-func (r *Runner) pace(ctx context.Context, l *life, p paced) {
-	_, err := r.deps.Control.Pace(ctx, l.id, p.run, p.pace, r.token)
+func (r *Runner) sendPace(ctx context.Context, inc *incarnation, p paceOrder) {
+	_, err := r.deps.Control.Pace(ctx, inc.id, p.run, p.pace, r.token)
 	r.mu.Lock()
 	r.counters.Paces++
 	r.mu.Unlock()
