--- a/agent/tasks/counters.go
+++ b/agent/tasks/counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters are what a manager counts.
+// Counters are a manager's counters.
 type Counters struct {
 	Granted, Started, Refused, RefusedTombstone        atomic.Int64
 	Done, Failed, Evicted, Lost, Cancelled, NotStarted atomic.Int64
--- a/agent/tasks/end.go
+++ b/agent/tasks/end.go
@@ -9,8 +9,8 @@
 	"persimmonrock.example/wire"
 )
 
-// endReport turns the worker's word into a report. A result is in the object
-// store before the report says so.
+// endReport returns the report of the end that the worker's status shows. A
+// result is in the object store before the report names its key.
 func (t *task) endReport(ctx context.Context, s infra.TaskStatus) *wire.TaskReport {
 	t.release()
 	switch s.Phase {
@@ -35,15 +35,15 @@
 	return t.report(wire.EndEvicted, "stopped by the worker: "+s.Error)
 }
 
-// vanished reports whether the worker no longer knows of the task.
+// vanished reports whether the worker no longer lists the task.
 func (t *task) vanished() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost
 }
 
-// putUntilDone repeats the put while the object store is down; the task has
-// ended, so nothing but the report waits for it.
+// putUntilDone repeats the put while the object store is down. The task has
+// ended, so only its report waits for the put.
 func (t *task) putUntilDone(ctx context.Context, key string, body []byte) bool {
 	for pause := t.m.config.Retry; ; pause = min(2*pause, t.m.config.RetryMax) {
 		if t.put(ctx, key, body) == nil {
@@ -62,13 +62,13 @@
 }
 
 // evict checkpoints the task, then stops it, then returns the report; nil if
-// that has to be tried again.
+// the eviction has to be tried again.
 //
 // Failure guarded against: the task is stopped and its checkpoint can't be
 // written, so that all its progress is lost; or the report names a checkpoint
-// that does not exist. The guard is the order: the object is there before the
-// task is stopped, and the task has stopped before the report is made. While
-// the object store is down the task runs on, unless the instance must stop.
+// that does not exist. Therefore the object is written before the task is
+// stopped, and the task has stopped before the report is made. While the object
+// store is down the task continues, unless the instance must stop.
 func (t *task) evict(ctx context.Context) *wire.TaskReport {
 	saved := t.saveCheckpoint(ctx)
 	if !saved {
@@ -81,20 +81,20 @@
 	if !t.stopOnWorker(ctx) {
 		return nil
 	}
-	if s := t.lastWord(ctx); s != nil && (s.Phase == infra.TaskDone || s.Phase == infra.TaskFailed) {
+	if s := t.finalStatus(ctx); s != nil && (s.Phase == infra.TaskDone || s.Phase == infra.TaskFailed) {
 		return t.endReport(ctx, *s)
 	}
 	return t.report(wire.EndEvicted, "")
 }
 
-// saveCheckpoint writes a new checkpoint and remembers its key.
+// saveCheckpoint writes a new checkpoint and records its key.
 func (t *task) saveCheckpoint(ctx context.Context) bool {
 	if _, held := t.held(); !held {
 		return false
 	}
-	ask, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
 	defer cancel()
-	state, err := t.m.deps.Worker.Checkpoint(ask, t.grant.Job, t.grant.Epoch)
+	state, err := t.m.deps.Worker.Checkpoint(callCtx, t.grant.Job, t.grant.Epoch)
 	if err == nil {
 		key := structs.CheckpointKey(t.grant.Job, t.grant.Epoch, t.checkpoints)
 		t.checkpoints++
@@ -111,12 +111,12 @@
 	return false
 }
 
-// stopOnWorker repeats until the worker says that the task has stopped, or
-// ctx ends.
+// stopOnWorker repeats the stop until the worker confirms that the task has
+// stopped, or ctx ends.
 func (t *task) stopOnWorker(ctx context.Context) bool {
 	for pause := t.m.config.Retry; ; pause = min(2*pause, t.m.config.RetryMax) {
-		ask, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
-		err := t.m.deps.Worker.Stop(ask, t.grant.Job, t.grant.Epoch)
+		callCtx, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
+		err := t.m.deps.Worker.Stop(callCtx, t.grant.Job, t.grant.Epoch)
 		cancel()
 		if err == nil {
 			return true
@@ -129,9 +129,9 @@
 	}
 }
 
-// lastWord returns what the worker says of a task that was stopped: it may
-// have ended by itself before.
-func (t *task) lastWord(ctx context.Context) *infra.TaskStatus {
+// finalStatus returns the worker's status of a task that was stopped: the task
+// may have ended by itself before.
+func (t *task) finalStatus(ctx context.Context) *infra.TaskStatus {
 	ctx, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
 	defer cancel()
 	list, err := t.m.deps.Worker.List(ctx)
@@ -146,13 +146,13 @@
 	return nil
 }
 
-// poll looks at the worker and tells each task of its end. Ended tasks that
-// nobody waits for are forgotten.
+// poll lists the worker's tasks and records the end of each task. The worker
+// is asked to forget ended tasks that nobody waits for.
 func (m *Manager) poll(ctx context.Context) {
 	watched := m.watched()
-	ask, cancel := context.WithTimeout(ctx, m.config.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
-	list, err := m.deps.Worker.List(ask)
+	list, err := m.deps.Worker.List(callCtx)
 	if err != nil {
 		m.Counters.PollFailed.Add(1)
 		return
@@ -165,21 +165,21 @@
 		delete(watched, key)
 		switch {
 		case s.Phase == infra.TaskRunning && t != nil:
-			t.seen(s)
+			t.recordProgress(s)
 		case s.Phase == infra.TaskRunning:
 		case t != nil:
-			t.over(s)
+			t.recordEnd(s)
 		case s.Holder < held:
 			m.forget(ctx, key)
 		}
 	}
 	for _, t := range watched {
-		t.over(nil)
+		t.recordEnd(nil)
 	}
-	m.takeUsage(ctx)
+	m.pollUsage(ctx)
 }
 
-// watched returns the tasks that the worker had taken before the call.
+// watched returns the tasks that the worker had started before the call.
 func (m *Manager) watched() map[Key]*task {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,8 +202,8 @@
 	}
 }
 
-// takeUsage notes the largest measured use of each task.
-func (m *Manager) takeUsage(ctx context.Context) {
+// pollUsage records the largest measured use of each task.
+func (m *Manager) pollUsage(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
 	reports, err := m.deps.Worker.Usage(ctx)
@@ -217,6 +217,6 @@
 		if t == nil {
 			continue
 		}
-		t.measured(u)
+		t.recordUsage(u)
 	}
 }
--- a/agent/tasks/outbox.go
+++ b/agent/tasks/outbox.go
@@ -17,7 +17,7 @@
 type outbox struct {
 	pending map[Key]wire.TaskReport
 	order   []Key
-	// owners remembers which entry settled ends of a shard last.
+	// owners holds the entry that settled ends of a shard last.
 	owners map[structs.ShardID]string
 	wake   chan struct{}
 }
@@ -43,9 +43,9 @@
 	}
 }
 
-// handOver sends the pending ends until they are settled. Its pace is bounded:
-// one message at a time, and longer pauses while nothing settles.
-func (m *Manager) handOver(ctx context.Context) {
+// deliverEnds sends the pending ends until they are settled. Its rate is
+// bounded: one message at a time, and longer pauses while nothing settles.
+func (m *Manager) deliverEnds(ctx context.Context) {
 	pause := m.config.Report
 	for {
 		if !m.anyPending() {
@@ -77,12 +77,12 @@
 	return len(m.outbox.pending) > 0
 }
 
-// reportRound offers each pending end to the shard's last known owner, or to
-// every entry where there is none, and returns how many were settled.
+// reportRound sends each pending end to the shard's last known owner, or to
+// every entry if none is known, and returns the number of settled ends.
 func (m *Manager) reportRound(ctx context.Context) int {
 	total := 0
 	entries := m.deps.Entries()
-	m.keepOwners(entries)
+	m.pruneOwners(entries)
 	for _, entry := range entries {
 		if _, left := m.deps.Lease.Held(time.Now()); left <= 0 {
 			return total
@@ -96,8 +96,8 @@
 	return total
 }
 
-// keepOwners forgets owners that are not known as entries any more.
-func (m *Manager) keepOwners(entries []string) {
+// pruneOwners drops owners that are no longer known as entries.
+func (m *Manager) pruneOwners(entries []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for shard, owner := range m.outbox.owners {
@@ -128,14 +128,14 @@
 }
 
 func (m *Manager) reportTo(ctx context.Context, entry string, reports []wire.TaskReport) int {
-	ask, cancel := context.WithTimeout(ctx, m.config.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
 	m.Counters.ReportMessages.Add(1)
 	m.Counters.Reported.Add(int64(len(reports)))
-	reply, err := m.deps.Peers.Entry(entry).Report(ask, wire.ReportRequest{
+	reply, err := m.deps.Peers.Entry(entry).Report(callCtx, wire.ReportRequest{
 		Instance: m.config.Instance, Reports: reports, Load: m.deps.Ledger.Load(time.Now()),
 	})
-	settled := m.settle(entry, reports, reply.Settled, err)
+	settled := m.removeSettled(entry, reports, reply.Settled, err)
 	for _, k := range settled {
 		m.Counters.Settled.Add(1)
 		m.deps.Events.Record(structs.Event{Step: StepSettled, Peer: entry, Job: k.Job, Epoch: k.Epoch})
@@ -144,8 +144,8 @@
 	return len(settled)
 }
 
-// settle drops the settled ends and learns who owns which shard.
-func (m *Manager) settle(entry string, reports []wire.TaskReport, settled []bool, err error) []Key {
+// removeSettled removes the settled ends and updates the owners of shards.
+func (m *Manager) removeSettled(entry string, reports []wire.TaskReport, settled []bool, err error) []Key {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Key
@@ -165,12 +165,12 @@
 	return out
 }
 
-// requeue drops settled ends from the order and moves those that were offered
-// in vain behind the others, so that they don't hold these up.
-func (o *outbox) requeue(offered []wire.TaskReport) {
-	var rest, vain []Key
-	tried := make(map[Key]bool, len(offered))
-	for _, r := range offered {
+// requeue drops settled ends from the order and moves those that were sent but
+// not settled behind the others, so that they don't delay these.
+func (o *outbox) requeue(sent []wire.TaskReport) {
+	var rest, unsettled []Key
+	tried := make(map[Key]bool, len(sent))
+	for _, r := range sent {
 		tried[Key{Job: r.Job, Epoch: r.Epoch}] = true
 	}
 	for _, k := range o.order {
@@ -178,10 +178,10 @@
 			continue
 		}
 		if tried[k] {
-			vain = append(vain, k)
+			unsettled = append(unsettled, k)
 		} else {
 			rest = append(rest, k)
 		}
 	}
-	o.order = append(rest, vain...)
+	o.order = append(rest, unsettled...)
 }
--- a/agent/tasks/states.go
+++ b/agent/tasks/states.go
@@ -10,9 +10,9 @@
 	"persimmonrock.example/wire"
 )
 
-// progress is what the worker's lagging reports say of a task.
+// progress is a task's progress as of the worker's lagging reports.
 type progress struct {
-	// began and stopped bound the run; zero before either.
+	// began and stopped bound the run; each is zero before its event.
 	began, stopped time.Time
 	// done is the part done, saved the part in the last checkpoint.
 	done, saved float64
@@ -20,8 +20,8 @@
 	memory      int64
 }
 
-// ran is how long the task ran, 0 if it never started. An end is seen up to one
-// poll after it came.
+// ran returns the time that the task ran, 0 if it never started. An end is
+// detected up to one poll after it happened.
 func (p *progress) ran() time.Duration {
 	switch {
 	case p.began.IsZero():
@@ -32,20 +32,20 @@
 	return p.stopped.Sub(p.began)
 }
 
-// States returns the tasks that run and are not being stopped.
+// States returns the state of the tasks that run and are not being stopped.
 func (m *Manager) States() []decide.RunningTask {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []decide.RunningTask
 	for _, t := range m.tasks {
-		if s, ok := t.running(); ok {
+		if s, ok := t.runningState(); ok {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func (t *task) running() (decide.RunningTask, bool) {
+func (t *task) runningState() (decide.RunningTask, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.started || t.ended != nil || t.want != "" {
@@ -59,8 +59,8 @@
 	}, true
 }
 
-// Apply carries out one decision; false if the task is gone or the worker did
-// not take the new speed.
+// Apply carries out one decision; it is false if the task is gone or the
+// worker did not confirm the new speed.
 func (m *Manager) Apply(ctx context.Context, a decide.Action) bool {
 	m.mu.Lock()
 	t := m.tasks[Key{Job: a.Job, Epoch: a.Epoch}]
@@ -70,7 +70,7 @@
 	}
 	if a.Kind == decide.ActionEvict {
 		m.Counters.RelievedByEviction.Add(1)
-		t.stop(wire.StopEvicted, false)
+		t.requestStop(wire.StopEvicted, false)
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
@@ -87,7 +87,7 @@
 	return true
 }
 
-// setSpeed notes the task's speed, 0 when it has stopped.
+// setSpeed records the task's speed, 0 when it has stopped.
 func (t *task) setSpeed(speed float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,15 +101,15 @@
 	}
 }
 
-// seen takes the worker's word on a running task.
-func (t *task) seen(s *infra.TaskStatus) {
+// recordProgress records the progress in the worker's status of a running task.
+func (t *task) recordProgress(s *infra.TaskStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.progress.done = s.Progress
 }
 
-// measured takes a usage report.
-func (t *task) measured(u infra.Usage) {
+// recordUsage records a usage report.
+func (t *task) recordUsage(u infra.Usage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.progress.memory = u.MemoryBytes
--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -12,32 +12,31 @@
 	"persimmonrock.example/wire"
 )
 
-// task is one claim that was admitted. Its goroutine does all that the task
-// needs, one thing after the other.
+// task is one claim that was admitted. One goroutine takes its steps in order.
 type task struct {
 	m     *Manager
 	grant wire.TaskGrant
 	key   Key
-	// stopped: the task has provably stopped, or never started.
+	// stopped is set when the task has provably stopped, or never started.
 	stopped atomic.Bool
-	// wake says that one of the fields under mu has changed.
+	// wake signals that one of the fields under mu has changed.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// started is set when the worker has taken the task.
+	// started is set when the worker has accepted the task.
 	started bool
 	want    wire.StopReason
 	forced  bool
-	// ended is the worker's word that the task has ended.
+	// ended is the worker's status of the task after its end.
 	ended *infra.TaskStatus
-	// lost says that the worker no longer knew of the task.
+	// lost says that the worker no longer listed the task.
 	lost bool
 	used structs.Resources
 	// progress is for decisions about relief.
 	progress progress
 
-	// checkpoint is the object key of the last checkpoint; only run uses it
-	// and checkpoints.
+	// checkpoint is the object key of the last checkpoint, checkpoints the
+	// number of those written; only run's goroutine uses both.
 	checkpoint  string
 	checkpoints int
 }
@@ -53,8 +52,8 @@
 	}
 }
 
-// stop asks the task to stop. A cancellation replaces an eviction.
-func (t *task) stop(reason wire.StopReason, forced bool) {
+// requestStop requests the task's stop. A cancellation replaces an eviction.
+func (t *task) requestStop(reason wire.StopReason, forced bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := t.want == "" || (reason == wire.StopCancelled && t.want != reason) || (forced && !t.forced)
@@ -68,9 +67,9 @@
 	t.signal()
 }
 
-// over takes the worker's word that the task has ended; nil says that the
-// worker does not know it any more.
-func (t *task) over(status *infra.TaskStatus) {
+// recordEnd records the worker's status of the ended task; nil says that the
+// worker no longer lists the task.
+func (t *task) recordEnd(status *infra.TaskStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended != nil || !t.started {
@@ -90,16 +89,16 @@
 	return t.want, t.forced, t.ended
 }
 
-// held reports whether the lease that covers the task is held, with how much
-// of it left. It is asked before each effect.
+// held returns the time left of the lease that covers the task, and whether it
+// is held. It is called before each effect.
 func (t *task) held() (time.Duration, bool) {
 	incarnation, left := t.m.deps.Lease.Held(time.Now())
 	return left, incarnation == t.grant.Incarnation && left > 0
 }
 
-// run takes the task from its grant to its end.
+// run starts the task, waits for its end and queues the report.
 func (t *task) run(ctx context.Context) {
-	report, started := t.begin(ctx)
+	report, started := t.startOnWorker(ctx)
 	if started {
 		report = t.watch(ctx)
 	}
@@ -108,9 +107,9 @@
 	}
 }
 
-// begin starts the task on its worker. If it did not start, the report says
-// so; it is nil when ctx has ended.
-func (t *task) begin(ctx context.Context) (report *wire.TaskReport, started bool) {
+// startOnWorker starts the task on its worker. If the task did not start, the
+// report says so; the report is nil when ctx has ended.
+func (t *task) startOnWorker(ctx context.Context) (report *wire.TaskReport, started bool) {
 	state, err := t.loadCheckpoint(ctx)
 	if ctx.Err() != nil {
 		return nil, false
@@ -119,25 +118,25 @@
 		return t.report(wire.EndNotStarted, "checkpoint: "+err.Error()), false
 	}
 	if want, _, _ := t.state(); want != "" {
-		return t.report(endOf(want), ""), false
+		return t.report(endBeforeStart(want), ""), false
 	}
 	left, held := t.held()
-	if !held || !t.m.enough(left) {
+	if !held || !t.m.coversRenewal(left) {
 		return t.report(wire.EndNotStarted, "the agent's lease ends too soon"), false
 	}
-	start, cancel := context.WithTimeout(ctx, min(t.m.config.Timeout, left-2*t.m.config.WorkerLease))
+	callCtx, cancel := context.WithTimeout(ctx, min(t.m.config.Timeout, left-2*t.m.config.WorkerLease))
 	defer cancel()
 	g := t.grant
-	err = t.m.deps.Worker.Start(start, infra.TaskStart{
+	err = t.m.deps.Worker.Start(callCtx, infra.TaskStart{
 		Job: g.Job, Epoch: g.Epoch, Customer: g.Customer, Kind: g.Spec.Kind,
 		Payload: g.Spec.Payload, Checkpoint: state, Declared: g.Spec.Declared,
 		Holder: g.Incarnation, Lease: t.m.config.WorkerLease,
 	})
-	if err == nil && t.overslept() {
-		err = errOverslept
+	if err == nil && t.pausedTooLong() {
+		err = errPausedDuringStart
 	}
 	if err != nil {
-		return t.notStarted(ctx, err), false
+		return t.abortStart(ctx, err), false
 	}
 	t.mu.Lock()
 	t.started = true
@@ -149,36 +148,36 @@
 	return nil, true
 }
 
-var errOverslept = errors.New("the agent was paused while it started the task")
+var errPausedDuringStart = errors.New("the agent was paused while it started the task")
 
-// overslept reports whether the lease lapsed while the worker was asked.
+// pausedTooLong reports whether the lease lapsed, or nearly so, during a start.
 //
-// Failure guarded against: the agent is paused between its look at the lease
-// and the worker's receipt of the start; when it wakes the job runs elsewhere.
+// Failure guarded against: the agent is paused between its check of the lease
+// and the worker's receipt of the start; when it resumes the job runs elsewhere.
 // The task is then stopped at once, and at the latest when the worker's lease
-// of it ends, since nothing renews that.
-func (t *task) overslept() bool {
+// of the task ends, since nothing renews that lease.
+func (t *task) pausedTooLong() bool {
 	left, held := t.held()
 	return !held || left <= t.m.config.WorkerLease
 }
 
-// notStarted makes sure that the task does not run after a failed start.
-func (t *task) notStarted(ctx context.Context, cause error) *wire.TaskReport {
+// abortStart ensures that the task does not run after a failed start.
+func (t *task) abortStart(ctx context.Context, cause error) *wire.TaskReport {
 	if !t.stopOnWorker(ctx) {
 		return nil
 	}
 	return t.report(wire.EndNotStarted, cause.Error())
 }
 
-// loadCheckpoint reads the state to resume from; it repeats while the object
-// store is down, and gives up when the task is to be stopped.
+// loadCheckpoint reads the state to resume from. It repeats the read while the
+// object store is down, until the task is to be stopped or its lease is lost.
 func (t *task) loadCheckpoint(ctx context.Context) ([]byte, error) {
 	if t.grant.Checkpoint == "" {
 		return nil, nil
 	}
 	for pause := t.m.config.Retry; ; pause = min(2*pause, t.m.config.RetryMax) {
-		read, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
-		state, err := t.m.deps.Objects.Get(read, t.grant.Checkpoint)
+		callCtx, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
+		state, err := t.m.deps.Objects.Get(callCtx, t.grant.Checkpoint)
 		cancel()
 		if err == nil || errors.Is(err, infra.ErrNotFound) {
 			return state, err
@@ -220,8 +219,8 @@
 	return nil
 }
 
-// pause waits for d, or for ever when d is 0, or until the task is signalled.
-// It is false when ctx has ended.
+// pause waits for d, or without a limit when d is 0, or until the task is
+// signalled. It is false when ctx has ended.
 func (t *task) pause(ctx context.Context, d time.Duration) bool {
 	var timer <-chan time.Time
 	if d > 0 {
@@ -236,10 +235,10 @@
 	return true
 }
 
-// finish releases what the task held and queues its report.
+// finish releases the task's resources and queues its report.
 func (t *task) finish(r wire.TaskReport) {
 	t.release()
-	count(&t.m.Counters, r.End)
+	countEnd(&t.m.Counters, r.End)
 	t.m.deps.Events.Record(structs.Event{
 		Step: StepEnd, Job: r.Job, Epoch: r.Epoch, Customer: t.grant.Customer,
 		Detail: string(r.End) + " " + r.Error,
@@ -247,11 +246,11 @@
 	t.m.mu.Lock()
 	defer t.m.mu.Unlock()
 	delete(t.m.tasks, t.key)
-	t.m.gone.end(t.key)
+	t.m.tombstones.recordEnd(t.key)
 	t.m.outbox.add(t.key, r)
 }
 
-// release gives the resources back, once; the task has provably stopped.
+// release releases the resources, once; the task has provably stopped.
 func (t *task) release() {
 	if t.stopped.CompareAndSwap(false, true) {
 		t.setSpeed(0)
@@ -268,14 +267,14 @@
 	}
 }
 
-func endOf(want wire.StopReason) wire.TaskEnd {
+func endBeforeStart(want wire.StopReason) wire.TaskEnd {
 	if want == wire.StopCancelled {
 		return wire.EndCancelled
 	}
 	return wire.EndNotStarted
 }
 
-func count(c *Counters, end wire.TaskEnd) {
+func countEnd(c *Counters, end wire.TaskEnd) {
 	switch end {
 	case wire.EndDone:
 		c.Done.Add(1)
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -1,6 +1,6 @@
 // Package tasks runs the batch tasks that were granted to an agent: it starts
-// them on the worker, keeps the worker's leases short behind the agent's own,
-// stops them when told to, and hands their ends over until they are settled.
+// them on the worker, lets the worker's leases end before the agent's own,
+// stops tasks on request, and reports their ends until these are settled.
 package tasks
 
 import (
@@ -20,22 +20,22 @@
 	Instance structs.InstanceID
 	// WorkerLease is how long the worker runs a task without a renewal.
 	WorkerLease time.Duration
-	// Poll is the time between looks at the worker.
+	// Poll is the time between two polls of the worker.
 	Poll time.Duration
-	// Timeout bounds one exchange with the worker or the object store.
+	// Timeout bounds one call to the worker, the object store or an entry.
 	Timeout time.Duration
-	// Retry is the pause after a failed exchange, at first and at most.
+	// Retry is the first pause after a failed call, RetryMax the longest.
 	Retry, RetryMax time.Duration
-	// Report is the least time between two hand-overs of ends.
+	// Report is the least time between two rounds of reports of ends.
 	Report time.Duration
 }
 
-// Lease says what the agent holds; lease.Keeper is one.
+// Lease returns the agent's lease and its time left; lease.Keeper is one.
 type Lease interface {
 	Held(now time.Time) (structs.Incarnation, time.Duration)
 }
 
-// Deps are what a manager works with.
+// Deps are the dependencies of a manager.
 type Deps struct {
 	Ledger  *ledger.Ledger
 	Lease   Lease
@@ -65,7 +65,7 @@
 	deps   Deps
 	// Counters may be read at any time.
 	Counters Counters
-	// Changed, if set before Run, is told when the speed at which tasks of a
+	// Changed, if set before Run, is called when the speed at which tasks of a
 	// kind run changes: by 1 at a start, by -1 at an end at full speed. It
 	// must not call the manager.
 	Changed func(k structs.Kind, delta float64)
@@ -73,38 +73,38 @@
 	ctx  context.Context
 	wait sync.WaitGroup
 
-	mu     sync.Mutex
-	tasks  map[Key]*task
-	gone   tombstones
-	outbox outbox
+	mu         sync.Mutex
+	tasks      map[Key]*task
+	tombstones tombstones
+	outbox     outbox
 }
 
-// New returns a manager; Run makes it work.
+// New returns a manager, which Run starts.
 func New(c Config, d Deps) *Manager {
 	return &Manager{
 		config: c, deps: d,
-		ctx:    context.Background(),
-		tasks:  make(map[Key]*task),
-		gone:   newTombstones(),
-		outbox: newOutbox(),
+		ctx:        context.Background(),
+		tasks:      make(map[Key]*task),
+		tombstones: newTombstones(),
+		outbox:     newOutbox(),
 	}
 }
 
-// Run renews the worker's leases, watches the worker and hands ends over,
-// until ctx ends.
+// Run renews the worker's leases, polls the worker and reports ends, until ctx
+// ends.
 func (m *Manager) Run(ctx context.Context) error {
 	m.mu.Lock()
 	m.ctx = ctx
 	m.mu.Unlock()
-	m.wait.Go(func() { m.every(ctx, m.config.WorkerLease/3, m.renewWorker) })
-	m.wait.Go(func() { m.every(ctx, m.config.Poll, m.poll) })
-	m.wait.Go(func() { m.handOver(ctx) })
+	m.wait.Go(func() { m.repeat(ctx, m.config.WorkerLease/3, m.renewWorker) })
+	m.wait.Go(func() { m.repeat(ctx, m.config.Poll, m.poll) })
+	m.wait.Go(func() { m.deliverEnds(ctx) })
 	<-ctx.Done()
 	m.wait.Wait()
 	return ctx.Err()
 }
 
-func (m *Manager) every(ctx context.Context, pause time.Duration, do func(context.Context)) {
+func (m *Manager) repeat(ctx context.Context, pause time.Duration, do func(context.Context)) {
 	for {
 		do(ctx)
 		select {
@@ -115,23 +115,23 @@
 	}
 }
 
-// enough reports whether a lease with left to run allows the worker to be
-// given its lease anew.
+// coversRenewal reports whether the time left of the agent's lease allows a
+// renewal of the worker's lease.
 //
 // Failure guarded against: the agent is paused between this check and the
-// worker's receipt of the renewal. A task is alive to be renewed for at most
-// one worker lease after the check, and then runs for one more; with less than
-// two left it could outlive the row's lease and run in a second place.
-func (m *Manager) enough(left time.Duration) bool { return left > 2*m.config.WorkerLease }
+// worker's receipt of the renewal. A task can be renewed for at most one worker
+// lease after the check, and then runs for one more; with less than two left it
+// could outlive the row's lease and run in two places.
+func (m *Manager) coversRenewal(left time.Duration) bool { return left > 2*m.config.WorkerLease }
 
-// renewWorker extends the tasks' leases while the agent's own runs for long
-// enough; else they end by themselves.
+// renewWorker extends the tasks' leases while enough of the agent's own is
+// left; else they expire.
 func (m *Manager) renewWorker(ctx context.Context) {
 	held, left := m.deps.Lease.Held(time.Now())
 	if held == 0 {
 		return
 	}
-	if !m.enough(left) {
+	if !m.coversRenewal(left) {
 		m.Counters.WorkerRenewSkipped.Add(1)
 		return
 	}
@@ -142,13 +142,13 @@
 	}
 }
 
-// Start admits granted tasks; the reply has one entry each, nil where the task
-// was admitted or is known already. A refusal is final for the claim: the
-// claim is never started afterwards, so that its owner may give the job away.
+// Start admits granted tasks; the reply has one element for each grant, nil if
+// the task was admitted or is known already. A refusal is final for the claim:
+// the claim is never started afterwards, so that its owner may reassign the job.
 func (m *Manager) Start(grants []wire.TaskGrant) []*structs.Refusal {
 	out := make([]*structs.Refusal, len(grants))
 	for i, g := range grants {
-		out[i] = m.start(g)
+		out[i] = m.startClaim(g)
 		if out[i] != nil {
 			m.Counters.Refused.Add(1)
 			m.deps.Events.Record(structs.Event{
@@ -160,24 +160,24 @@
 	return out
 }
 
-func (m *Manager) start(g wire.TaskGrant) *structs.Refusal {
+func (m *Manager) startClaim(g wire.TaskGrant) *structs.Refusal {
 	now := time.Now()
 	key := Key{Job: g.Job, Epoch: g.Epoch}
 	held, left := m.deps.Lease.Held(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.tasks[key] != nil || m.gone.ended(key) {
+	if m.tasks[key] != nil || m.tombstones.hasEnded(key) {
 		m.Counters.SecondStarts.Add(1)
 		return nil
 	}
-	if why := m.gone.refused(key); why != nil {
+	if why := m.tombstones.refusal(key); why != nil {
 		m.Counters.RefusedTombstone.Add(1)
 		return why
 	}
-	refused := m.admit(g, key, held, left, now)
-	if refused != nil {
-		m.gone.refuse(key, refused)
-		return refused
+	refusal := m.admit(g, key, held, left, now)
+	if refusal != nil {
+		m.tombstones.refuse(key, refusal)
+		return refusal
 	}
 	m.Counters.Granted.Add(1)
 	t := newTask(m, g, key)
@@ -193,7 +193,7 @@
 	if held == 0 || g.Incarnation != held {
 		return m.refusal(structs.RefusedFenced, "the lease that the claim names is not held", m.config.RetryMax)
 	}
-	if !m.enough(left) {
+	if !m.coversRenewal(left) {
 		return m.refusal(structs.RefusedStore, "the agent's lease ends too soon", m.config.RetryMax)
 	}
 	why := m.deps.Ledger.Reserve(key, g.Customer, g.Spec.Kind, g.Spec.Declared, now)
@@ -219,13 +219,12 @@
 	}
 }
 
-// Stop asks for tasks to be stopped. A claim that is not known is reported as
-// ended at once, and never starts afterwards.
+// Stop requests the stop of tasks. An unknown claim is reported as ended at
+// once, and never starts afterwards.
 //
-// Failure guarded against: a cancellation overtakes the start that it is
-// meant for; it finds nothing, and then the task starts and runs for nobody.
-// The guard holds because the claim is remembered under the lock under which
-// Start looks it up.
+// Failure guarded against: a cancellation overtakes the start of its task and
+// finds nothing, and then the cancelled task starts. Therefore the claim is
+// recorded under the lock under which Start looks it up.
 func (m *Manager) Stop(refs []wire.TaskRef, reason wire.StopReason) {
 	held, _ := m.deps.Lease.Held(time.Now())
 	m.mu.Lock()
@@ -233,14 +232,14 @@
 	for _, ref := range refs {
 		key := Key{Job: ref.Job, Epoch: ref.Epoch}
 		if t := m.tasks[key]; t != nil {
-			t.stop(reason, false)
+			t.requestStop(reason, false)
 			continue
 		}
-		if m.gone.ended(key) || held == 0 {
+		if m.tombstones.hasEnded(key) || held == 0 {
 			continue
 		}
 		m.Counters.StopsBeforeStart.Add(1)
-		m.gone.refuse(key, m.refusal(structs.RefusedConflict, "stopped before it started", 0))
+		m.tombstones.refuse(key, m.refusal(structs.RefusedConflict, "stopped before it started", 0))
 		end := wire.EndNotStarted
 		if reason == wire.StopCancelled {
 			end = wire.EndCancelled
@@ -249,7 +248,7 @@
 	}
 }
 
-// Running is the number of tasks that have not provably stopped.
+// Running returns the number of tasks that have not provably stopped.
 func (m *Manager) Running() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -262,14 +261,14 @@
 	return n
 }
 
-// Unsettled is the number of tasks and ends that are not handed over.
+// Unsettled returns the number of tasks and ends that are not settled.
 func (m *Manager) Unsettled() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.tasks) + len(m.outbox.pending)
 }
 
-// EvictAll checkpoints and stops all tasks and hands them over. When force
+// EvictAll checkpoints and stops all tasks and reports their ends. When force
 // ends, tasks that could not be checkpointed are stopped with their earlier
 // checkpoint. It returns when all ends are settled, or with ctx's error.
 func (m *Manager) EvictAll(ctx, force context.Context) error {
@@ -278,7 +277,7 @@
 		forced = forced || force.Err() != nil
 		m.mu.Lock()
 		for _, t := range m.tasks {
-			t.stop(wire.StopEvicted, forced)
+			t.requestStop(wire.StopEvicted, forced)
 		}
 		m.mu.Unlock()
 		select {
--- a/agent/tasks/tombstones.go
+++ b/agent/tasks/tombstones.go
@@ -2,12 +2,12 @@
 
 import "persimmonrock.example/structs"
 
-// maxTombstones bounds the remembered claims; at 450 starts a second over
-// 1,000 agents one agent ends about one task in two seconds.
+// maxTombstones bounds the recorded claims; at 450 starts a second over 1,000
+// agents, about one task ends at an agent every two seconds.
 const maxTombstones = 65536
 
-// tombstones remembers claims that must not start: those that ran and those
-// that were refused.
+// tombstones records claims that must not start: those that ran and those that
+// were refused.
 type tombstones struct {
 	claims map[Key]*structs.Refusal
 	order  []Key
@@ -15,9 +15,9 @@
 
 func newTombstones() tombstones { return tombstones{claims: make(map[Key]*structs.Refusal)} }
 
-func (t *tombstones) end(k Key) { t.refuse(k, nil) }
+func (t *tombstones) recordEnd(k Key) { t.refuse(k, nil) }
 
-// refuse remembers why k was refused; nil says that it ran.
+// refuse records why k was refused; nil says that it ran.
 func (t *tombstones) refuse(k Key, why *structs.Refusal) {
 	if _, ok := t.claims[k]; !ok {
 		if len(t.order) >= maxTombstones {
@@ -29,9 +29,9 @@
 	t.claims[k] = why
 }
 
-func (t *tombstones) ended(k Key) bool {
+func (t *tombstones) hasEnded(k Key) bool {
 	why, ok := t.claims[k]
 	return ok && why == nil
 }
 
-func (t *tombstones) refused(k Key) *structs.Refusal { return t.claims[k] }
+func (t *tombstones) refusal(k Key) *structs.Refusal { return t.claims[k] }
