--- a/agent/agent.go
+++ b/agent/agent.go
@@ -59,8 +59,8 @@
 	}
 	a := &Agent{config: c, deps: d, client: callClient(d.HTTP), ready: make(chan struct{}), leaseDone: make(chan struct{})}
 	a.ledger = ledger.New(ledger.Config{
-		Instance: c.Instance, Total: c.Total, Silent: c.Silent, Forget: forgetServer,
-		Settle: c.Settle, Survey: true, Broken: a.invariantBroken,
+		Instance: c.Instance, Total: c.Total, AnnounceTimeout: c.AnnounceTimeout, Retention: forgetServer,
+		Settle: c.Settle, Survey: true, OnBroken: a.invariantBroken,
 	})
 	a.lease = lease.New(lease.Config{
 		Instance: c.Instance, Address: c.Address, Zone: c.Zone, Length: c.Lease,
--- a/agent/config.go
+++ b/agent/config.go
@@ -34,8 +34,8 @@
 	// MaxBody bounds the body of a request and of an answer, in bytes.
 	MaxBody int64
 	// AnnounceEvery is the time between announcements of a backend server,
-	// and Silent the age of the last one above which it gets no new calls.
-	AnnounceEvery, Silent time.Duration
+	// and AnnounceTimeout the age of the last one above which it gets no new calls.
+	AnnounceEvery, AnnounceTimeout time.Duration
 	// Settle is how long after its start the agent admits nothing, so that
 	// every backend server can announce what it still runs. The default is
 	// twice AnnounceEvery.
@@ -77,7 +77,7 @@
 	setDefault(&c.WorkerLease, min(DefaultWorkerLease, c.Lease/6))
 	setDefault(&c.MaxBody, DefaultMaxBody)
 	setDefault(&c.AnnounceEvery, DefaultAnnounceEvery)
-	setDefault(&c.Silent, silentAnnouncements*c.AnnounceEvery)
+	setDefault(&c.AnnounceTimeout, silentAnnouncements*c.AnnounceEvery)
 	setDefault(&c.Settle, settleAnnouncements*c.AnnounceEvery)
 	setDefault(&c.Notice, DefaultNotice)
 	setDefault(&c.Timeout, DefaultTimeout)
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -74,8 +74,8 @@
 		n++
 		return refusedAs(a, structs.RequestID(fmt.Sprint("r", n)), structs.RefusedNotReady)
 	})
-	if took := time.Since(began); took > r.config.Silent+2*time.Second {
-		t.Errorf("refused after %s, want about %s", took, r.config.Silent)
+	if took := time.Since(began); took > r.config.AnnounceTimeout+2*time.Second {
+		t.Errorf("refused after %s, want about %s", took, r.config.AnnounceTimeout)
 	}
 }
 
--- a/agent/ledger/batch.go
+++ b/agent/ledger/batch.go
@@ -19,15 +19,15 @@
 	customer structs.Customer
 	kind     structs.Kind
 	size     structs.Resources
-	// measured is the most memory that it was seen to use.
+	// measured is the highest memory use observed.
 	measured int64
 }
 
 // excess is the memory that the task uses above its claim.
 func (t *task) excess() int64 { return max(0, t.measured-t.size.MemoryBytes) }
 
-// Reserve takes a task's declared size, at least one slot, or says why not. A
-// task that is in the ledger stays as it is.
+// Reserve reserves a task's declared size, at least one slot, or returns why
+// not. A task that is already in the ledger keeps its reservation.
 func (l *Ledger) Reserve(k TaskKey, c structs.Customer, kind structs.Kind, size structs.Resources, now time.Time) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,47 +45,47 @@
 	if !l.fits(size, l.config.Total) {
 		return TooLarge
 	}
-	if why := l.mayRun(c, size, now); why != Admitted {
+	if why := l.admitTask(c, size, now); why != Admitted {
 		return why
 	}
-	l.batch = nil
+	l.batchLoads = nil
 	l.tasks[k] = task{customer: c, kind: kind, size: size}
 	l.used = sum(l.used, size)
-	l.hold(c, 0, size.Slots)
+	l.addUse(c, 0, size.Slots)
 	l.trail.add(now, "reserve", structs.RequestID(k.Job), "", l.used.Slots)
 	if !l.fits(l.used, l.config.Total) {
-		l.broken("in use above capacity")
+		l.invariantBroken("in use above capacity")
 	}
 	return Admitted
 }
 
-// ReleaseTask gives back what a task held; it has provably stopped.
+// ReleaseTask releases what a task held; the task has provably stopped.
 func (l *Ledger) ReleaseTask(k TaskKey, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.tasks[k]
 	if !ok {
-		l.broken("task released twice")
+		l.invariantBroken("task released twice")
 		return
 	}
-	l.batch = nil
+	l.batchLoads = nil
 	l.excess -= t.excess()
 	delete(l.tasks, k)
 	l.used = sum(l.used, negative(t.size))
-	l.hold(t.customer, 0, -t.size.Slots)
+	l.addUse(t.customer, 0, -t.size.Slots)
 	l.trail.add(now, "release", structs.RequestID(k.Job), "", l.used.Slots)
 	if l.used.Slots < 0 || l.used.MilliCores < 0 || l.used.MemoryBytes < 0 || l.used.Accelerators < 0 {
-		l.broken("in use below zero")
+		l.invariantBroken("in use below zero")
 	}
 }
 
-// Measured notes the most memory that a task was seen to use.
+// Measured records the highest memory use observed of a task.
 //
 // Failure guarded against: a job declares far less memory than it uses; by the
 // claims its instance looks empty, more tasks are placed there, and the
 // platform kills them for lack of memory, again and again. The guard holds
-// because what is used above a claim counts as taken for tasks that come later;
-// the claims themselves stay as admitted.
+// because memory used above a claim counts as taken for later tasks; the claims
+// themselves stay as admitted.
 func (l *Ledger) Measured(k TaskKey, memory int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,8 +99,8 @@
 	l.tasks[k] = t
 }
 
-// room is what new tasks may take.
-func (l *Ledger) room() structs.Resources {
+// freeCapacity returns the resources that new tasks may use.
+func (l *Ledger) freeCapacity() structs.Resources {
 	free := sum(l.config.Total, negative(l.used))
 	free.MemoryBytes = max(0, free.MemoryBytes-l.excess)
 	return free
@@ -131,7 +131,8 @@
 	}
 }
 
-// Load fills in what the ledger knows of the agent's load.
+// Load returns the agent's load as the ledger has it, with the next sequence
+// number.
 func (l *Ledger) Load(now time.Time) wire.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,21 +144,21 @@
 		Sequence:    l.sequence,
 		Draining:    l.draining,
 		Total:       l.config.Total,
-		Free:        l.room(),
+		Free:        l.freeCapacity(),
 	}
 	for name, list := range l.services {
 		sl := wire.ServiceLoad{Service: name, Idempotent: true, Leaving: true}
 		for _, s := range list {
-			if s.state(now, l.config.Silent) != Admitted {
+			if s.state(now, l.config.AnnounceTimeout) != Admitted {
 				continue
 			}
 			sl.Leaving = false
-			sl.Slots += min(s.said.Slots, s.said.Connections)
+			sl.Slots += min(s.announced.Slots, s.announced.Connections)
 			sl.InUse += s.inUse
 			sl.ServiceTime = max(sl.ServiceTime, s.expected(now))
 		}
 		for _, s := range list {
-			sl.Idempotent = sl.Idempotent && s.said.Idempotent
+			sl.Idempotent = sl.Idempotent && s.announced.Idempotent
 		}
 		load.Services = append(load.Services, sl)
 	}
@@ -166,11 +167,12 @@
 	return load
 }
 
-// batchLoad counts the running tasks. The list is made anew when a task has
-// come or gone, since a load rides on every answer; it is never changed.
+// batchLoad counts the running tasks by customer and kind. The list is rebuilt
+// only after a task was added or removed, since every answer carries a load; a
+// returned list is never changed.
 func (l *Ledger) batchLoad() []wire.BatchLoad {
-	if l.batch != nil {
-		return l.batch
+	if l.batchLoads != nil {
+		return l.batchLoads
 	}
 	out := make([]wire.BatchLoad, 0, len(l.tasks))
 	index := make(map[wire.BatchLoad]int)
@@ -184,6 +186,6 @@
 		}
 		out[i].Running++
 	}
-	l.batch = out
+	l.batchLoads = out
 	return out
 }
--- a/agent/ledger/batch_test.go
+++ b/agent/ledger/batch_test.go
@@ -8,11 +8,11 @@
 	"persimmonrock.example/structs"
 )
 
-// A customer's tasks are killed for lack of memory on one instance again and
-// again. They declare a tenth of what they use, so that by their claims the
-// instance always has room. What is measured above a claim is not free; it is
-// again when the task has stopped, and a task that uses less than it claims
-// frees nothing, since it may still need it.
+// Tasks that declare a tenth of the memory they use are placed on one instance
+// until the platform kills them, again and again, because by their claims the
+// instance always has free memory. Memory measured above a claim is not free
+// until the task has stopped. A task that uses less than its claim frees
+// nothing, since it may still need the rest.
 func TestMemoryUsedAboveTheClaimIsNotFree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
@@ -31,13 +31,13 @@
 	want("by their claims", 700)
 	l.Measured(key("a"), 500)
 	l.Measured(key("b"), 10)
-	want("one uses ten times its claim", 250)
+	want("a uses ten times its claim", 250)
 	l.Measured(key("a"), 400)
-	want("it uses less for a moment", 250)
+	want("a uses less for a moment", 250)
 	l.Measured(key("b"), 999)
 	want("both use more than there is", 0)
 	if why := reserve("c"); why != Full {
-		t.Errorf("a task is admitted where memory ran out: %v", why)
+		t.Errorf("a task was admitted without free memory: %v", why)
 	}
 	l.ReleaseTask(key("b"), now)
 	l.Measured(key("b"), 999)
@@ -45,10 +45,10 @@
 	want("both have stopped", 800)
 }
 
-// A customer sees its checks slow while another floods with calls and jobs at
-// once. The flood's calls stay within its right, and its tasks hold lent slots
-// on top. While its calls take most of its right, no slot is lent to its tasks;
-// when they have ended for some seconds, free slots are lent again.
+// A customer floods the instance with calls and jobs at once and slows down
+// another customer's calls. The flood's calls stay within its right, and its
+// tasks borrow slots on top. While its calls use most of its right, its tasks
+// may borrow no slot; some seconds after the calls have ended they may again.
 func TestNoSlotIsLentToTasksOnTopOfAFloodOfCalls(t *testing.T) {
 	l := newLedger(t)
 	now := l.start
@@ -68,7 +68,7 @@
 		}
 		calls = append(calls, id)
 	}
-	now = now.Add(refreshEvery)
+	now = now.Add(refreshInterval)
 	if why := task(); why != Share {
 		t.Errorf("a task on top of a flood of calls: %v, want the share used up", why)
 	}
--- a/agent/ledger/bench_test.go
+++ b/agent/ledger/bench_test.go
@@ -11,7 +11,7 @@
 	"persimmonrock.example/wire"
 )
 
-// busy returns a ledger that customers hold tasks and slots on, and its time.
+// busy returns a ledger on which customers hold tasks and slots, and its time.
 func busy(b *testing.B, customers, tasks int) (*Ledger, time.Time) {
 	now := time.Unix(1000, 0)
 	l := newLedger(b)
@@ -22,7 +22,7 @@
 	l.config.Total = structs.Resources{Slots: 2000, MilliCores: 60000, MemoryBytes: 250 << 30, Connections: 2000}
 	l.SetConfig(structs.Config{Revision: 2, Contracts: contracts})
 	join(l, 1, now)
-	l.servers["b"].said.Slots, l.servers["b"].said.Connections = 1000, 1000
+	l.servers["b"].announced.Slots, l.servers["b"].announced.Connections = 1000, 1000
 	for i := range tasks {
 		c := structs.Customer(fmt.Sprint("c", i%customers))
 		k := TaskKey{Job: structs.JobID(fmt.Sprint("j", i)), Epoch: 1}
@@ -36,8 +36,8 @@
 	return l, now
 }
 
-// BenchmarkAdmission admits a call and frees its slot, beside the given number
-// of customers that hold something on the instance.
+// BenchmarkAdmission admits a call and frees its slot while the given number of
+// customers hold slots on the instance.
 func BenchmarkAdmission(b *testing.B) {
 	for _, customers := range []int{1, 10, 110} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
--- a/agent/ledger/inherit.go
+++ b/agent/ledger/inherit.go
@@ -6,21 +6,21 @@
 	"persimmonrock.example/structs"
 )
 
-// WorkerTask is a task that runs on the worker, as the worker says.
+// WorkerTask is a task that the worker reports as running.
 type WorkerTask struct {
 	Key  TaskKey
 	Size structs.Resources
 }
 
-// Survey takes what the worker runs for earlier agents into the account, in
-// place of what the last survey took, and reports how many tasks that is.
+// Survey replaces the tasks that the ledger counts for earlier agents by those
+// that the worker runs for them now, and returns their number.
 //
-// Failure guarded against: an agent is killed and a new one admits calls to
-// all slots while the worker still runs the old one's tasks, until their lease
+// Failure guarded against: an agent is killed and a new one admits calls to all
+// slots while the worker still runs the old one's tasks, until their lease
 // lapses or they are fenced; the instance then runs more than it can hold. The
 // guard holds because a ledger with Config.Survey admits nothing before its
 // first survey, and because an earlier agent can start no more tasks once the
-// backend servers and the worker have turned to this one.
+// backend servers and the worker have accepted this one.
 func (l *Ledger) Survey(running []WorkerTask, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,13 +44,12 @@
 
 // unsettled reports whether nothing may be admitted yet.
 //
-// Failure guarded against: a new agent gives slots away before it has heard of
-// the calls that backend servers still work on for the old agent. Slots are
-// shared by all services and by batch tasks, so one server's announcement is
-// not enough, and which servers there are is not written anywhere. The guard:
-// every server that runs announces itself within Settle, twice the time
-// between announcements. Of a server that is paused for longer the others tell
-// (see await).
+// Failure guarded against: a new agent admits work to slots in which backend
+// servers still run calls of the old agent. Slots are shared by all services
+// and by batch tasks, so one server's announcement is not enough, and there is
+// no list of the servers. The guard: every running server announces itself
+// within Settle, twice the time between announcements. The other servers name
+// one that is paused for longer (see reserveAwaited).
 func (l *Ledger) unsettled(now time.Time) bool {
 	early := l.config.Settle > 0 && now.Sub(l.start) < l.config.Settle
 	return early || (l.config.Survey && !l.surveyed)
--- a/agent/ledger/invariant.go
+++ b/agent/ledger/invariant.go
@@ -6,7 +6,7 @@
 	"persimmonrock.example/structs"
 )
 
-// trailLength is the number of recent steps kept for a broken invariant.
+// trailLength is the number of recent steps that a violation report includes.
 const trailLength = 64
 
 // Step is one recent change of the ledger.
@@ -18,11 +18,11 @@
 	InUse   int
 }
 
-// trail is a ring of the recent steps.
+// trail is a ring buffer of the recent steps.
 type trail struct {
-	steps [trailLength]Step
-	next  int
-	said  map[string]bool
+	steps    [trailLength]Step
+	next     int
+	reported map[string]bool
 }
 
 func (t *trail) add(now time.Time, what string, id structs.RequestID, server string, inUse int) {
@@ -39,17 +39,17 @@
 	return out
 }
 
-// broken counts a broken invariant and tells of its kind once.
-func (l *Ledger) broken(what string) {
+// invariantBroken counts a violated invariant and reports each kind once.
+func (l *Ledger) invariantBroken(what string) {
 	l.counters.InvariantBroken++
-	if l.trail.said[what] {
+	if l.trail.reported[what] {
 		return
 	}
-	if l.trail.said == nil {
-		l.trail.said = make(map[string]bool)
+	if l.trail.reported == nil {
+		l.trail.reported = make(map[string]bool)
 	}
-	l.trail.said[what] = true
-	if l.config.Broken != nil {
-		l.config.Broken(what, l.trail.recent())
+	l.trail.reported[what] = true
+	if l.config.OnBroken != nil {
+		l.config.OnBroken(what, l.trail.recent())
 	}
 }
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger keeps, under one lock, what an instance's agent has given
-// out: the slots and connections of its backend servers, and the slots,
-// processors, memory and accelerators of the instance. It is the authority on
-// what is free; everyone else's figure is a guess.
+// Package ledger records, under one lock, the slots and connections of an
+// instance's backend servers and the slots, processors, memory and accelerators
+// of the instance that are in use. It is the authority on free capacity; every
+// other process has only an estimate.
 //
 // A call's slot is freed by exactly one of: the whole answer, a proof that the
 // call did not run, a new incarnation of the backend server, or the server's
-// word, given after it has declared the request void, that it does not run.
-// A caller that leaves frees nothing.
+// statement that the call does not run, made after it has declared the request
+// void. A caller that disconnects frees nothing.
 package ledger
 
 import (
@@ -22,31 +22,32 @@
 // Config bounds a ledger.
 type Config struct {
 	Instance structs.InstanceID
-	// Total is what the instance holds.
+	// Total is the instance's capacity.
 	Total structs.Resources
-	// Silent is the age of a server's last announcement above which it gets
-	// no new calls.
-	Silent time.Duration
-	// Forget is the age above which an idle server is dropped.
-	Forget time.Duration
+	// AnnounceTimeout is the age of a server's last announcement above which
+	// the server gets no new calls.
+	AnnounceTimeout time.Duration
+	// Retention is the age of the last announcement above which an idle server
+	// is removed.
+	Retention time.Duration
 	// Survey makes the ledger admit nothing before its first survey, and Settle
-	// nothing for that long after its start.
+	// makes it admit nothing for that time after its start.
 	Survey bool
 	Settle time.Duration
-	// Broken is told of a broken invariant, once for each kind, with the
-	// ledger's recent steps. It must not call the ledger.
-	Broken func(what string, recent []Step)
+	// OnBroken is called with each violated invariant, once for each kind, and
+	// the ledger's recent steps. It must not call the ledger.
+	OnBroken func(what string, recent []Step)
 }
 
-// phase is where a call stands.
+// phase is the state of a call.
 type phase uint8
 
 const (
 	// exchanging: the agent waits for the answer.
 	exchanging phase = iota
-	// lingering: the exchange is over without a whole answer.
-	lingering
-	// inherited: it was admitted by an agent before this one.
+	// orphaned: the exchange has ended without a whole answer.
+	orphaned
+	// inherited: an earlier agent admitted the call.
 	inherited
 )
 
@@ -56,8 +57,8 @@
 	server      *server
 	incarnation uint64
 	phase       phase
-	// voided is the number of the first answer that declared the request
-	// void, 0 before.
+	// voided is the number of the first answer that declared the request void,
+	// 0 if there is none.
 	voided  uint64
 	started time.Time
 }
@@ -73,18 +74,18 @@
 	services map[structs.Service][]*server
 	calls    map[structs.RequestID]*call
 	tasks    map[TaskKey]task
-	// excess is the memory that tasks were seen to use above their claims.
-	excess int64
-	batch  []wire.BatchLoad
-	// uses and accounts are what customers hold, see quota.go.
+	// excess is the memory that tasks were measured to use above their claims.
+	excess     int64
+	batchLoads []wire.BatchLoad
+	// uses and accounts hold each customer's use, see quota.go.
 	uses      []decide.SlotUse
 	accounts  map[structs.Customer]*account
 	revision  structs.Revision
 	start     time.Time
 	refreshed time.Time
 	// incarnation is the highest that this agent has had towards a backend
-	// server or in its lease row; it orders its loads after those of the agent
-	// before it.
+	// server or in its lease row; it orders the agent's loads after those of
+	// its predecessor.
 	incarnation structs.Incarnation
 	session     string
 	// inherited are the sizes of tasks that run for earlier agents.
@@ -96,7 +97,7 @@
 	trail     trail
 }
 
-// Counters are what the ledger counts; read them with Ledger.Counters.
+// Counters are the ledger's counters.
 type Counters struct {
 	Admitted, Answered, NotRun, Cut  int64
 	FreedByList, FreedByRestart      int64
@@ -121,7 +122,7 @@
 	}
 }
 
-// Reason is why something was not admitted; Admitted says that it was.
+// Reason is the reason for which a request was not admitted, or Admitted.
 type Reason uint8
 
 // The reasons.
@@ -145,11 +146,11 @@
 	Customer structs.Customer
 	Service  structs.Service
 	Budget   time.Duration
-	// Revision is the configuration that the sender decided under.
+	// Revision is that of the configuration which the sender used.
 	Revision structs.Revision
 }
 
-// Grant is an admitted call and where it goes.
+// Grant is an admitted call with its backend server.
 type Grant struct {
 	Server   string
 	Address  string
@@ -158,8 +159,8 @@
 	Backend  uint64
 }
 
-// Admit takes a slot and a connection of a server of the service, or says why
-// not. An ID that is in the ledger is never admitted a second time.
+// Admit takes a slot and a connection of a server of the service, or returns
+// why not. An ID that is in the ledger is never admitted a second time.
 func (l *Ledger) Admit(r Request, now time.Time) (Grant, Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,35 +174,35 @@
 	if l.unsettled(now) {
 		return Grant{}, NotReady
 	}
-	s, why := l.choose(r.Service, now)
+	s, why := l.chooseServer(r.Service, now)
 	if why != Admitted {
 		return Grant{}, why
 	}
-	if r.Budget <= 0 || (s.inUse > 0 && r.Budget < s.typical) {
+	if r.Budget <= 0 || (s.inUse > 0 && r.Budget < s.median) {
 		return Grant{}, Late
 	}
-	if why := l.mayCall(r.Customer, r.Revision, now); why != Admitted {
+	if why := l.admitCall(r.Customer, r.Revision, now); why != Admitted {
 		return Grant{}, why
 	}
-	s.window.called(l.accounts[r.Customer].contract.LatencyTarget.Std())
+	s.window.recordTarget(l.accounts[r.Customer].contract.LatencyTarget.Std())
 	c := &call{id: r.ID, customer: r.Customer, server: s, incarnation: s.incarnation, started: now}
-	l.take(c, now)
+	l.acquireSlot(c, now)
 	l.counters.Admitted++
-	if s.inUse > s.said.Slots || s.inUse > s.said.Connections || l.overSlots() {
-		l.broken("in use above capacity")
+	if s.inUse > s.announced.Slots || s.inUse > s.announced.Connections || l.overSlots() {
+		l.invariantBroken("in use above capacity")
 	}
 	return Grant{
-		Server: s.name, Address: s.said.Address, CallPath: s.said.CallPath,
+		Server: s.name, Address: s.announced.Address, CallPath: s.announced.CallPath,
 		Agent: s.agent, Backend: s.incarnation,
 	}, Admitted
 }
 
-// choose returns the server of the service with most free slots.
-func (l *Ledger) choose(service structs.Service, now time.Time) (*server, Reason) {
+// chooseServer returns the server of the service with the most free slots.
+func (l *Ledger) chooseServer(service structs.Service, now time.Time) (*server, Reason) {
 	why := UnknownService
 	var best *server
 	for _, s := range l.services[service] {
-		switch state := s.state(now, l.config.Silent); {
+		switch state := s.state(now, l.config.AnnounceTimeout); {
 		case state != Admitted:
 			why = max(why, state)
 		case s.free() <= 0:
@@ -216,38 +217,39 @@
 	return best, Admitted
 }
 
-func (l *Ledger) take(c *call, now time.Time) {
+func (l *Ledger) acquireSlot(c *call, now time.Time) {
 	l.calls[c.id] = c
 	c.server.inUse++
 	l.used.Slots++
 	l.used.Connections++
-	l.hold(c.customer, 1, 0)
+	l.addUse(c.customer, 1, 0)
 	l.trail.add(now, "take", c.id, c.server.name, c.server.inUse)
 }
 
-// free gives the slot of c back.
-func (l *Ledger) free(c *call, step string, now time.Time) {
+// releaseSlot removes c and frees its slot.
+func (l *Ledger) releaseSlot(c *call, step string, now time.Time) {
 	if l.calls[c.id] != c {
-		l.broken("slot freed twice")
+		l.invariantBroken("slot freed twice")
 		return
 	}
 	delete(l.calls, c.id)
 	c.server.inUse--
 	l.used.Slots--
 	l.used.Connections--
-	l.hold(c.customer, -1, 0)
+	l.addUse(c.customer, -1, 0)
 	l.trail.add(now, step, c.id, c.server.name, c.server.inUse)
 	if c.server.inUse < 0 || l.used.Slots < 0 || l.used.Connections < 0 {
-		l.broken("in use below zero")
+		l.invariantBroken("in use below zero")
 	}
 }
 
-// inExchange returns the call whose exchange is about to end, or nil, which
-// breaks an invariant: an exchange ends once. what names its end.
+// inExchange returns the call whose exchange is about to end. If there is none
+// it returns nil and reports a violated invariant: an exchange ends once. what
+// names the kind of end.
 func (l *Ledger) inExchange(id structs.RequestID, what string) *call {
 	c := l.calls[id]
 	if c == nil || c.phase != exchanging {
-		l.broken(what + " a call that is not in exchange")
+		l.invariantBroken(what + " a call that is not in exchange")
 		return nil
 	}
 	return c
@@ -261,27 +263,27 @@
 	if c == nil {
 		return
 	}
-	c.server.learn(now.Sub(c.started), now)
+	c.server.observe(now.Sub(c.started), now)
 	l.counters.Answered++
-	l.free(c, "answered", now)
+	l.releaseSlot(c, "answered", now)
 }
 
-// NotRun frees the call's slot: it is proved that it did not run and never
-// will.
+// NotRun frees the call's slot: there is proof that the call did not run and
+// never will.
 func (l *Ledger) NotRun(id structs.RequestID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.inExchange(id, "proof of")
+	c := l.inExchange(id, "not-run proof of")
 	if c == nil {
 		return
 	}
 	l.counters.NotRun++
-	l.free(c, "not_run", now)
+	l.releaseSlot(c, "not_run", now)
 }
 
-// Cut says that the exchange is over and the whole answer did not come. The
-// slot stays taken, since the server may work on, unless the process that the
-// request was sent to has been replaced.
+// Cut records that the exchange ended without a whole answer. The slot stays
+// taken, since the server may still work on the call, unless the process that
+// the request was sent to has been replaced.
 func (l *Ledger) Cut(id structs.RequestID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -292,28 +294,28 @@
 	l.counters.Cut++
 	if c.incarnation != c.server.incarnation {
 		l.counters.FreedByRestart++
-		l.free(c, "cut after restart", now)
+		l.releaseSlot(c, "cut after restart", now)
 		return
 	}
-	c.phase = lingering
+	c.phase = orphaned
 	l.trail.add(now, "cut", c.id, c.server.name, c.server.inUse)
 }
 
-// SetLease tells the incarnation of the agent's lease row.
+// SetLease records the incarnation in the agent's lease row.
 func (l *Ledger) SetLease(n structs.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.incarnation = max(l.incarnation, n)
 }
 
-// Incarnation is the highest that the agent has had.
+// Incarnation returns the highest incarnation that the agent has had.
 func (l *Ledger) Incarnation() structs.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation
 }
 
-// Drain refuses new work from now on, or takes it again.
+// Drain makes the ledger refuse new work, or admit it again.
 func (l *Ledger) Drain(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -327,7 +329,7 @@
 	return l.draining
 }
 
-// Exchanging is the number of calls whose answer the agent waits for.
+// Exchanging returns the number of calls that wait for an answer.
 func (l *Ledger) Exchanging() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -349,5 +351,5 @@
 
 func (l *Ledger) freeSlots() int { return l.config.Total.Slots - l.used.Slots }
 
-// overSlots reports whether an admission went above the instance's slots.
+// overSlots reports whether more slots are in use than the instance has.
 func (l *Ledger) overSlots() bool { return l.used.Slots > l.config.Total.Slots }
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// newLedger returns a ledger of 8 slots and contracts of half, half and all.
+// newLedger returns a ledger of 8 slots with contracts of one half, one half
+// and the whole.
 func newLedger(t interface{ Errorf(string, ...any) }) *Ledger {
 	l := New(Config{
-		Instance: "i1", Silent: time.Minute, Forget: time.Hour,
-		Total:  structs.Resources{Slots: 8, MilliCores: 8000, MemoryBytes: 800, Accelerators: 2, Connections: 64},
-		Broken: func(what string, recent []Step) { t.Errorf("invariant broken: %s %v", what, recent) },
+		Instance: "i1", AnnounceTimeout: time.Minute, Retention: time.Hour,
+		Total:    structs.Resources{Slots: 8, MilliCores: 8000, MemoryBytes: 800, Accelerators: 2, Connections: 64},
+		OnBroken: func(what string, recent []Step) { t.Errorf("invariant broken: %s %v", what, recent) },
 	})
 	l.SetConfig(structs.Config{Revision: 1, Contracts: map[structs.Customer]structs.Contract{
 		"granite": {Share: 0.5}, "kowhai": {Share: 0.5}, "all": {Share: 1},
@@ -24,26 +25,26 @@
 	return l
 }
 
-// join announces a server of 4 slots until the ledger admits calls for it, and
-// returns its guard.
+// join announces a server of 4 slots until the ledger admits calls to it, and
+// returns the server's guard.
 func join(l *Ledger, incarnation uint64, now time.Time) *backend.Guard {
 	g := backend.NewGuard(incarnation, 4)
 	for range 2 {
-		if answer, err := l.Announce("b", said(g), now); err == nil {
+		if answer, err := l.Announce("b", announcementOf(g), now); err == nil {
 			g.CarryOut(answer)
 		}
 	}
 	return g
 }
 
-func said(g *backend.Guard) backend.Announcement {
+func announcementOf(g *backend.Guard) backend.Announcement {
 	return g.Fill(backend.Announcement{Service: "s", Address: "x", Slots: 4, Connections: 4, MemoryBytes: 100})
 }
 
-// An operator retires a backend server. It gets nothing from the moment that
-// the agent knows, by DELETE or by its own announcement; a late announcement
-// from before, or a repeated one, does not bring it back, and a new process
-// under its name does.
+// An operator retires a backend server. It gets no calls once the agent has the
+// DELETE or the server's own announcement of it. A late or repeated
+// announcement from before doesn't bring the server back; a new process under
+// its name does.
 func TestLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, byAnnouncement := range []bool{false, true} {
@@ -55,13 +56,13 @@
 			_, why := l.Admit(Request{ID: structs.RequestID(fmt.Sprint(n)), Customer: "all", Service: "s", Budget: time.Second}, now)
 			return why
 		}
-		late := said(g)
+		late := announcementOf(g)
 		if why := admit(); why != Admitted {
-			t.Fatalf("before: %v", why)
+			t.Fatalf("before leaving: %v", why)
 		}
 		if byAnnouncement {
 			g.Leave()
-			_, _ = l.Announce("b", said(g), now)
+			_, _ = l.Announce("b", announcementOf(g), now)
 		} else {
 			l.Leave("b")
 		}
@@ -75,24 +76,24 @@
 		}
 		l.Answered("1", now)
 		if s, _ := l.Status("b"); !s.Safe {
-			t.Errorf("status %+v at the end", s)
+			t.Errorf("status %+v without a call", s)
 		}
 		fresh := join(l, 2, now)
 		if why := admit(); why != Admitted {
 			t.Errorf("a new process: %v", why)
 		}
-		stale := said(fresh)
+		stale := announcementOf(fresh)
 		stale.Slots = 1
-		_, _ = l.Announce("b", said(fresh), now)
+		_, _ = l.Announce("b", announcementOf(fresh), now)
 		if _, err := l.Announce("b", stale, now); err == nil || l.Offers().Slots != 4 {
-			t.Errorf("an overtaken announcement: %v, %d slots", err, l.Offers().Slots)
+			t.Errorf("an announcement older than the last: %v, %d slots", err, l.Offers().Slots)
 		}
 	}
 }
 
-// Two customers share an instance. One that floods it with checks and tasks
-// gets more than its share while the other needs nothing, and no more than
-// what is free beside the other's right as soon as that one asks.
+// Two customers share an instance. A customer that floods it with calls and
+// tasks gets more than its share while the other needs nothing; once the other
+// sends requests, it gets no more than is free beside the other's right.
 func TestShares(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
@@ -115,7 +116,7 @@
 		t.Errorf("granite got %d of the 7 slots that nobody is expected to need", held)
 	}
 	if !l.Borrows("granite") || l.Borrows("kowhai") {
-		t.Error("granite borrows and kowhai does not")
+		t.Error("want granite to borrow and kowhai not to")
 	}
 	if _, why := l.Admit(Request{ID: "k2", Customer: "kowhai", Service: "s", Budget: time.Second}, now); why != Full || l.Owed() != (Owed{Slots: 1, Calls: 1}) {
 		t.Errorf("kowhai within its right on a full instance: %v, want full and one slot owed", why)
@@ -125,32 +126,33 @@
 		t.Errorf("granite took %d slots that are owed to kowhai", held)
 	}
 	if _, why := l.Admit(Request{ID: "k2", Customer: "kowhai", Service: "s", Budget: time.Second}, now); why != Admitted {
-		t.Errorf("the slot that was given back: %v", why)
+		t.Errorf("kowhai's call for the freed slot: %v", why)
 	}
 }
 
 // An agent is killed while two backend servers of its instance work. Its
-// successor hears the first one: it may not give out the slots that the second
-// one may be using, neither to calls nor to batch tasks, until it knows what
-// that runs. It makes no difference that the second was heard, if the answer to
-// it was lost: it has not accepted the new agent and told it nothing.
-func TestNewAgentCountsServersThatItHasNotHeard(t *testing.T) {
+// successor receives the first one's announcement. It may not admit calls or
+// batch tasks to the slots that the second one may be using until it knows what
+// that one runs. The same holds if the second one announced itself and the
+// answer was lost: it has not accepted the new agent and sent no list of its
+// calls.
+func TestNewAgentReservesSlotsOfUnreportedServers(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		countsServers(t, lost)
+		testReservedSlots(t, lost)
 	}
 }
 
-func countsServers(t *testing.T, lost bool) {
+func testReservedSlots(t *testing.T, lost bool) {
 	old, now := newLedger(t), time.Now()
 	one, two := backend.NewGuard(1, 4), backend.NewGuard(1, 4)
-	hear := func(l *Ledger, name string, g *backend.Guard) {
-		if answer, err := l.Announce(name, said(g), now); err == nil {
+	announce := func(l *Ledger, name string, g *backend.Guard) {
+		if answer, err := l.Announce(name, announcementOf(g), now); err == nil {
 			g.CarryOut(answer)
 		}
 	}
 	for range 3 {
-		hear(old, "one", one)
-		hear(old, "two", two)
+		announce(old, "one", one)
+		announce(old, "two", two)
 	}
 	l := newLedger(t)
 	l.config.Settle = time.Second
@@ -162,25 +164,25 @@
 	}
 	now = now.Add(2 * time.Second)
 	if lost {
-		_, _ = l.Announce("two", said(two), now)
+		_, _ = l.Announce("two", announcementOf(two), now)
 	}
-	hear(l, "one", one)
-	hear(l, "one", one)
+	announce(l, "one", one)
+	announce(l, "one", one)
 	if free := l.Load(now).Free.Slots; free != 4 {
-		t.Errorf("%d slots free of 8, want 4 kept for the server that was not heard", free)
+		t.Errorf("%d slots free of 8, want 4 kept for the server that has not reported", free)
 	}
 	if why := reserve(5); why != Full {
 		t.Errorf("a task of 5 slots: %v, want full", why)
 	}
-	hear(l, "two", two)
-	hear(l, "two", two)
+	announce(l, "two", two)
+	announce(l, "two", two)
 	if free := l.Load(now).Free.Slots; free != 8 {
-		t.Errorf("%d slots free of 8 when both are heard", free)
+		t.Errorf("%d slots free of 8 when both have reported", free)
 	}
 }
 
-// Tasks of any declared size and calls come and go. What is given out never
-// exceeds the instance in any resource, and all of it comes back.
+// Tasks of any declared size and calls come and go. Their sum never exceeds the
+// instance in any resource, and all of it is free at the end.
 func TestRandomSizes(t *testing.T) {
 	checks := flag.Lookup("rapid.checks").Value
 	defer func(all string) { _ = checks.Set(all) }(checks.String())
@@ -224,9 +226,9 @@
 	}
 }
 
-// A service is slow for a while, then as fast as before; its callers go on
-// being refused, since no answer within their deadline is expected. Cause: the
-// estimate of its calls' duration only changes with calls, and none are made.
+// A service is slow for a while, then as fast as before; its callers are still
+// refused, since no answer within their deadline is expected. Cause: the
+// estimate of its calls' duration only changes with calls, and there are none.
 func TestEstimateOfASlowServerFades(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
@@ -246,8 +248,8 @@
 	}
 	call("slow", 4*time.Second)
 	expect("after a slow call", 4*time.Second, 4*time.Second)
-	now = now.Add(3 * forgetTypical)
-	expect("idle for long", 500*time.Millisecond, 500*time.Millisecond)
+	now = now.Add(3 * medianHalfLife)
+	expect("after three half-lives without calls", 500*time.Millisecond, 500*time.Millisecond)
 	call("fast", 10*time.Millisecond)
 	expect("after a fast call", 10*time.Millisecond, 450*time.Millisecond)
 	call("slow again", 30*time.Second)
--- a/agent/ledger/peers.go
+++ b/agent/ledger/peers.go
@@ -6,44 +6,45 @@
 	"persimmonrock.example/backend"
 )
 
-// awaitPeers is how long slots are kept for a server that another one names
-// and that does not announce itself.
-const awaitPeers = 30 * time.Second
+// awaitedTimeout is the time for which slots stay reserved for a server that
+// another server names and that does not announce itself.
+const awaitedTimeout = 30 * time.Second
 
-// awaited is a server that this agent has not heard of and that may run calls
-// of the agent before it.
+// awaited is a server that has not accepted this agent yet and that may run
+// calls of the agent before it.
 type awaited struct {
 	slots int
 	since time.Time
 }
 
-// await takes the slots of servers that an announcement to another agent names,
-// and of the one that made it, while this agent does not know what they run.
+// reserveAwaited reserves the slots of the servers that an announcement to
+// another agent names, and of the server that made it, while this agent does
+// not know what they run.
 //
 // Failure guarded against: an agent is killed while two backend servers of its
-// instance work. The new agent hears the first one and admits calls to all of
-// the instance's free slots, before it hears what the second one runs; the
-// instance then runs more than it can hold. The guard holds because each
-// server repeats the names that the agent before gave it, in the announcement
-// before which the new agent admits nothing to it. A server that was heard is
-// no better known than one that was not, until it has accepted this agent: the
-// answer that asks it to may be lost.
-func (l *Ledger) await(s *server, a backend.Announcement, now time.Time) {
+// instance work. The new agent receives the first one's announcement and admits
+// calls to all of the instance's free slots before it learns what the second
+// one runs; the instance then runs more than it can hold. The guard holds
+// because each server repeats the names that the previous agent gave it, in the
+// announcement before which the new agent admits nothing to it. The slots of a
+// server that has announced itself stay reserved, too, until it has accepted
+// this agent: the answer that asks it to may be lost.
+func (l *Ledger) reserveAwaited(s *server, a backend.Announcement, now time.Time) {
 	if a.AgentSession == l.session {
 		return
 	}
 	for name, slots := range a.Peers {
-		l.keep(name, slots, now)
+		l.reserveSlots(name, slots, now)
 	}
 	if a.AgentSession != "" {
-		l.keep(s.name, a.Slots, now)
+		l.reserveSlots(s.name, a.Slots, now)
 	}
 }
 
-func (l *Ledger) keep(name string, slots int, now time.Time) {
+func (l *Ledger) reserveSlots(name string, slots int, now time.Time) {
 	_, kept := l.awaited[name]
 	s := l.servers[name]
-	if kept || slots < 1 || (s != nil && s.met) {
+	if kept || slots < 1 || (s != nil && s.everReady) {
 		return
 	}
 	l.awaited[name] = awaited{slots: slots, since: now}
@@ -51,9 +52,9 @@
 	l.trail.add(now, "await", "", name, l.used.Slots)
 }
 
-// arrived gives the slots back that were kept for a server: what it runs is
-// in the ledger from now on.
-func (l *Ledger) arrived(name string, now time.Time) {
+// releaseAwaited frees the slots that were reserved for a server: its calls are
+// in the ledger, or it has not announced itself in time.
+func (l *Ledger) releaseAwaited(name string, now time.Time) {
 	kept, ok := l.awaited[name]
 	if !ok {
 		return
@@ -63,16 +64,16 @@
 	l.trail.add(now, "arrived", "", name, l.used.Slots)
 }
 
-// peers are the other servers that may run calls, with their slots.
+// peers returns the other servers that may run calls, with their slots.
 func (l *Ledger) peers(s *server, now time.Time) map[string]int {
 	out := make(map[string]int, len(l.servers)+len(l.awaited))
 	for name, kept := range l.awaited {
 		out[name] = kept.slots
 	}
 	for name, o := range l.servers {
-		idle := o.inUse == 0 && (o.leaving || now.Sub(o.heard) > l.config.Silent)
+		idle := o.inUse == 0 && (o.leaving || now.Sub(o.lastContact) > l.config.AnnounceTimeout)
 		if o != s && !idle {
-			out[name] = max(o.said.Slots, 1)
+			out[name] = max(o.announced.Slots, 1)
 		}
 	}
 	delete(out, s.name)
@@ -81,8 +82,8 @@
 
 func (l *Ledger) expireAwaited(now time.Time) {
 	for name, kept := range l.awaited {
-		if now.Sub(kept.since) > awaitPeers {
-			l.arrived(name, now)
+		if now.Sub(kept.since) > awaitedTimeout {
+			l.releaseAwaited(name, now)
 		}
 	}
 }
--- a/agent/ledger/pressure.go
+++ b/agent/ledger/pressure.go
@@ -10,7 +10,7 @@
 // windowCalls bounds the durations kept for one window of a server.
 const windowCalls = 256
 
-// Window is how one service did since the last look.
+// Window is the load and latency of one service since the last call of Windows.
 type Window struct {
 	Service      structs.Service
 	InUse, Slots int
@@ -22,60 +22,61 @@
 	Target time.Duration
 }
 
-// window gathers what the next Window says of one server.
+// window collects one server's part of the next Window.
 type window struct {
-	took   []time.Duration
-	calls  int
-	target time.Duration
+	durations []time.Duration
+	calls     int
+	target    time.Duration
 }
 
-func (w *window) ended(took time.Duration) {
+func (w *window) recordDuration(took time.Duration) {
 	w.calls++
-	if len(w.took) < windowCalls {
-		w.took = append(w.took, took)
+	if len(w.durations) < windowCalls {
+		w.durations = append(w.durations, took)
 	}
 }
 
-func (w *window) called(target time.Duration) {
+func (w *window) recordTarget(target time.Duration) {
 	if target > 0 && (w.target == 0 || target < w.target) {
 		w.target = target
 	}
 }
 
-// Windows returns how each service did since the last call, and begins anew.
+// Windows returns the load and latency of each service since the last call, and
+// starts new windows.
 func (l *Ledger) Windows() []Window {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Window
 	for name, list := range l.services {
 		one := Window{Service: name}
-		var took []time.Duration
+		var durations []time.Duration
 		for _, s := range list {
 			one.InUse += s.inUse
-			one.Slots += s.said.Slots
+			one.Slots += s.announced.Slots
 			one.Calls += s.window.calls
-			took = append(took, s.window.took...)
+			durations = append(durations, s.window.durations...)
 			if t := s.window.target; t > 0 && (one.Target == 0 || t < one.Target) {
 				one.Target = t
 			}
-			s.window = window{took: s.window.took[:0]}
+			s.window = window{durations: s.window.durations[:0]}
 		}
-		if len(took) > 0 {
-			slices.Sort(took)
-			one.Median = took[len(took)/2]
+		if len(durations) > 0 {
+			slices.Sort(durations)
+			one.Median = durations[len(durations)/2]
 		}
 		out = append(out, one)
 	}
 	return out
 }
 
-// Owed counts slots that customers within their right were refused.
+// Owed counts the slots that were refused to customers within their right.
 type Owed struct {
-	// Slots is all of them, Calls those that calls were refused.
+	// Slots counts all of them, Calls those that were refused to calls.
 	Slots, Calls int
 }
 
-// Owed returns what is owed since the last call, and begins anew.
+// Owed returns the counts since the last call, and resets them.
 func (l *Ledger) Owed() Owed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,9 +96,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[c]
-	if a == nil || a.use < 0 {
+	if a == nil || a.useIndex < 0 {
 		return false
 	}
-	u := l.uses[a.use]
+	u := l.uses[a.useIndex]
 	return u.Urgent+u.Batch > a.right
 }
--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -7,24 +7,25 @@
 	"persimmonrock.example/structs"
 )
 
-// refreshEvery bounds how old the expected needs of customers that ask for
-// nothing may get.
-const refreshEvery = 100 * time.Millisecond
+// refreshInterval bounds the age of the expected needs of customers that
+// request nothing.
+const refreshInterval = 100 * time.Millisecond
 
-// account is what the ledger knows of one customer.
+// account is the ledger's record of one customer.
 type account struct {
 	contract structs.Contract
 	right    int
 	demand   decide.Demand
-	// denied counts slots that were refused within the right, deniedCalls
-	// those of calls.
+	// denied counts slots that were refused within the right, deniedCalls those
+	// that were refused to calls.
 	denied, deniedCalls int
-	// use is the customer's place in Ledger.uses, -1 while it holds nothing
-	// and is expected to need nothing.
-	use int
+	// useIndex is the index of the customer in Ledger.uses, -1 while it holds
+	// nothing and is expected to need nothing.
+	useIndex int
 }
 
-// SetConfig replaces the contracts. A lower revision than known is ignored.
+// SetConfig replaces the contracts. It ignores a revision that is not higher
+// than the current one and returns false.
 func (l *Ledger) SetConfig(c structs.Config) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +45,7 @@
 	return true
 }
 
-// Revision is the configuration that the ledger decides under.
+// Revision returns the revision of the ledger's configuration.
 func (l *Ledger) Revision() structs.Revision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,39 +56,41 @@
 	a := l.account(name)
 	a.contract = c
 	a.right = decide.Quota(c, l.config.Instance, l.config.Total)
-	if a.use >= 0 {
-		l.uses[a.use].Right = a.right
+	if a.useIndex >= 0 {
+		l.uses[a.useIndex].Right = a.right
 	}
 }
 
 func (l *Ledger) account(c structs.Customer) *account {
 	a := l.accounts[c]
 	if a == nil {
-		a = &account{contract: structs.Contract{Customer: c}, use: -1}
+		a = &account{contract: structs.Contract{Customer: c}, useIndex: -1}
 		l.accounts[c] = a
 	}
 	return a
 }
 
-// borrowOnly stands for a contract that an entry has and this agent hasn't
-// heard of yet: the customer gets only what nobody is owed.
-const borrowOnly = 1e-9
+// borrowOnlyShare stands for a contract that an entry has and this agent has
+// not received yet: the customer gets only slots that no other customer has a
+// right to.
+const borrowOnlyShare = 1e-9
 
-// quota returns the customer's account and the contract to decide under.
-func (l *Ledger) quota(c structs.Customer, revision structs.Revision) (*account, structs.Contract) {
+// accountAndContract returns the customer's account and the contract to decide
+// under.
+func (l *Ledger) accountAndContract(c structs.Customer, revision structs.Revision) (*account, structs.Contract) {
 	a := l.account(c)
 	contract := a.contract
 	if contract.Share == 0 && (revision > l.revision || l.revision == 0) {
-		contract.Share = borrowOnly
+		contract.Share = borrowOnlyShare
 	}
 	return a, contract
 }
 
-// mayCall decides whether the customer may hold one more slot for a call.
-func (l *Ledger) mayCall(c structs.Customer, revision structs.Revision, now time.Time) Reason {
+// admitCall decides whether the customer may hold one more slot for a call.
+func (l *Ledger) admitCall(c structs.Customer, revision structs.Revision, now time.Time) Reason {
 	l.refresh(now)
-	a, contract := l.quota(c, revision)
-	u := l.use(c, a)
+	a, contract := l.accountAndContract(c, revision)
+	u := l.useOf(c, a)
 	a.demand.Observe(now.Sub(l.start), u.Urgent+1)
 	u.Expected = max(u.Expected, u.Urgent+1)
 	free := structs.Resources{Slots: l.freeSlots()}
@@ -96,24 +99,24 @@
 		a.denied++
 		a.deniedCalls++
 	}
-	return verdict(ok, hold)
+	return admissionReason(ok, hold)
 }
 
-// mayRun decides whether a batch task of the customer may start.
-func (l *Ledger) mayRun(c structs.Customer, need structs.Resources, now time.Time) Reason {
+// admitTask decides whether a batch task of the customer may start.
+func (l *Ledger) admitTask(c structs.Customer, need structs.Resources, now time.Time) Reason {
 	l.refresh(now)
-	a, contract := l.quota(c, l.revision)
-	u := l.use(c, a)
-	free := l.room()
+	a, contract := l.accountAndContract(c, l.revision)
+	u := l.useOf(c, a)
+	free := l.freeCapacity()
 	free.Connections = 0
 	ok, hold := decide.AdmitBatch(l.uses, contract, a.right, need, free)
 	if !ok && u.Urgent+u.Batch+need.Slots <= a.right {
 		a.denied += need.Slots
 	}
-	return verdict(ok, hold)
+	return admissionReason(ok, hold)
 }
 
-func verdict(ok bool, hold decide.Hold) Reason {
+func admissionReason(ok bool, hold decide.Hold) Reason {
 	switch {
 	case ok:
 		return Admitted
@@ -125,30 +128,31 @@
 	return Full
 }
 
-// use returns the customer's entry of what it holds here.
-func (l *Ledger) use(c structs.Customer, a *account) *decide.SlotUse {
-	if a.use < 0 {
-		a.use = len(l.uses)
+// useOf returns the customer's element of uses.
+func (l *Ledger) useOf(c structs.Customer, a *account) *decide.SlotUse {
+	if a.useIndex < 0 {
+		a.useIndex = len(l.uses)
 		l.uses = append(l.uses, decide.SlotUse{Customer: c, Right: a.right})
 	}
-	return &l.uses[a.use]
+	return &l.uses[a.useIndex]
 }
 
-// hold adds to what the customer holds; amounts may be negative.
-func (l *Ledger) hold(c structs.Customer, urgent, batch int) {
-	u := l.use(c, l.account(c))
+// addUse adds slots to the customer's use; amounts may be negative.
+func (l *Ledger) addUse(c structs.Customer, urgent, batch int) {
+	u := l.useOf(c, l.account(c))
 	u.Urgent += urgent
 	u.Batch += batch
 	if u.Urgent < 0 || u.Batch < 0 {
-		l.broken("customer's account below zero")
+		l.invariantBroken("customer's account below zero")
 	}
 }
 
-// refresh lets expected needs fade and drops customers that hold and need
-// nothing, so that an admission looks only at those that matter. It may delete
-// accounts, so it comes before an admission looks its account up.
+// refresh updates the expected needs, which fade with time, and removes
+// customers that hold and need nothing, so that an admission examines only the
+// others. It may delete accounts, so an admission calls it before it looks up
+// its account.
 func (l *Ledger) refresh(now time.Time) {
-	if now.Sub(l.refreshed) < refreshEvery {
+	if now.Sub(l.refreshed) < refreshInterval {
 		return
 	}
 	l.refreshed = now
@@ -158,13 +162,13 @@
 		u.Expected = a.demand.Expected(now.Sub(l.start))
 		u.Recent = a.demand.Recent(now.Sub(l.start))
 		if u.Urgent+u.Batch == 0 && u.Expected == 0 {
-			a.use = -1
+			a.useIndex = -1
 			if a.contract.Share == 0 {
 				delete(l.accounts, u.Customer)
 			}
 			continue
 		}
-		a.use = len(kept)
+		a.useIndex = len(kept)
 		kept = append(kept, u)
 	}
 	l.uses = kept
--- a/agent/ledger/quota_test.go
+++ b/agent/ledger/quota_test.go
@@ -7,22 +7,22 @@
 	"persimmonrock.example/structs"
 )
 
-// A customer's first calls reach an agent that hasn't heard of its contract
-// yet, with a pause between them; then the agent looks at how many slots it
-// owes, and dies. Cause: the pause made the second admission's refresh drop
-// the account that the same admission had just looked up, so the customer
-// stood among the holders without an account.
-func TestCustomerUnknownHereKeepsItsAccount(t *testing.T) {
+// A customer's first calls reach an agent that has not received its contract
+// yet, with a pause between them; then the agent panics when it counts the
+// slots it owes. Cause: after the pause the second admission's refresh deleted
+// the account that the same admission had just looked up, so the customer was
+// in uses without an account.
+func TestAccountOfUnknownCustomerSurvivesRefresh(t *testing.T) {
 	l := New(Config{Instance: "i1", Total: structs.Resources{Slots: 8}})
 	now := time.Now()
-	ask := func() {
+	admit := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.mayCall("newcomer", structs.Revision(1), now)
+		l.admitCall("newcomer", structs.Revision(1), now)
 	}
-	ask()
+	admit()
 	now = now.Add(time.Minute)
-	ask()
+	admit()
 	if l.Owed(); l.accounts["newcomer"] == nil {
 		t.Error("the customer has a use and no account")
 	}
--- a/agent/ledger/retire.go
+++ b/agent/ledger/retire.go
@@ -2,8 +2,8 @@
 
 import "persimmonrock.example/structs"
 
-// Retire takes every server of the service out of use until it is started
-// anew. It gets no new calls; those in progress finish.
+// Retire stops new calls to every server of the service until the server is
+// restarted. Calls in progress finish.
 func (l *Ledger) Retire(service structs.Service) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -12,86 +12,86 @@
 // server is one name under which backend servers announce themselves.
 type server struct {
 	name        string
-	said        backend.Announcement
+	announced   backend.Announcement
 	incarnation uint64
 	sequence    uint64
 	// agent is this agent's incarnation towards the server.
 	agent structs.Incarnation
-	// ready: the server has fenced every earlier agent, and what ran at that
-	// moment is in the ledger.
+	// ready: the server has fenced every earlier agent, and the calls that ran
+	// at that moment are in the ledger.
 	ready bool
-	// met is set once that was so.
-	met     bool
-	leaving bool
-	// reserved is the memory that is taken for the server.
-	reserved int64
-	answers  uint64
-	inUse    int
-	heard    time.Time
-	// typical is a running estimate of the median duration of a call, ended is
-	// when it was last learnt from one.
-	typical time.Duration
-	ended   time.Time
-	window  window
+	// everReady is set once ready has been set.
+	everReady bool
+	leaving   bool
+	// reserved is the memory reserved for the server.
+	reserved    int64
+	answers     uint64
+	inUse       int
+	lastContact time.Time
+	// median is a running estimate of the median duration of a call, lastEnded
+	// the time of the last call that changed it.
+	median    time.Duration
+	lastEnded time.Time
+	window    window
 }
 
-func (s *server) free() int { return min(s.said.Slots, s.said.Connections) - s.inUse }
+func (s *server) free() int { return min(s.announced.Slots, s.announced.Connections) - s.inUse }
 
-// state is Admitted if the server may get a call.
-func (s *server) state(now time.Time, silent time.Duration) Reason {
+// state returns Admitted if the server may get a call, otherwise the reason.
+func (s *server) state(now time.Time, timeout time.Duration) Reason {
 	switch {
 	case s.leaving:
 		return Leaving
-	case !s.ready || now.Sub(s.heard) > silent:
+	case !s.ready || now.Sub(s.lastContact) > timeout:
 		return NotReady
 	}
 	return Admitted
 }
 
-// forgetTypical is the time without a call in which the estimate of its
+// medianHalfLife is the time without a call in which the estimate of its
 // duration halves.
-const forgetTypical = 5 * time.Second
+const medianHalfLife = 5 * time.Second
 
-// expected is the estimate for a call that starts now.
+// expected returns the estimated duration of a call that starts now.
 //
 // Failure guarded against: a server was slow, so entries refuse all calls whose
-// deadline is below the estimate, and since none is made the estimate stays as
-// it was, however fast the server is again. The guard: an estimate that nothing
-// confirms shrinks until a call is tried; calls that run confirm it.
+// deadline is below the estimate, and without calls the estimate stays high,
+// however fast the server is again. The guard: without calls the estimate
+// shrinks until a call is tried; running calls keep it as it is.
 func (s *server) expected(now time.Time) time.Duration {
 	if s.inUse > 0 {
-		return s.typical
+		return s.median
 	}
-	return aged(s.typical, now.Sub(s.ended))
+	return decayed(s.median, now.Sub(s.lastEnded))
 }
 
-func aged(d, idle time.Duration) time.Duration { return d >> min(max(idle, 0)/forgetTypical, 62) }
+func decayed(d, idle time.Duration) time.Duration { return d >> min(max(idle, 0)/medianHalfLife, 62) }
 
-// learn moves the estimate of the median by a tenth towards took.
-func (s *server) learn(took time.Duration, now time.Time) {
-	s.window.ended(took)
-	s.typical = aged(s.typical, now.Add(-took).Sub(s.ended))
-	s.ended = now
+// observe moves the estimate of the median by a tenth towards took.
+func (s *server) observe(took time.Duration, now time.Time) {
+	s.window.recordDuration(took)
+	s.median = decayed(s.median, now.Add(-took).Sub(s.lastEnded))
+	s.lastEnded = now
 	switch {
-	case s.typical == 0:
-		s.typical = took
-	case took > s.typical:
-		s.typical += s.typical/10 + 1
-	case took < s.typical:
-		s.typical -= s.typical / 10
+	case s.median == 0:
+		s.median = took
+	case took > s.median:
+		s.median += s.median/10 + 1
+	case took < s.median:
+		s.median -= s.median / 10
 	}
 }
 
-// StaleError says that an announcement is older than what the ledger knows.
+// StaleError is returned for an announcement that is older than a known one.
 type StaleError struct {
-	// Incarnation is the highest that has announced itself under the name.
+	// Incarnation is the highest that was announced under the name.
 	Incarnation uint64
 }
 
 // Error implements error.
 func (e *StaleError) Error() string { return "a later announcement has been heard" }
 
-// Check returns the first rule that the announcement breaks.
+// Check returns an error for the first rule that the announcement breaks.
 func Check(a backend.Announcement) error {
 	switch {
 	case a.Service == "":
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// Announce takes one announcement in and returns the answer.
+// Announce processes one announcement and returns the answer.
 //
 // Failure guarded against: a list of active requests is made before a request
 // arrives and read after its exchange broke; the request is not in the list,
 // the slot is freed, and then the server reads the request from its socket and
-// runs it. It shows as more requests at the server than it has slots. The
-// guard holds because a broken request is first declared void in an answer;
-// its slot is freed only by a list that the server made after it had carried
-// that answer out, and from then on it refuses the request.
+// runs it. It shows as more requests at the server than it has slots. The guard
+// holds because a broken request is first declared void in an answer; its slot
+// is freed only by a list that the server made after it had carried out that
+// answer, and from then on the server refuses the request.
 func (l *Ledger) Announce(name string, a backend.Announcement, now time.Time) (backend.Answer, error) {
 	if err := Check(a); err != nil {
 		return backend.Answer{}, err
@@ -134,18 +134,18 @@
 	}
 	l.counters.Announcement++
 	if a.Incarnation > s.incarnation {
-		l.restarted(s, a.Incarnation, now)
+		l.recordRestart(s, a.Incarnation, now)
 	}
-	s.sequence, s.heard = a.Sequence, now
+	s.sequence, s.lastContact = a.Sequence, now
 	s.leaving = s.leaving || a.Leaving
-	l.place(s, a)
-	l.await(s, a, now)
-	if s.agent == 0 || a.AgentIncarnation > s.agent || l.sameNumber(s, a) {
+	l.recordAnnouncement(s, a)
+	l.reserveAwaited(s, a, now)
+	if s.agent == 0 || a.AgentIncarnation > s.agent || l.incarnationCollides(s, a) {
 		l.incarnation = max(l.incarnation, a.AgentIncarnation+1)
 		s.agent, s.ready = l.incarnation, false
 	}
 	if a.AgentIncarnation == s.agent {
-		l.settle(s, a, now)
+		l.reconcile(s, a, now)
 	} else {
 		s.ready = false
 	}
@@ -161,9 +161,10 @@
 	return s
 }
 
-// place records what the server says of itself.
-func (l *Ledger) place(s *server, a backend.Announcement) {
-	if old := s.said.Service; old != a.Service {
+// recordAnnouncement stores the announcement and updates the services and the
+// memory in use.
+func (l *Ledger) recordAnnouncement(s *server, a backend.Announcement) {
+	if old := s.announced.Service; old != a.Service {
 		l.services[old] = slices.DeleteFunc(l.services[old], func(o *server) bool { return o == s })
 		if len(l.services[old]) == 0 {
 			delete(l.services, old)
@@ -173,47 +174,49 @@
 	l.used.MemoryBytes += a.MemoryBytes - s.reserved
 	s.reserved = a.MemoryBytes
 	a.Active = nil
-	s.said = a
+	s.announced = a
 }
 
-// sameNumber reports whether the server has accepted another agent under the
-// incarnation that this one chose.
+// incarnationCollides reports whether the server has accepted another agent
+// under the incarnation that this agent chose.
 //
-// Failure guarded against: a new agent first hears a late announcement from
+// Failure guarded against: a new agent first receives a late announcement from
 // before its predecessor's time and chooses the predecessor's number; a second
-// late announcement then looks as if the server had accepted the new agent,
-// and its list misses what runs. It shows as more requests at the server than
-// slots. The guard holds because a session is unique to a process.
-func (l *Ledger) sameNumber(s *server, a backend.Announcement) bool {
+// late announcement then looks as if the server had accepted the new agent, and
+// its list lacks the calls that run. It shows as more requests at the server
+// than slots. The guard holds because a session is unique to a process.
+func (l *Ledger) incarnationCollides(s *server, a backend.Announcement) bool {
 	return a.AgentIncarnation == s.agent && a.AgentSession != l.session
 }
 
-// restarted takes note of a new process under the server's name. What the old
-// one ran is over, except where the agent still holds a connection to it.
-func (l *Ledger) restarted(s *server, incarnation uint64, now time.Time) {
+// recordRestart records a new process under the server's name. The calls of the
+// old process have ended, except where the agent still holds a connection to
+// it.
+func (l *Ledger) recordRestart(s *server, incarnation uint64, now time.Time) {
 	for _, c := range l.calls {
 		if c.server == s && c.phase != exchanging {
 			l.counters.FreedByRestart++
-			l.free(c, "restart", now)
+			l.releaseSlot(c, "restart", now)
 		}
 	}
 	s.incarnation, s.sequence = incarnation, 0
 	s.ready, s.leaving = false, false
 }
 
-// settle takes the list of active requests of a server that has fenced every
-// other agent. The first such list holds all that ran when it did so: those
-// that are not ours are inherited, before anything is admitted. In later lists
-// an unknown ID is a call that was answered after the list was made.
-func (l *Ledger) settle(s *server, a backend.Announcement, now time.Time) {
-	l.arrived(s.name, now)
-	s.met = true
+// reconcile compares the calls with the list of active requests of a server
+// that has fenced every other agent. The first such list holds all calls that
+// ran at the time of the fencing: those that are not in the ledger are
+// inherited, before anything is admitted. In later lists an unknown ID is a
+// call that was answered after the list was made.
+func (l *Ledger) reconcile(s *server, a backend.Announcement, now time.Time) {
+	l.releaseAwaited(s.name, now)
+	s.everReady = true
 	active := make(map[structs.RequestID]bool, len(a.Active))
 	for _, id := range a.Active {
 		active[id] = true
 		if _, known := l.calls[id]; !known && !s.ready {
 			l.counters.Inherited++
-			l.take(&call{id: id, server: s, incarnation: s.incarnation, phase: inherited, started: now}, now)
+			l.acquireSlot(&call{id: id, server: s, incarnation: s.incarnation, phase: inherited, started: now}, now)
 		}
 	}
 	s.ready = true
@@ -221,16 +224,16 @@
 		if c.server != s || active[c.id] {
 			continue
 		}
-		gone := c.phase == inherited || (c.phase == lingering && c.voided > 0 && a.Answered >= c.voided)
-		if gone {
+		stopped := c.phase == inherited || (c.phase == orphaned && c.voided > 0 && a.Answered >= c.voided)
+		if stopped {
 			l.counters.FreedByList++
-			l.free(c, "not in list", now)
+			l.releaseSlot(c, "not in list", now)
 		}
 	}
 }
 
-// answer declares void what lingers at the server. It says so again in every
-// answer until the slot is free, since an answer can be lost.
+// answer declares the server's orphaned calls void. Every answer repeats this
+// until the slot is free, since an answer can be lost.
 func (l *Ledger) answer(s *server, now time.Time) backend.Answer {
 	s.answers++
 	out := backend.Answer{
@@ -238,7 +241,7 @@
 		Ready: s.ready && !s.leaving && !l.draining, Peers: l.peers(s, now),
 	}
 	for _, c := range l.calls {
-		if c.server != s || c.phase != lingering {
+		if c.server != s || c.phase != orphaned {
 			continue
 		}
 		if c.voided == 0 {
@@ -249,8 +252,8 @@
 	return out
 }
 
-// Leave stops new calls to the server at once and returns its state; false if
-// the name is not known.
+// Leave stops new calls to the server at once and returns its state, or false
+// if the name is not known.
 func (l *Ledger) Leave(name string) (backend.Status, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,7 +265,7 @@
 	return s.status(), true
 }
 
-// Status returns the server's state; false if the name is not known.
+// Status returns the server's state, or false if the name is not known.
 func (l *Ledger) Status(name string) (backend.Status, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -277,12 +280,13 @@
 	return backend.Status{Leaving: s.leaving, InUse: s.inUse, Safe: s.leaving && s.inUse == 0}
 }
 
-// Offer sums up what the instance offers; two that differ are worth telling.
+// Offer counts the servers and slots of the instance; entries are notified when
+// it changes.
 type Offer struct {
 	Ready, Leaving, Slots int
 }
 
-// Offers returns what the instance offers now.
+// Offers returns the current Offer.
 func (l *Ledger) Offers() Offer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -293,19 +297,19 @@
 			o.Leaving++
 		case s.ready:
 			o.Ready++
-			o.Slots += s.said.Slots
+			o.Slots += s.announced.Slots
 		}
 	}
 	return o
 }
 
-// Expire drops idle servers that have been silent for long.
+// Expire removes idle servers whose last announcement is older than Retention.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, s := range l.servers {
-		if s.inUse == 0 && now.Sub(s.heard) > l.config.Forget {
-			l.place(s, backend.Announcement{})
+		if s.inUse == 0 && now.Sub(s.lastContact) > l.config.Retention {
+			l.recordAnnouncement(s, backend.Announcement{})
 			delete(l.services, "")
 			delete(l.servers, name)
 		}
--- a/agent/rig_test.go
+++ b/agent/rig_test.go
@@ -158,7 +158,7 @@
 		config: Config{
 			Instance: "i1", Address: "agent", Seeds: []string{"entry"},
 			Total: structs.Resources{Slots: 8}, Lease: time.Minute, WorkerLease: 5 * time.Second,
-			AnnounceEvery: 20 * time.Millisecond, Silent: 2 * time.Second, Settle: 100 * time.Millisecond, Notice: 200 * time.Millisecond,
+			AnnounceEvery: 20 * time.Millisecond, AnnounceTimeout: 2 * time.Second, Settle: 100 * time.Millisecond, Notice: 200 * time.Millisecond,
 		},
 	}
 }
