--- a/agent/agent.go
+++ b/agent/agent.go
@@ -66,9 +66,9 @@
 		Instance: c.Instance, Address: c.Address, Zone: c.Zone, Length: c.Lease,
 		Renew: renewEvery(c), Timeout: c.Timeout, Retry: min(time.Second, c.WorkerLease/4),
 	}, d.Table, d.Worker)
-	a.lease.Floor = a.ledger.Incarnation
-	a.lease.Taken = a.leaseTaken
-	a.lease.Lost = a.leaseLost
+	a.lease.HighestUsed = a.ledger.Incarnation
+	a.lease.OnTaken = a.leaseTaken
+	a.lease.OnLost = a.leaseLost
 	a.entries = newEntries(a, c.Seeds)
 	a.contracts = configuration.New(d.Table, a.entries.askConfig, a.applyConfig, func(what string) { a.invariantBroken(what, nil) })
 	a.tasks = tasks.New(tasks.Config{
--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease keeps the one row of the table service that covers all batch
-// tasks of an agent. See docs/notes/agent-leases.md.
+// Package lease maintains the row of the table service that is the lease for
+// all batch tasks of an agent. See docs/notes/agent-leases.md.
 package lease
 
 import (
@@ -17,50 +17,50 @@
 	"persimmonrock.example/structs"
 )
 
-// Config describes the holder.
+// Config holds the settings of a Keeper.
 type Config struct {
 	Instance structs.InstanceID
 	Address  string
 	Zone     structs.DataCentre
-	// Length is the time from sending a renewal to the end of all tasks.
+	// Length is the time from sending a renewal to the latest end of all tasks.
 	Length time.Duration
-	// Renew is the time between renewals, Timeout that of one attempt, Retry
-	// the pause after a failed one.
+	// Renew is the time between renewals, Timeout bounds one attempt, and Retry
+	// is the pause after a failed one.
 	Renew, Timeout, Retry time.Duration
 }
 
-// Fencer stops all tasks of holders below h for good and returns once they
-// have stopped; infra.Worker is one.
+// Fencer stops all tasks of holders below h, refuses them from then on, and
+// returns once the tasks have stopped; infra.Worker is one.
 type Fencer interface {
 	Fence(ctx context.Context, h structs.Incarnation) error
 }
 
-// Counters are what a keeper counts.
+// Counters are a Keeper's counters.
 type Counters struct {
 	Taken, Renewed, RenewFailed, Lost, Lapsed, Released atomic.Int64
 }
 
-// ErrNotHeld says that no lease is held.
+// ErrNotHeld is returned when no lease is held.
 var ErrNotHeld = errors.New("lease: not held")
 
-// errLost says that another process has taken or fenced the row.
+// errLost is returned when another process has taken or fenced the row.
 var errLost = errors.New("lease: taken over")
 
-// Keeper takes the row, renews it, and takes it again when it was lost.
+// Keeper takes the row, renews it, and takes it again after its loss.
 type Keeper struct {
 	config Config
 	table  infra.Table
 	worker Fencer
 	// Counters may be read at any time.
 	Counters Counters
-	// Lost is called when the row was taken over or fenced. It is set before
+	// OnLost is called after the row was taken over or fenced. It is set before
 	// Run.
-	Lost func(structs.Incarnation)
-	// Floor, if set, returns an incarnation that the next one taken must be
-	// above, so that loads of the agent before compare as older.
-	Floor func() structs.Incarnation
-	// Taken is called with each new incarnation, after the worker was fenced.
-	Taken func(structs.Incarnation)
+	OnLost func(structs.Incarnation)
+	// HighestUsed, if set, returns an incarnation that the next one taken must
+	// be above, so that loads of the previous agent compare as older.
+	HighestUsed func() structs.Incarnation
+	// OnTaken is called with each new incarnation, after the worker was fenced.
+	OnTaken func(structs.Incarnation)
 
 	id  string
 	ops atomic.Uint64
@@ -68,9 +68,9 @@
 	mu      sync.Mutex
 	row     structs.AgentLease
 	version uint64
-	// since is when the last successful renewal was first sent; zero when
-	// nothing is held.
-	since time.Time
+	// renewalSent is the time at which the last successful renewal was first
+	// sent; zero when the lease is not held.
+	renewalSent time.Time
 }
 
 // New returns a keeper that holds nothing.
@@ -78,33 +78,33 @@
 	return &Keeper{config: c, table: table, worker: worker, id: rand.Text()}
 }
 
-// Held returns the incarnation and how long the lease still runs; 0 and a
-// negative or zero time when it is not held.
+// Held returns the incarnation and the time left; 0 and a negative or zero time
+// when the lease is not held.
 func (k *Keeper) Held(now time.Time) (structs.Incarnation, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.since.IsZero() {
+	if k.renewalSent.IsZero() {
 		return 0, 0
 	}
-	return k.row.Incarnation, k.config.Length - Elapsed(k.since, now)
+	return k.row.Incarnation, k.config.Length - Elapsed(k.renewalSent, now)
 }
 
-// Elapsed is the greater of what the monotonic and the wall clock say.
+// Elapsed returns the greater of the monotonic and the wall clock's difference.
 //
-// Failure guarded against: an instance is suspended, its monotonic clock
-// stands still, and on waking the agent believes that its lease still runs
-// while another agent already runs its tasks. The wall clock is set right
-// after a pause, so the greater of the two shows the gap. A wall clock that
-// jumps ahead for no reason only ends the lease early.
+// Failure guarded against: an instance is suspended, its monotonic clock stands
+// still, and on resuming the agent believes that its lease still holds while
+// another agent already runs its tasks. The wall clock is corrected after a
+// pause, so the greater of the two shows the gap. A wall clock that jumps ahead
+// without a pause only ends the lease early.
 func Elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// Run keeps the lease until ctx ends. It does not release it.
+// Run takes and renews the lease until ctx ends. It does not release it.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := k.config.Renew
-		if err := k.step(ctx); err != nil {
+		if err := k.takeOrRenew(ctx); err != nil {
 			pause = k.config.Retry
 		}
 		select {
@@ -115,10 +115,10 @@
 	return ctx.Err()
 }
 
-// step takes or renews the lease, once.
-func (k *Keeper) step(ctx context.Context) error {
+// takeOrRenew takes or renews the lease, once.
+func (k *Keeper) takeOrRenew(ctx context.Context) error {
 	k.mu.Lock()
-	held := !k.since.IsZero()
+	held := !k.renewalSent.IsZero()
 	k.mu.Unlock()
 	if !held {
 		return k.take(ctx)
@@ -130,29 +130,29 @@
 	}
 	k.Counters.RenewFailed.Add(1)
 	if errors.Is(err, errLost) {
-		k.drop()
+		k.recordLoss()
 		return k.take(ctx)
 	}
 	return err
 }
 
-func (k *Keeper) drop() {
+func (k *Keeper) recordLoss() {
 	k.mu.Lock()
 	n := k.row.Incarnation
-	k.since = time.Time{}
+	k.renewalSent = time.Time{}
 	k.mu.Unlock()
 	k.Counters.Lost.Add(1)
-	if k.Lost != nil {
-		k.Lost(n)
+	if k.OnLost != nil {
+		k.OnLost(n)
 	}
 }
 
 // take reads incarnation n, fences the worker with n+1 and writes n+1.
 //
-// Failure guarded against: the agent before this one left tasks running; the
-// entry sees a new incarnation, takes it as proof that they have ended and
-// runs them elsewhere as well. The guard holds because the worker has stopped
-// them, and refuses that holder, before the new incarnation can be read.
+// Failure guarded against: the previous agent left tasks running; the entry
+// sees a new incarnation, takes it as proof that they have ended and runs them
+// elsewhere as well. The guard holds because the worker has stopped them, and
+// refuses the previous holder, before the new incarnation can be read.
 func (k *Keeper) take(ctx context.Context) error {
 	key := structs.AgentLeaseKey(k.config.Instance)
 	ctx, cancel := context.WithTimeout(ctx, k.config.Timeout)
@@ -164,12 +164,12 @@
 	var old structs.AgentLease
 	if row.Version > 0 {
 		if err := json.Unmarshal(row.Value, &old); err != nil {
-			return eris.Wrapf(err, "lease row of %s", k.config.Instance)
+			return eris.Wrapf(err, "decode lease row of %s", k.config.Instance)
 		}
 	}
 	above := old.Incarnation
-	if k.Floor != nil {
-		above = max(above, k.Floor())
+	if k.HighestUsed != nil {
+		above = max(above, k.HighestUsed())
 	}
 	next := structs.AgentLease{
 		Instance: k.config.Instance, Incarnation: above + 1, Counter: old.Counter + 1,
@@ -185,16 +185,16 @@
 		return eris.Wrapf(err, "take lease of %s", k.config.Instance)
 	}
 	k.mu.Lock()
-	k.row, k.version, k.since = next, version, sent
+	k.row, k.version, k.renewalSent = next, version, sent
 	k.mu.Unlock()
 	k.Counters.Taken.Add(1)
-	if k.Taken != nil {
-		k.Taken(next.Incarnation)
+	if k.OnTaken != nil {
+		k.OnTaken(next.Incarnation)
 	}
 	return nil
 }
 
-// write puts the row if it still has the given version.
+// write stores the row if its version is still the given one.
 func (k *Keeper) write(ctx context.Context, row structs.AgentLease, version uint64) (uint64, error) {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -212,12 +212,13 @@
 	return versions[0], nil
 }
 
-// renew raises the counter. The lease counts from before the first attempt.
+// renew raises the counter. The lease's length counts from before the first
+// attempt.
 //
-// Failure guarded against: an attempt timed out, was given up, and takes
-// effect later. It shows as a conflict with a row that an operation of this
-// keeper wrote. The guard: such a row is adopted and the renewal repeated on
-// it; only a foreign operation's row means that the lease is lost.
+// Failure guarded against: an attempt timed out and takes effect later. It
+// shows as a conflict with a row that an operation of this keeper wrote. The
+// guard: such a row is adopted and the renewal repeated on it; only a row that
+// another process wrote means that the lease is lost.
 func (k *Keeper) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Timeout)
 	defer cancel()
@@ -231,7 +232,7 @@
 		var conflict *infra.ConflictError
 		switch {
 		case err == nil:
-			k.renewed(next, written, sent)
+			k.recordRenewal(next, written, sent)
 			return nil
 		case !errors.As(err, &conflict):
 			return eris.Wrapf(err, "renew lease of %s", k.config.Instance)
@@ -242,16 +243,16 @@
 	}
 }
 
-func (k *Keeper) renewed(row structs.AgentLease, version uint64, sent time.Time) {
+func (k *Keeper) recordRenewal(row structs.AgentLease, version uint64, sent time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if Elapsed(k.since, time.Now()) > k.config.Length {
+	if Elapsed(k.renewalSent, time.Now()) > k.config.Length {
 		k.Counters.Lapsed.Add(1)
 	}
-	k.row, k.version, k.since = row, version, sent
+	k.row, k.version, k.renewalSent = row, version, sent
 }
 
-// adopt takes over the version of a row that this keeper wrote earlier.
+// adopt continues from a row that this keeper wrote earlier.
 func (k *Keeper) adopt(current infra.Row) error {
 	var row structs.AgentLease
 	if current.Version == 0 || json.Unmarshal(current.Value, &row) != nil || !k.wrote(current.Op) {
@@ -270,11 +271,11 @@
 	return len(op) > len(k.id) && op[:len(k.id)] == k.id
 }
 
-// Release writes that no task of this incarnation runs any more. The caller
-// has stopped them all and ended Run.
+// Release marks the lease row as released: no task of this incarnation runs any
+// more. The caller has stopped them all and ended Run.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.mu.Lock()
-	next, version, held := k.row, k.version, !k.since.IsZero()
+	next, version, held := k.row, k.version, !k.renewalSent.IsZero()
 	k.mu.Unlock()
 	if !held {
 		return nil
@@ -290,7 +291,7 @@
 		return eris.Wrapf(err, "release lease of %s", k.config.Instance)
 	}
 	k.mu.Lock()
-	k.since = time.Time{}
+	k.renewalSent = time.Time{}
 	k.mu.Unlock()
 	k.Counters.Released.Add(1)
 	return nil
