--- a/agent/configuration/configuration.go
+++ b/agent/configuration/configuration.go
@@ -1,9 +1,10 @@
-// Package configuration follows the accepted configuration for one agent.
+// Package configuration keeps an agent at the newest accepted configuration.
 //
 // The agent reads the table service's revision row every few seconds, and then
-// what changed. While it can't, it asks an entry. What entries send with their
-// answers to heartbeats is taken as well. Whatever brings it, the configuration
-// only moves to higher revisions.
+// what changed. While the table service doesn't answer, the agent asks an
+// entry. It also accepts configurations that entries send with their answers to
+// heartbeats. From every source, the configuration only moves to higher
+// revisions.
 package configuration
 
 import (
@@ -19,62 +20,63 @@
 	"persimmonrock.example/wire"
 )
 
-// Pace of the readings. With 1,000 agents it costs the table service 167 reads
-// a second; a change is in force within the longest pause, one time-out and two
-// questions: 10 s, if the table service fails just then.
+// Timing of the readings. With 1,000 agents they cost the table service 167
+// reads a second; a change is in force within the longest pause, one time-out
+// and two requests to entries: 10 s, if the table service fails at that moment.
 const (
-	pollEvery = 6 * time.Second
-	// pollSpread is how far a pause is off pollEvery at most, at random.
-	pollSpread = time.Second
-	// heardWithin bounds the random pause before an agent reads because a
-	// caller's entry named a newer revision: entries learn of a change within a
-	// second or so, and 1,000 agents would read at once.
-	heardWithin = 2 * time.Second
-	// timeout bounds one reading and one question.
+	pollInterval = 6 * time.Second
+	// pollJitter is the largest random deviation of a pause from pollInterval.
+	pollJitter = time.Second
+	// wakeJitter bounds the random pause before an agent reads because a call
+	// named a newer revision: all entries receive a change within about a
+	// second, and 1,000 agents would read at once.
+	wakeJitter = 2 * time.Second
+	// timeout bounds one reading and one request to an entry.
 	timeout = time.Second
-	// questions is how many entries are asked after a reading that failed.
-	questions = 2
+	// entryAttempts is the number of entries that are asked after a failed
+	// reading.
+	entryAttempts = 2
 )
 
-// Ask asks one entry for what is above r; a further call asks another.
+// Ask requests the changes above r from one entry; a further call asks another.
 type Ask func(ctx context.Context, r structs.Revision) (wire.ConfigReply, error)
 
 // Follower is safe for use by many goroutines.
 type Follower struct {
 	table infra.Table
 	ask   Ask
-	// apply puts a configuration into force; false says that it was refused
-	// as not newer, which the follower rules out.
-	apply  func(structs.Config) bool
-	broken func(what string)
-	wake   chan struct{}
-	cutOff atomic.Bool
-
-	mu   sync.Mutex
-	held structs.Config
-	// known is the highest revision that this process has heard of.
+	// apply puts a configuration into force; it returns false if the
+	// configuration is not newer, which the follower rules out.
+	apply       func(structs.Config) bool
+	onBroken    func(what string)
+	wake        chan struct{}
+	tableFailed atomic.Bool
+
+	mu      sync.Mutex
+	current structs.Config
+	// known is the highest revision that this process knows to exist.
 	known structs.Revision
 
-	// Reads counts readings, Failed those without an answer, Asked the
-	// questions to entries, Older what was dropped because it was not above the
-	// configuration in force, Unfit the changes that started elsewhere.
+	// Reads counts readings, Failed those without an answer, Asked the requests
+	// to entries, Older the configurations that were dropped because they were
+	// not above the one in force, Unfit the changes from another revision.
 	Reads, Failed, Asked, Older, Unfit atomic.Int64
 }
 
 // New returns a follower without a configuration.
-func New(table infra.Table, ask Ask, apply func(structs.Config) bool, broken func(what string)) *Follower {
-	return &Follower{table: table, ask: ask, apply: apply, broken: broken, wake: make(chan struct{}, 1)}
+func New(table infra.Table, ask Ask, apply func(structs.Config) bool, onBroken func(what string)) *Follower {
+	return &Follower{table: table, ask: ask, apply: apply, onBroken: onBroken, wake: make(chan struct{}, 1)}
 }
 
-// Run reads at the set pace until ctx ends.
+// Run reads at pollInterval until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.look(ctx)
+		f.read(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollEvery - pollSpread + rand.N(2*pollSpread)):
+		case <-time.After(pollInterval - pollJitter + rand.N(2*pollJitter)):
 		case <-f.wake:
-			pause(ctx, rand.N(heardWithin))
+			pause(ctx, rand.N(wakeJitter))
 		}
 	}
 }
@@ -86,22 +88,23 @@
 	}
 }
 
-// Wants says what an entry shall send with its answer to a heartbeat.
+// Wants returns the form of configuration that an entry shall send with its
+// answer to a heartbeat.
 func (f *Follower) Wants() wire.ConfigWant {
-	if f.cutOff.Load() {
+	if f.tableFailed.Load() {
 		return wire.WantChange
 	}
 	return wire.WantOnlyChange
 }
 
-// Heard notes that revision r exists; Run reads soon if that is news.
-func (f *Follower) Heard(r structs.Revision) {
+// NoteRevision records that revision r exists; Run reads soon if r is new.
+func (f *Follower) NoteRevision(r structs.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard(r)
+	f.noteRevision(r)
 }
 
-func (f *Follower) heard(r structs.Revision) {
+func (f *Follower) noteRevision(r structs.Revision) {
 	if r <= f.known {
 		return
 	}
@@ -112,8 +115,8 @@
 	}
 }
 
-// Take takes in what an entry sent; either may be nil.
-func (f *Follower) Take(whole *structs.Config, change *structs.ConfigChange) {
+// Receive applies what an entry sent; either may be nil.
+func (f *Follower) Receive(whole *structs.Config, change *structs.ConfigChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if whole != nil {
@@ -122,56 +125,56 @@
 	if change == nil {
 		return
 	}
-	next, ok := f.held.With(*change)
+	next, ok := f.current.With(*change)
 	if ok {
 		f.install(next)
 		return
 	}
 	f.Unfit.Add(1)
-	f.heard(change.Revision)
+	f.noteRevision(change.Revision)
 }
 
 // install puts c into force if it is newer.
 //
-// Failure guarded against: a reading that took long, or an answer that was
-// overtaken, brings an older configuration after a newer one is in force; it
-// would show as a contract that reverts. The comparison, the swap and the
-// putting into force are one step under the lock.
+// Failure guarded against: a slow reading, or an answer that was overtaken,
+// returns an older configuration after a newer one is in force; it would show
+// as a contract that reverts. The guard: comparison, swap and apply are one
+// step under the lock.
 func (f *Follower) install(c structs.Config) {
-	if c.Revision <= f.held.Revision {
+	if c.Revision <= f.current.Revision {
 		f.Older.Add(1)
 		return
 	}
-	f.held = c
+	f.current = c
 	f.known = max(f.known, c.Revision)
 	if !f.apply(c) {
-		f.broken("the configuration in force went back")
+		f.onBroken("the configuration went back to an older revision")
 	}
 }
 
-func (f *Follower) config() structs.Config {
+func (f *Follower) inForce() structs.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.current
 }
 
-// look reads once, and asks entries if the table service doesn't answer.
-func (f *Follower) look(ctx context.Context) {
+// read reads the table once, and asks entries if it doesn't answer.
+func (f *Follower) read(ctx context.Context) {
 	f.Reads.Add(1)
-	held := f.config()
+	held := f.inForce()
 	attempt, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	next, err := configtable.Newer(attempt, f.table, held)
 	if ctx.Err() != nil {
 		return
 	}
-	f.cutOff.Store(err != nil)
+	f.tableFailed.Store(err != nil)
 	if err != nil {
 		f.Failed.Add(1)
-		f.question(ctx, held.Revision)
+		f.askEntries(ctx, held.Revision)
 		return
 	}
-	// A table without a contract has nothing to put into force.
+	// A table without a contract has no configuration to put into force.
 	if next.Revision > max(held.Revision, configtable.FirstRevision) {
 		f.mu.Lock()
 		f.install(next)
@@ -179,15 +182,15 @@
 	}
 }
 
-// question asks entries until one answers.
-func (f *Follower) question(ctx context.Context, r structs.Revision) {
-	for range questions {
+// askEntries asks one entry after the other until one answers.
+func (f *Follower) askEntries(ctx context.Context, r structs.Revision) {
+	for range entryAttempts {
 		f.Asked.Add(1)
 		attempt, cancel := context.WithTimeout(ctx, timeout)
 		reply, err := f.ask(attempt, r)
 		cancel()
 		if err == nil {
-			f.Take(reply.Config, reply.Change)
+			f.Receive(reply.Config, reply.Change)
 			return
 		}
 	}
--- a/agent/configuration/configuration_test.go
+++ b/agent/configuration/configuration_test.go
@@ -19,13 +19,13 @@
 	"persimmonrock.example/wire"
 )
 
-// rig is one follower, its way to the table service, and one entry.
+// rig is one follower, its link to the table service, and one entry.
 type rig struct {
 	t      *testing.T
 	table  *memory.Table
 	faults *fault.Control
-	// entry is what the entry answers; nil can't be reached.
-	entry atomic.Pointer[wire.ConfigReply]
+	// entryReply is the entry's answer; with nil the entry can't be reached.
+	entryReply atomic.Pointer[wire.ConfigReply]
 	*Follower
 	applied []structs.Config
 }
@@ -33,7 +33,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, table: memory.NewTable(), faults: fault.NewControl(1)}
 	ask := func(context.Context, structs.Revision) (wire.ConfigReply, error) {
-		if reply := r.entry.Load(); reply != nil {
+		if reply := r.entryReply.Load(); reply != nil {
 			return *reply, nil
 		}
 		return wire.ConfigReply{}, errors.New("cut")
@@ -54,7 +54,7 @@
 	r.t.Cleanup(func() { r.faults.Heal(); cancel(); <-done })
 }
 
-// change accepts one change, as an entry does, and returns its revision.
+// change commits one change, as an entry does, and returns its revision.
 func (r *rig) change(c structs.Customer, share float64) structs.Revision {
 	r.t.Helper()
 	row, version, err := configtable.ReadRevision(r.t.Context(), r.table)
@@ -86,18 +86,18 @@
 // want checks the revision and the share in force.
 func (r *rig) want(revision structs.Revision, c structs.Customer, share float64) {
 	r.t.Helper()
-	if held := r.config(); held.Revision != revision || held.Contracts[c].Share != share {
+	if held := r.inForce(); held.Revision != revision || held.Contracts[c].Share != share {
 		r.t.Errorf("in force: revision %d, share of %s %v; want %d, %v", held.Revision, c, held.Contracts[c].Share, revision, share)
 	}
 }
 
-// inForceWithin is the goal for a change.
+// inForceWithin bounds the time until a change is in force.
 const inForceWithin = 13 * time.Second
 
-// An operator changes a contract while one agent can't reach the table
-// service, and the customer still gets the old share on that instance. The
-// agent asks an entry, which sends the change; when no entry answers either,
-// the change comes with the table service.
+// An operator changes a contract while one agent can't reach the table service,
+// and the customer still gets the old share on that instance. The agent asks an
+// entry, which sends the change. Without an answer from an entry, the agent
+// reads the change once the table service answers again.
 func TestAgentCutOffFromTheTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -107,14 +107,14 @@
 		r.want(first, "kowhai", 0.1)
 		r.faults.Cut(true)
 		second := r.change("kowhai", 0.2)
-		r.entry.Store(&wire.ConfigReply{Revision: second, Change: &structs.ConfigChange{From: first, Revision: second,
+		r.entryReply.Store(&wire.ConfigReply{Revision: second, Change: &structs.ConfigChange{From: first, Revision: second,
 			Contracts: []structs.Contract{{Customer: "kowhai", Share: 0.2, Revision: second}}}})
 		time.Sleep(inForceWithin)
 		r.want(second, "kowhai", 0.2)
 		if r.Wants() != wire.WantChange {
-			t.Error("entries are not asked for changes on heartbeats")
+			t.Error("entries are not asked for changes with heartbeats")
 		}
-		r.entry.Store(nil)
+		r.entryReply.Store(nil)
 		third := r.change("kowhai", 0)
 		time.Sleep(time.Minute)
 		r.want(second, "kowhai", 0.2)
@@ -128,9 +128,9 @@
 }
 
 // An agent is frozen between its reading of the revision and that of the
-// contract, three versions are accepted, and it wakes. It puts the third into
-// force, none in between and no mix. Cause: what it read before the pause is
-// old, and what it reads after it is of another revision.
+// contract; three versions are accepted before it resumes. It must put the
+// third into force, none in between and no mix. Cause: the row read before the
+// pause is old, and the one read after it is of another revision.
 func TestAgentFrozenThroughThreeVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -160,9 +160,8 @@
 	})
 }
 
-// An agent starts while the table service is down. It has no contract to
-// decide under, until an entry hands it the whole configuration; what the
-// table service says later is followed.
+// An agent starts while the table service is down. It has no contract until an
+// entry sends it the whole configuration; later it follows the table service.
 func TestStartWhileTheTableIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -171,7 +170,7 @@
 		r.run()
 		time.Sleep(inForceWithin)
 		r.want(0, "kowhai", 0)
-		r.entry.Store(&wire.ConfigReply{Revision: first, Config: &structs.Config{Revision: first,
+		r.entryReply.Store(&wire.ConfigReply{Revision: first, Config: &structs.Config{Revision: first,
 			Contracts: map[structs.Customer]structs.Contract{"kowhai": {Customer: "kowhai", Share: 0.1, Revision: first}}}})
 		time.Sleep(inForceWithin)
 		r.want(first, "kowhai", 0.1)
@@ -183,28 +182,29 @@
 	})
 }
 
-// Two entries answer one agent's heartbeats: the answer of the first was made
-// before a change and arrives after that of the second; a change arrives that
-// starts at a revision which the agent has left or never had. The contracts in
-// force stay, and a newer revision that was named is read at once.
-func TestLateAndUnfitMessages(t *testing.T) {
+// Two entries answer one agent's heartbeats: the first one's answer was made
+// before a change and arrives after the second one's. Then changes arrive that
+// start at a revision which the agent no longer has or never had. The contracts
+// in force must stay, and the agent must read soon after a newer revision was
+// named.
+func TestLateAndUnfitChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		first := r.change("kowhai", 0.1)
 		r.run()
 		time.Sleep(time.Second)
-		older := r.config()
+		older := r.inForce()
 		second := r.change("kowhai", 0.2)
 		time.Sleep(inForceWithin)
-		r.Take(&older, nil)
-		r.Take(nil, &structs.ConfigChange{From: first, Revision: second, Removed: []structs.Customer{"kowhai"}})
-		r.Take(nil, &structs.ConfigChange{From: second, Revision: first, Removed: []structs.Customer{"kowhai"}})
+		r.Receive(&older, nil)
+		r.Receive(nil, &structs.ConfigChange{From: first, Revision: second, Removed: []structs.Customer{"kowhai"}})
+		r.Receive(nil, &structs.ConfigChange{From: second, Revision: first, Removed: []structs.Customer{"kowhai"}})
 		r.want(second, "kowhai", 0.2)
 		r.change("kowhai", 0.3)
 		fourth := r.change("granite-notch", 0.4)
-		r.Take(nil, &structs.ConfigChange{From: fourth - 1, Revision: fourth, Removed: []structs.Customer{"kowhai"}})
+		r.Receive(nil, &structs.ConfigChange{From: fourth - 1, Revision: fourth, Removed: []structs.Customer{"kowhai"}})
 		r.want(second, "kowhai", 0.2)
-		time.Sleep(heardWithin)
+		time.Sleep(wakeJitter)
 		r.want(fourth, "kowhai", 0.3)
 		if r.Older.Load() != 1 || r.Unfit.Load() != 3 {
 			t.Errorf("%d older, %d unfit; want 1, 3", r.Older.Load(), r.Unfit.Load())
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return 0, eris.Wrapf(err, "heartbeat to %s", one.address)
 	}
-	a.contracts.Take(reply.Config, reply.Change)
+	a.contracts.Receive(reply.Config, reply.Change)
 	if !one.keep(request, sent.Omitted, reply) {
 		return minNext, nil
 	}
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -24,7 +24,7 @@
 	s.a.counters.serving.Add(1)
 	defer s.a.counters.serving.Add(-1)
 	s.a.counters.calls.Add(1)
-	s.a.contracts.Heard(r.Revision)
+	s.a.contracts.NoteRevision(r.Revision)
 	*reply = s.a.call(r)
 	return nil
 }
