--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent is the process beside a backend server: it decides what runs
-// on its instance. Urgent calls pass its admission ledger to the backend
-// server; batch tasks run on the worker under the agent's lease.
+// Package agent implements the agent, the process beside the backend servers of
+// an instance that decides what runs there. Urgent calls pass its admission
+// ledger to the backend server; batch tasks run on the worker under the agent's
+// lease.
 //
-// The design and what was weighed: docs/notes/admission.md and
+// Design and alternatives: docs/notes/admission.md and
 // docs/notes/agent-leases.md.
 package agent
 
@@ -36,19 +37,19 @@
 	contracts *configuration.Follower
 	counters  counters
 
-	// planned serialises planned stops of the instance.
-	planned   sync.Mutex
-	evict     context.CancelFunc
-	runCtx    context.Context
-	stopLease context.CancelFunc
-	leaseDone chan struct{}
-	ready     chan struct{}
+	// plannedMu serialises planned stops of the instance.
+	plannedMu    sync.Mutex
+	stopEviction context.CancelFunc
+	runCtx       context.Context
+	stopLease    context.CancelFunc
+	leaseDone    chan struct{}
+	ready        chan struct{}
 }
 
-// How often idle state is looked at.
-const expireEvery = 5 * time.Second
+// expireInterval is the time between checks for idle servers.
+const expireInterval = 5 * time.Second
 
-// New returns an agent; Run makes it work.
+// New returns an agent that does nothing before Run.
 func New(c Config, d Deps) (*Agent, error) {
 	c = c.WithDefaults()
 	if err := c.check(); err != nil {
@@ -59,12 +60,12 @@
 	}
 	a := &Agent{config: c, deps: d, client: callClient(d.HTTP), ready: make(chan struct{}), leaseDone: make(chan struct{})}
 	a.ledger = ledger.New(ledger.Config{
-		Instance: c.Instance, Total: c.Total, AnnounceTimeout: c.AnnounceTimeout, Retention: forgetServer,
+		Instance: c.Instance, Total: c.Total, AnnounceTimeout: c.AnnounceTimeout, Retention: serverRetention,
 		Settle: c.Settle, Survey: true, OnBroken: a.invariantBroken,
 	})
 	a.lease = lease.New(lease.Config{
 		Instance: c.Instance, Address: c.Address, Zone: c.Zone, Length: c.Lease,
-		Renew: renewEvery(c), Timeout: c.Timeout, Retry: min(time.Second, c.WorkerLease/4),
+		Renew: renewInterval(c), Timeout: c.Timeout, Retry: min(time.Second, c.WorkerLease/4),
 	}, d.Table, d.Worker)
 	a.lease.HighestUsed = a.ledger.Incarnation
 	a.lease.OnTaken = a.leaseTaken
@@ -82,18 +83,18 @@
 	return a, nil
 }
 
-// maxRenew bounds the time between renewals, whatever the lease's length:
-// observers count from the last one, and a rare renewal costs little.
-const maxRenew = 30 * time.Second
+// maxRenewInterval bounds the time between renewals, whatever the lease's
+// length: observers count from the last one, and a rare renewal costs little.
+const maxRenewInterval = 30 * time.Second
 
-func renewEvery(c Config) time.Duration { return min(maxRenew, c.Lease/8) }
+func renewInterval(c Config) time.Duration { return min(maxRenewInterval, c.Lease/8) }
 
-// Run works until ctx ends.
+// Run runs the agent until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	leaseCtx, stopLease := context.WithCancel(ctx)
-	a.planned.Lock()
+	a.plannedMu.Lock()
 	a.runCtx, a.stopLease = ctx, stopLease
-	a.planned.Unlock()
+	a.plannedMu.Unlock()
 	close(a.ready)
 	var wait sync.WaitGroup
 	wait.Go(func() {
@@ -104,30 +105,30 @@
 	wait.Go(func() { _ = a.relief.Run(ctx) })
 	wait.Go(func() { a.entries.run(ctx) })
 	wait.Go(func() { a.contracts.Run(ctx) })
-	wait.Go(func() { a.expire(ctx) })
+	wait.Go(func() { a.expireServers(ctx) })
 	wait.Go(func() { a.survey(ctx) })
 	wait.Wait()
 	return ctx.Err()
 }
 
-func (a *Agent) expire(ctx context.Context) {
+func (a *Agent) expireServers(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(a.config.Settle):
-		a.entries.kick()
+		a.entries.wakeAll()
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(expireEvery):
+		case <-time.After(expireInterval):
 			a.ledger.Expire(time.Now())
 		}
 	}
 }
 
-// load is the agent's own view of its instance.
+// load returns the agent's view of its instance.
 func (a *Agent) load() wire.Load {
 	l := a.ledger.Load(time.Now())
 	l.Instance = a.config.Instance
@@ -151,15 +152,15 @@
 	a.ledger.SetLease(n)
 	a.deps.Events.Record(structs.Event{Step: StepLeaseTaken, Detail: uintText(uint64(n))})
 	a.deps.Log.Info().Uint64("incarnation", uint64(n)).Msg("lease taken")
-	a.entries.kick()
+	a.entries.wakeAll()
 }
 
 func (a *Agent) leaseLost(n structs.Incarnation) {
 	a.deps.Events.Record(structs.Event{Step: StepLeaseLost, Detail: uintText(uint64(n))})
-	a.deps.Log.Warn().Uint64("incarnation", uint64(n)).Msg("lease lost, taking it anew")
+	a.deps.Log.Warn().Uint64("incarnation", uint64(n)).Msg("lease lost; taking it again")
 }
 
-// invariantBroken logs a broken invariant of the ledger with what led to it.
+// invariantBroken logs a violated invariant with the steps that preceded it.
 func (a *Agent) invariantBroken(what string, recent []ledger.Step) {
 	steps := zerolog.Arr()
 	for _, s := range recent {
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -14,7 +14,7 @@
 // Limits of the announce API.
 const (
 	maxAnnouncement = 4 << 20
-	// leaveWait is how long DELETE waits for requests in progress.
+	// leaveWait bounds the time that DELETE waits for requests in progress.
 	leaveWait = 20 * time.Second
 	leavePoll = 20 * time.Millisecond
 )
@@ -29,16 +29,16 @@
 }
 
 func (a *Agent) putBackend(w http.ResponseWriter, r *http.Request) {
-	var said backend.Announcement
+	var announcement backend.Announcement
 	body := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 	body.DisallowUnknownFields()
-	if err := body.Decode(&said); err != nil {
+	if err := body.Decode(&announcement); err != nil {
 		answerJSON(w, http.StatusBadRequest, backend.Problem{Detail: err.Error()})
 		return
 	}
 	name := r.PathValue("name")
 	before := a.ledger.Offers()
-	answer, err := a.ledger.Announce(name, said, time.Now())
+	answer, err := a.ledger.Announce(name, announcement, time.Now())
 	var stale *ledger.StaleError
 	switch {
 	case errors.As(err, &stale):
@@ -49,18 +49,18 @@
 		return
 	}
 	if a.ledger.Offers() != before {
-		a.changed(name, said)
+		a.serverChanged(name, announcement)
 	}
 	answer.Next = structs.Duration(a.config.AnnounceEvery)
 	answerJSON(w, http.StatusOK, answer)
 }
 
-// changed tells entries at once that the instance offers more or less.
-func (a *Agent) changed(name string, said backend.Announcement) {
-	a.deps.Events.Record(structs.Event{Step: StepAnnounced, Peer: name, Detail: string(said.Service)})
-	a.deps.Log.Info().Str("backend", name).Str("service", string(said.Service)).Bool("leaving", said.Leaving).
+// serverChanged notifies entries at once that the instance's offer has changed.
+func (a *Agent) serverChanged(name string, announcement backend.Announcement) {
+	a.deps.Events.Record(structs.Event{Step: StepAnnounced, Peer: name, Detail: string(announcement.Service)})
+	a.deps.Log.Info().Str("backend", name).Str("service", string(announcement.Service)).Bool("leaving", announcement.Leaving).
 		Msg("backend server changed")
-	a.entries.kick()
+	a.entries.wakeAll()
 }
 
 func (a *Agent) getBackend(w http.ResponseWriter, r *http.Request) {
@@ -68,14 +68,14 @@
 	answerStatus(w, status, ok)
 }
 
-// deleteBackend stops new calls at once, tells entries, and answers when
-// nothing runs any more, or 202 after a while.
+// deleteBackend stops new calls at once, notifies entries, and answers when no
+// call runs any more, or with 202 after leaveWait.
 func (a *Agent) deleteBackend(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	status, ok := a.ledger.Leave(name)
 	if ok {
 		a.deps.Events.Record(structs.Event{Step: StepLeaving, Peer: name})
-		a.entries.kick()
+		a.entries.wakeAll()
 	}
 	deadline := time.Now().Add(leaveWait)
 	for ok && !status.Safe && time.Now().Before(deadline) {
@@ -89,8 +89,8 @@
 	answerStatus(w, status, ok)
 }
 
-// answerStatus answers with the state of a server. One that the agent does not
-// know gets no calls from it, so it is safe to stop.
+// answerStatus answers with the state of a server. The agent sends no calls to
+// an unknown server, so that one is safe to stop.
 func answerStatus(w http.ResponseWriter, s backend.Status, known bool) {
 	code := http.StatusOK
 	switch {
--- a/agent/batch_test.go
+++ b/agent/batch_test.go
@@ -13,7 +13,7 @@
 	"persimmonrock.example/wire"
 )
 
-// grant hands a task of ten seconds to the agent and returns the refusal.
+// grant starts a task of ten seconds at the agent and returns the refusal.
 func grant(a *Agent, id structs.JobID, e structs.Epoch, checkpoint string) *structs.Refusal {
 	held, _ := a.lease.Held(time.Now())
 	var reply wire.StartReply
@@ -24,8 +24,8 @@
 	return reply.Refused[0]
 }
 
-// A customer's batch runs to its end: the result is in the object store before
-// the report, and the worker forgets the task when it is settled.
+// A task runs to its end: its result is in the object store before the report,
+// and the worker forgets the task when the report is acknowledged.
 func TestTaskRunsToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -45,13 +45,13 @@
 			t.Errorf("a task of 10 s ran for %s", got.Ran)
 		}
 		if list, _ := r.worker.List(t.Context()); len(list) != 0 || a.tasks.Unsettled() != 0 {
-			t.Errorf("left behind: %+v, %d unsettled", list, a.tasks.Unsettled())
+			t.Errorf("tasks left at the worker: %+v, %d unsettled", list, a.tasks.Unsettled())
 		}
 	})
 }
 
-// An operator stops an instance: its task is checkpointed, handed over and
-// resumes elsewhere from there; the lease row says that nothing runs any more.
+// An operator stops an instance: its task is checkpointed and handed over, so
+// that it can resume elsewhere from there, and no new task starts.
 func TestDrainHandsTasksOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -73,16 +73,17 @@
 		if why := grant(a, "j2", 1, ""); why == nil || why.Outcome != structs.NotRun {
 			t.Errorf("a start after the stop: %v", why)
 		}
-		if !r.entry.heard().Load.Draining {
-			t.Error("the entry was not told")
+		if !r.entry.lastHello().Load.Draining {
+			t.Error("the entry was not notified")
 		}
 	})
 }
 
-// The object store is down when a task ends, when one is to resume, and when an
-// instance has to stop. The end is reported only once its result is there, the
-// resumed task starts only with its checkpoint; the stop waits for a checkpoint
-// as long as it can, and then the earlier one stays.
+// The object store is down when a task ends, when a task is to resume, and when
+// an instance is stopped. The end is reported only after its result is stored,
+// and the resumed task starts only with its checkpoint. The stop waits for a
+// checkpoint as long as it can; without one, the earlier checkpoint remains in
+// use.
 func TestObjectStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -113,13 +114,13 @@
 			t.Error(err)
 		}
 		if got, _ := r.entry.report("new"); got.End != wire.EndEvicted || got.Checkpoint != "" || len(r.runs.Running()) != 0 {
-			t.Errorf("report %+v, want evicted with no new checkpoint; %v run", got, r.runs.Running())
+			t.Errorf("report %+v, want evicted without a new checkpoint; %v run", got, r.runs.Running())
 		}
 	})
 }
 
-// Tasks use far more memory than they declared. The one that loses least is
-// evicted with a checkpoint, and the others go on.
+// Tasks use far more memory than they declared. The one that loses the least
+// work is evicted with a checkpoint, and the others continue.
 func TestMemoryRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -148,8 +149,9 @@
 	})
 }
 
-// Failure guarded against: a task that goes with its worker looks like one that was stopped.
-func TestTaskThatVanishesWithItsWorkerIsToldAsLost(t *testing.T) {
+// Failure guarded against: a task that vanishes with its worker is taken for a
+// stopped one.
+func TestTaskOfLostWorkerIsReportedAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
 		a, stop := r.agent()
@@ -158,7 +160,7 @@
 		if why := grant(a, "j1", 1, ""); why != nil {
 			t.Fatal(why)
 		}
-		// Between two looks of the agent at the worker.
+		// Between two polls of the worker by the agent.
 		time.Sleep(2*time.Second + 33*time.Millisecond)
 		if err := errors.Join(r.worker.Stop(t.Context(), "j1", 1), r.worker.Forget(t.Context(), "j1", 1)); err != nil {
 			t.Fatal(err)
--- a/agent/call.go
+++ b/agent/call.go
@@ -20,13 +20,13 @@
 	"persimmonrock.example/wire"
 )
 
-// replyGrace is how long after its budget a call is still answered.
+// replyGrace is the time after its budget in which a call is still answered.
 const replyGrace = 50 * time.Millisecond
 
 // callClient returns a client that sends a request once and to one place.
 //
-// Failure guarded against: a redirect answer makes the client send the request
-// again, to a server that has given no slot for it.
+// Failure guarded against: on a redirect the client sends the request again, to
+// a server that has granted no slot for it.
 func callClient(c *http.Client) *http.Client {
 	out := http.Client{}
 	if c != nil {
@@ -44,9 +44,9 @@
 	return &out
 }
 
-// call admits, forwards and answers one urgent call. When the caller's budget
-// is over before the backend server answers, it returns a refusal; the slot
-// stays taken until the exchange ends.
+// call admits, forwards and answers one urgent call. If the caller's budget
+// ends before the backend server answers, it returns a refusal; the slot stays
+// taken until the exchange ends.
 func (a *Agent) call(r wire.CallRequest) wire.CallReply {
 	grant, refused := a.admit(r)
 	if refused != nil {
@@ -84,13 +84,13 @@
 }
 
 // exchange sends the request to the backend server, reads the whole answer and
-// settles the ledger. It has no deadline: the caller's going away frees no
+// updates the ledger. It has no deadline: a caller that disconnects frees no
 // slot.
 func (a *Agent) exchange(r wire.CallRequest, g ledger.Grant) wire.CallReply {
 	resp, body, sent, err := a.send(r, g)
 	now := time.Now()
 	if err != nil {
-		return a.broken(r, sent, err, now)
+		return a.exchangeFailed(r, sent, err, now)
 	}
 	if why := backend.Refusal(resp.Header.Get(backend.HeaderRefused)); why != "" {
 		return a.guardRefused(r, why, now)
@@ -111,8 +111,8 @@
 	}
 }
 
-// send returns the whole answer. sent is false only if no connection was had,
-// so that no byte of the request can have left.
+// send returns the whole answer. sent is false only if there was no connection,
+// so that no byte of the request can have been sent.
 func (a *Agent) send(r wire.CallRequest, g ledger.Grant) (resp *http.Response, body []byte, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -133,16 +133,16 @@
 }
 
 // readWhole reads to the end of the answer, which net/http checks against
-// Content-Length or the last chunk. Of a body above limit it keeps one byte
-// more than that, and reads on: the server works until it has sent all.
+// Content-Length or the last chunk. It returns at most limit+1 bytes of the
+// body and discards the rest: the server works until it has sent all of it.
 func readWhole(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err == nil && resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 {
-		// The end of the connection is the only sign of the body's end, and a
-		// server that died gives it too.
+		// The only sign of the body's end is the end of the connection, which a
+		// crashed server causes, too.
 		err = errUnframed
 	}
 	return body, eris.Wrap(err, "read the answer")
@@ -150,8 +150,8 @@
 
 var errUnframed = errors.New("the answer has neither a length nor chunks")
 
-// broken settles a call whose exchange ended without a whole answer.
-func (a *Agent) broken(r wire.CallRequest, sent bool, err error, now time.Time) wire.CallReply {
+// exchangeFailed handles a call whose exchange ended without a whole answer.
+func (a *Agent) exchangeFailed(r wire.CallRequest, sent bool, err error, now time.Time) wire.CallReply {
 	if !sent {
 		a.ledger.NotRun(r.Request, now)
 		a.counters.dialFailed.Add(1)
@@ -162,7 +162,7 @@
 	return a.refuse(r, a.refusal(structs.RefusedAnswerCut, structs.Unknown, err.Error(), 0))
 }
 
-// guardRefused settles a call that the backend server's guard did not run.
+// guardRefused handles a call that the backend server's guard refused.
 func (a *Agent) guardRefused(r wire.CallRequest, why backend.Refusal, now time.Time) wire.CallReply {
 	a.counters.guardRefused.Add(1)
 	if why == backend.RefusedActive {
@@ -197,16 +197,16 @@
 	"Authorization": true,
 }
 
-// ownPrefix begins the names of headers that only the agent and the server's
+// ownPrefix is the prefix of header names that only the agent and the server's
 // guard set.
 const ownPrefix = "Persimmonrock-"
 
-// requestHeaders fills in the headers of a request to the backend server.
+// requestHeaders sets the headers of a request to the backend server.
 //
-// Failure guarded against: net/http sends a POST a second time by itself when
-// a kept connection breaks and the request has an Idempotency-Key. The guard:
-// that lookup is by the canonical name, and these two go out in lower case,
-// which is the same header to the server.
+// Failure guarded against: net/http sends a POST a second time by itself when a
+// kept connection breaks and the request has an Idempotency-Key. The guard:
+// net/http looks for the canonical name, and these two names are sent in lower
+// case, which is the same header to the server.
 func requestHeaders(req *http.Request, r wire.CallRequest, g ledger.Grant) {
 	for _, h := range r.Headers {
 		name := http.CanonicalHeaderKey(h.Name)
@@ -225,7 +225,7 @@
 	req.Header.Set(backend.HeaderBackend, uintText(g.Backend))
 }
 
-// answerHeaders returns the headers for the caller, in order of their names.
+// answerHeaders returns the headers for the caller, sorted by name.
 func answerHeaders(h http.Header) []wire.Header {
 	var out []wire.Header
 	for name, values := range h {
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/wire"
 )
 
-// service is a backend server's handler that counts what runs.
+// service is a backend server's handler that counts the runs of each request.
 type service struct {
 	mu     sync.Mutex
 	ran    map[structs.RequestID]int
@@ -34,7 +34,7 @@
 	answer(w, id)
 }
 
-func (s *service) will(answer func(http.ResponseWriter, structs.RequestID)) {
+func (s *service) setAnswer(answer func(http.ResponseWriter, structs.RequestID)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answer = answer
@@ -46,8 +46,8 @@
 	return s.ran[id]
 }
 
-// say writes raw bytes on the connection and closes it.
-func say(raw string) func(http.ResponseWriter, structs.RequestID) {
+// rawAnswer writes raw bytes on the connection and closes it.
+func rawAnswer(raw string) func(http.ResponseWriter, structs.RequestID) {
 	return func(w http.ResponseWriter, _ structs.RequestID) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
@@ -62,26 +62,27 @@
 	_, _ = io.WriteString(w, "grade of "+string(id))
 }
 
-// serving starts an agent and a backend server with two slots.
-func serving(t *testing.T) (*rig, *Agent, *service, *backend.Server) {
+// startServing starts an agent and a backend server with two slots.
+func startServing(t *testing.T) (*rig, *Agent, *service, *backend.Server) {
 	r := newRig(t, t.Context())
 	r.config.MaxBody = 1 << 20
-	url, at := r.announceAt()
-	r.at = at
+	url, setAgent := r.announceAt()
+	r.setAgent = setAgent
 	a, kill := r.agent()
 	r.kill = kill
-	at(a)
+	setAgent(a)
 	s := &service{ran: make(map[structs.RequestID]int), answer: plain}
 	var guard *backend.Server
-	guard, r.front = r.serve(url, 2, s.ServeHTTP)
+	guard, r.front = r.startBackend(url, 2, s.ServeHTTP)
 	eventually(t, "backend server ready", ready(a))
 	return r, a, s, guard
 }
 
 // A caller gets the whole answer to its own request, or a refusal that claims
 // no more than is known. In each case the connection or the server fails at
-// another point after the request was sent, or the answer is not the caller's;
-// the request has run once, and the slot comes back by the server's word.
+// another point after the request was sent, or the answer is to another
+// request. The request has run once, and the slot is freed after the server has
+// reported that it doesn't run.
 func TestAnswersThatFail(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	release := make(chan struct{})
@@ -99,22 +100,22 @@
 			w.Header().Set("Location", "/again")
 			w.WriteHeader(http.StatusTemporaryRedirect)
 		}, time.Second, "", 307, 1, nil},
-		{"closed before the answer", say(""), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"closed, with a key", say(""), time.Second, structs.RefusedAnswerCut, 0, 1, []wire.Header{{Name: "Idempotency-Key", Value: "k"}}},
-		{"dies after the headers", say(ok + "Content-Length: 9\r\n\r\n"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"cut in the body", say(ok + "Content-Length: 9\r\n\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"cut in a chunk", say(ok + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"cut between chunks", say(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"without a length", say(ok + "Connection: close\r\n\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
-		{"not its own", say(ok + "Persimmonrock-Request: other\r\nContent-Length: 4\r\n\r\nhalf"), time.Second, structs.RefusedAnswerLost, 0, 1, nil},
+		{"closed before the answer", rawAnswer(""), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"closed, with a key", rawAnswer(""), time.Second, structs.RefusedAnswerCut, 0, 1, []wire.Header{{Name: "Idempotency-Key", Value: "k"}}},
+		{"dies after the headers", rawAnswer(ok + "Content-Length: 9\r\n\r\n"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"cut in the body", rawAnswer(ok + "Content-Length: 9\r\n\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"cut in a chunk", rawAnswer(ok + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"cut between chunks", rawAnswer(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"without a length", rawAnswer(ok + "Connection: close\r\n\r\nhalf"), time.Second, structs.RefusedAnswerCut, 0, 1, nil},
+		{"answer to another request", rawAnswer(ok + "Persimmonrock-Request: other\r\nContent-Length: 4\r\n\r\nhalf"), time.Second, structs.RefusedAnswerLost, 0, 1, nil},
 		{"too large", func(w http.ResponseWriter, _ structs.RequestID) { _, _ = w.Write(make([]byte, 1<<20+1)) }, time.Second, structs.RefusedTooLarge, 0, 1, nil},
 		{"late", func(w http.ResponseWriter, id structs.RequestID) { <-release; plain(w, id) }, 20 * time.Millisecond, structs.RefusedDeadline, 0, 1, nil},
 	}
-	_, a, s, guard := serving(t)
+	_, a, s, guard := startServing(t)
 	for i, c := range cases {
-		s.will(plain)
+		s.setAnswer(plain)
 		call(a, structs.RequestID(fmt.Sprint("warm", i)), time.Second) // leaves a kept connection
-		s.will(c.answer)
+		s.setAnswer(c.answer)
 		id := structs.RequestID(fmt.Sprint("r", i))
 		got := call(a, id, c.budget, c.headers...)
 		switch {
@@ -134,7 +135,7 @@
 	if again.Refused == nil || again.Refused.Type != structs.RefusedInProgress || again.Refused.Outcome != structs.Unknown {
 		t.Errorf("a request ID used again: %+v", again.Refused)
 	}
-	s.will(plain)
+	s.setAnswer(plain)
 	if got := call(a, "next", time.Second); string(got.Body) != "grade of next" || len(got.Headers) == 0 {
 		t.Errorf("the call after a late answer: %q %v", got.Body, got.Refused)
 	}
@@ -145,12 +146,13 @@
 	}
 }
 
-// A handler sends its whole body, with its length, and works on. The slot must
-// stay taken until it has returned, or the next call runs beside it.
+// A handler sends its whole body, with its length, and continues to work. The
+// slot must stay taken until it returns; otherwise the next call runs beside
+// it.
 func TestSlotIsTakenUntilTheHandlerReturns(t *testing.T) {
-	_, a, s, _ := serving(t)
+	_, a, s, _ := startServing(t)
 	var working atomic.Bool
-	s.will(func(w http.ResponseWriter, _ structs.RequestID) {
+	s.setAnswer(func(w http.ResponseWriter, _ structs.RequestID) {
 		working.Store(true)
 		w.Header().Set("Content-Length", "65536")
 		w.Header().Set(backend.HeaderRefused, string(backend.RefusedFull))
@@ -164,10 +166,10 @@
 	}
 }
 
-// A prospector's call is refused with "not run": for each place that refuses
-// before the backend server has the request, nothing may have run.
+// In each of these cases a call is refused as not run before the backend server
+// has the request; none of the refused requests may have run.
 func TestRefusalsThatProveNotRun(t *testing.T) {
-	r, a, s, guard := serving(t)
+	r, a, s, guard := startServing(t)
 	gone := make(chan struct{})
 	tries := 0
 	served := func(what string) {
@@ -195,7 +197,7 @@
 			return reply
 		}},
 		{"full", structs.RefusedNoCapacity, func() wire.CallReply {
-			s.will(func(w http.ResponseWriter, id structs.RequestID) { <-gone; plain(w, id) })
+			s.setAnswer(func(w http.ResponseWriter, id structs.RequestID) { <-gone; plain(w, id) })
 			var wait sync.WaitGroup
 			for _, id := range []structs.RequestID{"busy1", "busy2"} {
 				wait.Go(func() { call(a, id, 10*time.Second) })
@@ -215,10 +217,10 @@
 			guard.Guard.CarryOut(backend.Answer{AgentIncarnation: 1 << 40, AgentSession: "x", Number: 1})
 			return call(a, "fenced", time.Second)
 		}},
-		{"nobody listens", structs.RefusedUnreachable, func() wire.CallReply {
-			// The server tells its agent of the other one soon, and gets no calls
-			// until it has accepted the agent's next incarnation.
-			served("met again")
+		{"connection refused", structs.RefusedUnreachable, func() wire.CallReply {
+			// The server soon sends its agent the other incarnation, and gets
+			// no calls until it has accepted the agent's next one.
+			served("accepted the agent again")
 			address := r.front.Listener.Addr().String()
 			r.front.Close()
 			defer func() {
@@ -229,11 +231,11 @@
 				go func() { _ = http.Serve(l, guard) }()
 				t.Cleanup(func() { l.Close() })
 			}()
-			a.client.CloseIdleConnections() // one that has just died proves nothing
+			a.client.CloseIdleConnections() // a kept connection that breaks proves nothing
 			return call(a, "nobody", time.Second)
 		}},
 		{"leaving", structs.RefusedDraining, func() wire.CallReply {
-			served("accepted again")
+			served("accepted the agent again, new connection")
 			guard.Guard.Leave()
 			return call(a, "leave", time.Second)
 		}},
@@ -253,21 +255,21 @@
 	}
 }
 
-// The service is busy while connections break, the agent is killed and started
-// anew beside running work, and again. Nothing runs twice, what was refused as
-// not run never ran, each answer is the caller's own, and the backend server
-// never holds more than its slots.
+// Connections break under load, and the agent is killed and replaced again and
+// again while calls run. No request runs twice, no request that was refused as
+// not run has run, each answer is the caller's own, and the backend server
+// never holds more calls than its slots.
 func TestBusyServiceUnderKillsAndCuts(t *testing.T) {
 	r := newRig(t, t.Context())
-	url, at := r.announceAt()
+	url, setAgent := r.announceAt()
 	s := &service{ran: make(map[structs.RequestID]int)}
 	s.answer = func(w http.ResponseWriter, id structs.RequestID) {
 		time.Sleep(time.Duration(rand.IntN(4)) * time.Millisecond)
 		plain(w, id)
 	}
 	a, kill := r.agent()
-	at(a)
-	guard, _ := r.serve(url, 2, s.ServeHTTP)
+	setAgent(a)
+	guard, _ := r.startBackend(url, 2, s.ServeHTTP)
 	eventually(t, "backend server ready", ready(a))
 	var mu sync.Mutex // guards a
 	stop := make(chan struct{})
@@ -303,10 +305,10 @@
 	}
 	for range 15 {
 		time.Sleep(40 * time.Millisecond) // load, not a condition
-		at(nil)
+		setAgent(nil)
 		kill()
 		next, nextKill := r.agent()
-		at(next)
+		setAgent(next)
 		mu.Lock()
 		a, kill = next, nextKill
 		mu.Unlock()
--- a/agent/config.go
+++ b/agent/config.go
@@ -16,31 +16,33 @@
 type Config struct {
 	Instance structs.InstanceID
 	Zone     structs.DataCentre
-	// Address is the agent's own, as entries reach it.
+	// Address is the agent's address for entries.
 	Address string
-	// Seeds are the addresses of entries that the agent reports to at first;
-	// it learns of others from these.
+	// Seeds are the addresses of the entries that the agent reports to at
+	// first; their answers name the others.
 	Seeds []string
-	// Total is what the instance has to give out.
+	// Total is the instance's capacity.
 	Total structs.Resources
-	// Kinds are the kinds of batch tasks that the instance runs; none means
-	// all.
+	// Kinds are the kinds of batch tasks that the instance runs; an empty list
+	// means all kinds.
 	Kinds []structs.Kind
-	// Lease is how long the agent's tasks may run after a renewal of its
-	// lease row was sent. See docs/notes/agent-leases.md.
+	// Lease is the time for which the agent's tasks may run after a renewal of
+	// its lease row was sent. See docs/notes/agent-leases.md.
 	Lease time.Duration
-	// WorkerLease is how long the worker runs a task without a renewal.
+	// WorkerLease is the time for which the worker runs a task without a
+	// renewal.
 	WorkerLease time.Duration
 	// MaxBody bounds the body of a request and of an answer, in bytes.
 	MaxBody int64
-	// AnnounceEvery is the time between announcements of a backend server,
-	// and AnnounceTimeout the age of the last one above which it gets no new calls.
+	// AnnounceEvery is the time between announcements of a backend server, and
+	// AnnounceTimeout the age of the last one above which the server gets no
+	// new calls.
 	AnnounceEvery, AnnounceTimeout time.Duration
-	// Settle is how long after its start the agent admits nothing, so that
-	// every backend server can announce what it still runs. The default is
+	// Settle is the time after its start in which the agent admits nothing, so
+	// that every backend server can announce what it still runs. The default is
 	// twice AnnounceEvery.
 	Settle time.Duration
-	// Notice bounds how long a planned stop waits for one entry to
+	// Notice bounds the time that a planned stop waits for one entry to
 	// acknowledge it.
 	Notice time.Duration
 	// Timeout bounds one exchange with a worker, a store or an entry.
@@ -58,12 +60,13 @@
 	DefaultAnnounceEvery = time.Second
 	DefaultNotice        = 3 * time.Second
 	DefaultTimeout       = 5 * time.Second
-	// silentAnnouncements is how many announcements may fail to come.
-	silentAnnouncements = 4
-	// settleAnnouncements is how many a new agent waits for.
+	// missedAnnouncements is the number of announcements that may be missed.
+	missedAnnouncements = 4
+	// settleAnnouncements is the number of intervals that a new agent waits.
 	settleAnnouncements = 2
-	// forgetServer is when an idle server that is silent is dropped.
-	forgetServer = 10 * time.Minute
+	// serverRetention is the age of the last announcement above which an idle
+	// server is removed.
+	serverRetention = 10 * time.Minute
 )
 
 // WithDefaults returns c with the defaults in place of zeroes. MilliCores
@@ -77,7 +80,7 @@
 	setDefault(&c.WorkerLease, min(DefaultWorkerLease, c.Lease/6))
 	setDefault(&c.MaxBody, DefaultMaxBody)
 	setDefault(&c.AnnounceEvery, DefaultAnnounceEvery)
-	setDefault(&c.AnnounceTimeout, silentAnnouncements*c.AnnounceEvery)
+	setDefault(&c.AnnounceTimeout, missedAnnouncements*c.AnnounceEvery)
 	setDefault(&c.Settle, settleAnnouncements*c.AnnounceEvery)
 	setDefault(&c.Notice, DefaultNotice)
 	setDefault(&c.Timeout, DefaultTimeout)
@@ -92,7 +95,7 @@
 }
 
 // minLeases is the least number of worker leases in a lease: two are kept for
-// safety, and the rest is what a store outage may use up.
+// safety, and the rest is the time of a store outage that tasks can survive.
 const minLeases = 4
 
 func (c Config) check() error {
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// Deps are what an agent works with. Events and HTTP may be nil; Log may be
-// the zero Logger.
+// Deps are an agent's dependencies. Events and HTTP may be nil; Log may be the
+// zero Logger.
 type Deps struct {
 	Table   infra.Table
 	Objects infra.Objects
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -8,21 +8,22 @@
 	"persimmonrock.example/structs"
 )
 
-// drainPoll is how often a planned stop looks whether calls are in progress.
-const drainPoll = 5 * time.Millisecond
+// drainPollInterval is the time between a planned stop's checks for calls in
+// progress.
+const drainPollInterval = 5 * time.Millisecond
 
-// forcePart is the part of a planned stop's time after which tasks are stopped
-// without a new checkpoint.
-const forcePart = 0.6
+// forceFraction is the fraction of a planned stop's time after which tasks are
+// stopped without a new checkpoint.
+const forceFraction = 0.6
 
-// Drain carries out a planned stop: it refuses new work at once, tells every
-// entry and waits for their acknowledgement, lets calls in progress finish,
-// checkpoints and hands over batch tasks, and releases the lease. After it the
-// process may close its sockets. ctx bounds all of it.
+// Drain carries out a planned stop: it refuses new work at once, notifies every
+// entry and waits for their acknowledgement, waits for calls in progress,
+// checkpoints and hands over batch tasks, and releases the lease. When it has
+// returned, the process may close its sockets. ctx bounds all of it.
 //
-// Failure guarded against: an entry that has not heard of the stop sends a
-// call to a socket that has just been closed, and the call is cut off. The
-// guard: the sockets are closed after every entry that answers has
+// Failure guarded against: an entry that has not been notified of the stop
+// sends a call to a socket that has just been closed, and the call is cut off.
+// The guard: the sockets are closed after every entry that answers has
 // acknowledged, and calls that were sent before are refused or finished.
 func (a *Agent) Drain(ctx context.Context) error {
 	select {
@@ -33,13 +34,13 @@
 	a.beginDrain()
 	notice, cancel := context.WithTimeout(ctx, a.config.Notice)
 	defer cancel()
-	if missing := a.entries.tell(notice); len(missing) > 0 {
-		a.deps.Log.Warn().Strs("entries", missing).Msg("entries did not acknowledge the stop")
+	if missing := a.entries.notify(notice); len(missing) > 0 {
+		a.deps.Log.Warn().Strs("entries", missing).Msg("entries did not acknowledge the planned stop")
 	}
-	calls := a.awaitCalls(ctx)
-	handed := a.handOverTasks(ctx)
-	if calls != nil || handed != nil {
-		return eris.Wrapf(firstError(calls, handed), "planned stop of %s", a.config.Instance)
+	callsErr := a.awaitCalls(ctx)
+	handOverErr := a.handOverTasks(ctx)
+	if callsErr != nil || handOverErr != nil {
+		return eris.Wrapf(firstError(callsErr, handOverErr), "planned stop of %s", a.config.Instance)
 	}
 	a.stopLease()
 	select {
@@ -53,18 +54,19 @@
 	return nil
 }
 
-// release repeats for a moment: a released row lets the owner of the queue go
-// on at once, but a stop doesn't wait for a store that is down.
+// release retries for the time of Notice: a released row lets the owner of the
+// queue proceed before the lease ends, but a stop doesn't wait for a store that
+// is down.
 func (a *Agent) release(ctx context.Context) error {
-	moment, cancel := context.WithTimeout(ctx, a.config.Notice)
+	limited, cancel := context.WithTimeout(ctx, a.config.Notice)
 	defer cancel()
 	for {
-		err := a.lease.Release(moment)
+		err := a.lease.Release(limited)
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-moment.Done():
+		case <-limited.Done():
 			return err
 		case <-time.After(releasePause):
 		}
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// beginDrain refuses new work from now on.
+// beginDrain makes the agent refuse new work.
 func (a *Agent) beginDrain() {
 	if a.ledger.Draining() {
 		return
@@ -90,7 +92,7 @@
 	a.ledger.Drain(true)
 	a.deps.Events.Record(structs.Event{Step: StepDraining})
 	a.deps.Log.Info().Msg("draining")
-	a.entries.kick()
+	a.entries.wakeAll()
 }
 
 // awaitCalls returns when no call is in progress.
@@ -99,18 +101,19 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
 }
 
-// handOverTasks evicts all tasks. Late in ctx's time it gives up on new
-// checkpoints, so that an object store that is down doesn't use all of it.
+// handOverTasks evicts all tasks. After forceFraction of ctx's time it waits
+// for no more checkpoints, so that an object store that is down doesn't use all
+// of the time.
 func (a *Agent) handOverTasks(ctx context.Context) error {
 	force := ctx
 	if deadline, ok := ctx.Deadline(); ok {
-		part := time.Duration(forcePart * float64(time.Until(deadline)))
+		part := time.Duration(forceFraction * float64(time.Until(deadline)))
 		var cancel context.CancelFunc
 		force, cancel = context.WithTimeout(ctx, part)
 		defer cancel()
@@ -118,27 +121,27 @@
 	return a.tasks.EvictAll(ctx, force)
 }
 
-// planStop serves an operator's planned stop of the instance: the process goes
-// on, without work. Cancelling it takes the instance back into use.
-func (a *Agent) planStop(cancelled bool) {
-	a.planned.Lock()
-	defer a.planned.Unlock()
+// setPlannedStop begins an operator's planned stop of the instance, or cancels
+// it. The process stays up and runs no work until the stop is cancelled.
+func (a *Agent) setPlannedStop(cancelled bool) {
+	a.plannedMu.Lock()
+	defer a.plannedMu.Unlock()
 	if a.runCtx == nil {
 		return
 	}
-	if a.evict != nil {
-		a.evict()
-		a.evict = nil
+	if a.stopEviction != nil {
+		a.stopEviction()
+		a.stopEviction = nil
 	}
 	if cancelled {
 		a.ledger.Drain(false)
 		a.deps.Events.Record(structs.Event{Step: StepResumed})
-		a.deps.Log.Info().Msg("taken back into use")
-		a.entries.kick()
+		a.deps.Log.Info().Msg("planned stop cancelled; admitting work again")
+		a.entries.wakeAll()
 		return
 	}
 	a.beginDrain()
 	ctx, stop := context.WithCancel(a.runCtx)
-	a.evict = stop
+	a.stopEviction = stop
 	go func() { _ = a.tasks.EvictAll(ctx, ctx) }()
 }
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -13,39 +13,41 @@
 	"persimmonrock.example/wire"
 )
 
-// refusedAs reports whether the agent refuses a new call as not run for want.
+// refusedAs reports whether the agent refuses a new call as not run, with type
+// want.
 func refusedAs(a *Agent, id structs.RequestID, want structs.RefusalType) bool {
 	got := call(a, id, time.Second)
 	return got.Refused != nil && got.Refused.Type == want && got.Refused.Outcome == structs.NotRun
 }
 
-// An operator retires a backend server while the store is down and a check is
-// in progress. New calls are refused from then on, entries are told, the check
-// gets its answer, and leaving ends only then. In the second life the agent
-// dies in the middle of it: its successor must not send anything either.
+// An operator retires a backend server while the store is down and a call is in
+// progress. From then on new calls are refused, the entry is notified, the call
+// gets its answer, and leaving ends only after that. In the second case the
+// agent is killed meanwhile: its successor must not send the server calls
+// either.
 func TestLeavingServerGetsNoNewCalls(t *testing.T) {
-	for _, dies := range []bool{false, true} {
-		t.Run(fmt.Sprintf("agent dies %v", dies), func(t *testing.T) {
-			r, a, s, guard := serving(t)
+	for _, killed := range []bool{false, true} {
+		t.Run(fmt.Sprintf("agent killed %v", killed), func(t *testing.T) {
+			r, a, s, guard := startServing(t)
 			r.table.Cut(true)
 			release := make(chan struct{})
-			s.will(func(w http.ResponseWriter, id structs.RequestID) { <-release; plain(w, id) })
+			s.setAnswer(func(w http.ResponseWriter, id structs.RequestID) { <-release; plain(w, id) })
 			answers := make(chan wire.CallReply, 1)
 			go func() { answers <- call(a, "long", 10*time.Second) }()
 			eventually(t, "the check runs", func() bool { return s.times("long") == 1 })
 			left := make(chan error, 1)
 			go func() { left <- guard.Leave(context.Background()) }()
 			eventually(t, "new calls are refused", func() bool { return refusedAs(a, "new", structs.RefusedDraining) })
-			eventually(t, "the entry is told", func() bool {
-				l := r.entry.heard().Load.Services
+			eventually(t, "the entry is notified", func() bool {
+				l := r.entry.lastHello().Load.Services
 				return len(l) == 1 && l[0].Leaving
 			})
-			if dies {
-				r.at(nil)
+			if killed {
+				r.setAgent(nil)
 				r.kill()
 				a, r.kill = r.agent()
-				r.at(a)
-				eventually(t, "the successor knows", func() bool { return refusedAs(a, "new", structs.RefusedDraining) })
+				r.setAgent(a)
+				eventually(t, "the successor refuses new calls", func() bool { return refusedAs(a, "new", structs.RefusedDraining) })
 			}
 			select {
 			case err := <-left:
@@ -53,7 +55,7 @@
 			default:
 			}
 			close(release)
-			if got := <-answers; !dies && (got.Refused != nil || string(got.Body) != "grade of long") {
+			if got := <-answers; !killed && (got.Refused != nil || string(got.Body) != "grade of long") {
 				t.Errorf("the check in progress: %v", got.Refused)
 			}
 			if err := <-left; err != nil || s.times("new") != 0 {
@@ -64,10 +66,10 @@
 }
 
 // A backend server is cut off from its agent and announces nothing any more.
-// After a bound it gets no new calls, whatever the agent believed of it.
-func TestSilentServerGetsNoNewCalls(t *testing.T) {
-	r, a, _, _ := serving(t)
-	r.at(nil)
+// After AnnounceTimeout it gets no new calls.
+func TestUnresponsiveServerGetsNoNewCalls(t *testing.T) {
+	r, a, _, _ := startServing(t)
+	r.setAgent(nil)
 	began := time.Now()
 	n := 0
 	eventually(t, "new calls are refused", func() bool {
@@ -79,20 +81,20 @@
 	}
 }
 
-// Two instances are stopped at once under load. The store is down for one and
+// Two instances are stopped at once under load. For one the store is down, and
 // a long call is in progress there; the entry is slow to answer the other.
-// Every call that was admitted is answered, the others are refused as not run,
-// and each stop ends only after the entry has acknowledged it, so that no call
-// is on its way to a closed socket. What can't be done without the store,
-// releasing the lease row, is reported.
-func TestStopsUnderLoadCutNothing(t *testing.T) {
+// Every admitted call is answered, the others are refused as not run, and each
+// stop ends only after the entry has acknowledged it, so that no call is on its
+// way to a closed socket. A failure to release the lease row, for lack of the
+// store, is returned.
+func TestPlannedStopsUnderLoadCutNoCalls(t *testing.T) {
 	var wait, stopping sync.WaitGroup
 	var answered atomic.Int64
 	stop := make(chan struct{})
 	for _, outage := range []bool{true, false} {
-		r, a, s, _ := serving(t)
+		r, a, s, _ := startServing(t)
 		eventually(t, "lease taken", func() bool { held, _ := a.lease.Held(time.Now()); return held > 0 })
-		s.will(func(w http.ResponseWriter, id structs.RequestID) {
+		s.setAnswer(func(w http.ResponseWriter, id structs.RequestID) {
 			time.Sleep(3 * time.Millisecond) // work, not a condition
 			if id == "long" {
 				time.Sleep(500 * time.Millisecond)
@@ -113,7 +115,7 @@
 		r.table.Cut(outage)
 		for caller := range 6 {
 			wait.Go(func() {
-				for n := 0; !ended(stop); n++ {
+				for n := 0; !closed(stop); n++ {
 					ask(structs.RequestID(fmt.Sprint(caller, "-", n)))
 				}
 			})
@@ -134,8 +136,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
 			err := a.Drain(ctx)
-			if told := r.entry.heard().Load.Draining; (err != nil) != outage || !told || a.ledger.Exchanging() != 0 {
-				t.Errorf("outage %v: drained with %v, entry heard %v", outage, err, told)
+			if notified := r.entry.lastHello().Load.Draining; (err != nil) != outage || !notified || a.ledger.Exchanging() != 0 {
+				t.Errorf("outage %v: drained with %v, entry notified %v", outage, err, notified)
 			}
 			r.kill() // the process ends; nothing may have been in progress
 		})
@@ -146,7 +148,7 @@
 	t.Logf("%d answered", answered.Load())
 }
 
-func ended(stop chan struct{}) bool {
+func closed(stop chan struct{}) bool {
 	select {
 	case <-stop:
 		return true
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -13,19 +13,20 @@
 	"persimmonrock.example/wire"
 )
 
-// Pace of heartbeats to one entry.
+// Intervals of the heartbeats to one entry.
 const (
-	minNext = 50 * time.Millisecond
-	// maxNext is the longest pace that an entry asks for.
-	maxNext = 3 * time.Minute
+	minInterval = 50 * time.Millisecond
+	// maxInterval is the longest interval that an entry may request.
+	maxInterval = 3 * time.Minute
 	// firstRetry and lastRetry bound the pause after a failed heartbeat.
 	firstRetry = 200 * time.Millisecond
 	lastRetry  = 5 * time.Second
-	// forgetEntry is when a learnt entry that can't be reached is dropped.
-	forgetEntry = 2 * time.Minute
+	// entryRetention is the time without an answer after which an entry that is
+	// not a seed is removed.
+	entryRetention = 2 * time.Minute
 )
 
-// entries keeps a heartbeat to each entry that is known.
+// entries sends heartbeats to every known entry.
 type entries struct {
 	agent *Agent
 	seeds map[string]bool
@@ -40,18 +41,18 @@
 // entry is one entry that the agent reports to.
 type entry struct {
 	address string
-	kick    chan struct{}
+	wakeup  chan struct{}
 
 	mu sync.Mutex
 	// acknowledged is the sequence of the last load that the entry confirmed.
 	acknowledged uint64
-	// kept are the parts of a heartbeat that the entry has kept, entries is the sum
-	// of the list that it sent last.
-	kept    wire.HelloSums
-	entries uint64
+	// kept are the checksums of the heartbeat parts that the entry has kept,
+	// entriesSum is that of the list of entries that it sent last.
+	kept       wire.HelloSums
+	entriesSum uint64
 	// answered is closed and replaced at each answer.
-	answered chan struct{}
-	heard    time.Time
+	answered    chan struct{}
+	lastContact time.Time
 
 	sampling sampling
 }
@@ -66,7 +67,7 @@
 }
 
 func newEntry(address string) *entry {
-	return &entry{address: address, kick: make(chan struct{}, 1), answered: make(chan struct{}), heard: time.Now()}
+	return &entry{address: address, wakeup: make(chan struct{}, 1), answered: make(chan struct{}), lastContact: time.Now()}
 }
 
 // run sends heartbeats until ctx ends.
@@ -74,7 +75,7 @@
 	e.mu.Lock()
 	e.ctx = ctx
 	for _, one := range e.known {
-		e.wait.Go(func() { e.report(ctx, one) })
+		e.wait.Go(func() { e.sendHeartbeats(ctx, one) })
 	}
 	e.mu.Unlock()
 	<-ctx.Done()
@@ -91,8 +92,8 @@
 	return out
 }
 
-// kick sends a heartbeat to every entry now.
-func (e *entries) kick() {
+// wakeAll sends a heartbeat to every entry now.
+func (e *entries) wakeAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, one := range e.known {
@@ -102,13 +103,13 @@
 
 func (o *entry) wake() {
 	select {
-	case o.kick <- struct{}{}:
+	case o.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// learn begins to report to entries that were not known.
-func (e *entries) learn(addresses []string) {
+// add starts to send heartbeats to entries that were not known.
+func (e *entries) add(addresses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, address := range addresses {
@@ -117,15 +118,16 @@
 		}
 		one := newEntry(address)
 		e.known[address] = one
-		e.wait.Go(func() { e.report(e.ctx, one) })
+		e.wait.Go(func() { e.sendHeartbeats(e.ctx, one) })
 	}
 }
 
-// report sends heartbeats to one entry, paced by its answers.
-func (e *entries) report(ctx context.Context, one *entry) {
+// sendHeartbeats sends heartbeats to one entry at the intervals that its
+// answers request.
+func (e *entries) sendHeartbeats(ctx context.Context, one *entry) {
 	failures := 0
 	for {
-		next, err := e.hello(ctx, one)
+		next, err := e.heartbeat(ctx, one)
 		if err == nil {
 			failures = 0
 		} else {
@@ -133,26 +135,26 @@
 			e.agent.counters.helloFailed.Add(1)
 			next = retryPause(failures)
 		}
-		if e.forget(one) {
+		if e.dropUnreachable(one) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-one.kick:
+		case <-one.wakeup:
 		case <-time.After(next):
 		}
 	}
 }
 
 // retryPause doubles with each failure and has a random part, so that agents
-// don't return to a restarted entry all at once.
+// don't reconnect to a restarted entry all at once.
 func retryPause(failures int) time.Duration {
 	pause := min(firstRetry<<min(failures-1, 8), lastRetry)
 	return pause/2 + time.Duration(rand.Int64N(int64(pause)))
 }
 
-func (e *entries) hello(ctx context.Context, one *entry) (time.Duration, error) {
+func (e *entries) heartbeat(ctx context.Context, one *entry) (time.Duration, error) {
 	a := e.agent
 	ctx, cancel := context.WithTimeout(ctx, a.config.Timeout)
 	defer cancel()
@@ -166,21 +168,22 @@
 		Address: a.config.Address, Zone: a.config.Zone, Load: load,
 		Revision: a.ledger.Revision(), Want: a.contracts.Wants(), Lease: held, Samples: one.sampling.next(a.relief),
 	}
-	sent := one.spare(request)
+	sent := one.omitKept(request)
 	reply, err := a.deps.Peers.Entry(one.address).Hello(ctx, sent)
 	if err != nil {
 		return 0, eris.Wrapf(err, "heartbeat to %s", one.address)
 	}
 	a.contracts.Receive(reply.Config, reply.Change)
-	if !one.keep(request, sent.Omitted, reply) {
-		return minNext, nil
+	if !one.recordReply(request, sent.Omitted, reply) {
+		return minInterval, nil
 	}
-	e.learn(reply.Entries)
+	e.add(reply.Entries)
 	one.acknowledge(load.Sequence)
-	return min(max(reply.Next, minNext), maxNext), nil
+	return min(max(reply.Next, minInterval), maxInterval), nil
 }
 
-// askConfig asks one entry for what is above revision r, another one each time.
+// askConfig requests the changes above revision r from one entry, each time
+// from another.
 func (e *entries) askConfig(ctx context.Context, r structs.Revision) (wire.ConfigReply, error) {
 	addresses := e.addresses()
 	if len(addresses) == 0 {
@@ -192,17 +195,17 @@
 	return reply, eris.Wrapf(err, "ask %s for the configuration", address)
 }
 
-// spare leaves out of r what the entry has.
-func (o *entry) spare(r wire.HelloRequest) wire.HelloRequest {
+// omitKept removes from r the parts that the entry has kept.
+func (o *entry) omitKept(r wire.HelloRequest) wire.HelloRequest {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r.Entries = o.entries
+	r.Entries = o.entriesSum
 	return r.Omit(o.kept)
 }
 
-// keep notes what the entry has after it answered; false means that it needs
-// the whole.
-func (o *entry) keep(whole wire.HelloRequest, omitted wire.HelloSums, reply wire.HelloReply) bool {
+// recordReply records the parts that the entry has kept, as its reply says. It
+// returns false if the entry needs the whole heartbeat.
+func (o *entry) recordReply(whole wire.HelloRequest, omitted wire.HelloSums, reply wire.HelloReply) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.kept = wire.HelloSums{}
@@ -212,7 +215,7 @@
 		return false
 	}
 	if len(reply.Entries) > 0 {
-		o.entries = wire.EntriesSum(reply.Entries)
+		o.entriesSum = wire.EntriesSum(reply.Entries)
 	}
 	return true
 }
@@ -221,18 +224,18 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.acknowledged = max(o.acknowledged, sequence)
-	o.heard = time.Now()
+	o.lastContact = time.Now()
 	close(o.answered)
 	o.answered = make(chan struct{})
 }
 
-// forget drops a learnt entry that has been out of reach for long. A restarted
-// entry is learnt again from the others.
-func (e *entries) forget(one *entry) bool {
+// dropUnreachable removes an entry that is not a seed after entryRetention
+// without an answer. If the entry is restarted, other entries name it again.
+func (e *entries) dropUnreachable(one *entry) bool {
 	one.mu.Lock()
-	silent := time.Since(one.heard) > forgetEntry
+	expired := time.Since(one.lastContact) > entryRetention
 	one.mu.Unlock()
-	if !silent || e.seeds[one.address] {
+	if !expired || e.seeds[one.address] {
 		return false
 	}
 	e.mu.Lock()
@@ -241,12 +244,12 @@
 	return true
 }
 
-// tell sends a heartbeat to every entry now and waits until each has
+// notify sends a heartbeat to every entry now and waits until each has
 // acknowledged a load taken after the call, or ctx ends. It returns the
-// addresses of those that have not.
-func (e *entries) tell(ctx context.Context) []string {
+// addresses of the entries that have not acknowledged one.
+func (e *entries) notify(ctx context.Context) []string {
 	from := e.agent.load().Sequence
-	e.kick()
+	e.wakeAll()
 	e.mu.Lock()
 	known := make([]*entry, 0, len(e.known))
 	for _, one := range e.known {
--- a/agent/follow_test.go
+++ b/agent/follow_test.go
@@ -30,12 +30,12 @@
 }
 
 // An operator changes a contract in a deployment so large that heartbeats are
-// minutes apart. The change is in force at the agent within 13 s all the same;
-// when a call names a revision that the agent has not heard of, within 2 s.
+// minutes apart. The change must be in force at the agent within 13 s; if a
+// call names a revision that the agent doesn't have, within 2 s.
 func TestChangeIsInForceBetweenHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
-		r.entry.config, r.entry.next = nil, maxNext
+		r.entry.config, r.entry.next = nil, maxInterval
 		first := r.accept("kowhai", 0.1)
 		a, stop := r.agent()
 		defer stop()
@@ -43,7 +43,7 @@
 			t.Helper()
 			time.Sleep(within)
 			if got := a.ledger.Revision(); got != revision {
-				t.Errorf("revision %d after %s, accepted was %d", got, within, revision)
+				t.Errorf("revision %d after %s, want the accepted %d", got, within, revision)
 			}
 		}
 		want(first, time.Second)
@@ -54,7 +54,7 @@
 		_ = a.RPC().Call(wire.CallRequest{Request: "c1", Customer: "kowhai", Service: "assay-check", Budget: time.Millisecond, Revision: third}, &reply)
 		want(third, 2*time.Second)
 		if more := a.counters.hellos.Load() - hellos; more > 2 {
-			t.Errorf("%d heartbeats meanwhile: the changes may have come with them", more)
+			t.Errorf("%d heartbeats meanwhile: the changes may have arrived with them", more)
 		}
 		if a.ledger.Counters().InvariantBroken != 0 {
 			t.Error("an invariant is broken")
--- a/agent/ledger/peers.go
+++ b/agent/ledger/peers.go
@@ -7,7 +7,7 @@
 )
 
 // awaitedTimeout is the time for which slots stay reserved for a server that
-// another server names and that does not announce itself.
+// has not accepted this agent.
 const awaitedTimeout = 30 * time.Second
 
 // awaited is a server that has not accepted this agent yet and that may run
@@ -53,7 +53,7 @@
 }
 
 // releaseAwaited frees the slots that were reserved for a server: its calls are
-// in the ledger, or it has not announced itself in time.
+// in the ledger, or it has not accepted this agent in time.
 func (l *Ledger) releaseAwaited(name string, now time.Time) {
 	kept, ok := l.awaited[name]
 	if !ok {
--- a/agent/outage_test.go
+++ b/agent/outage_test.go
@@ -14,7 +14,7 @@
 const outageTasks = 5
 
 // lostInOutage runs tasks through an outage of the store and returns how many
-// were stopped by it and the renewals written in the hour before.
+// of them lapsed and how many renewals were written per hour before it.
 func lostInOutage(t *testing.T, lease, outage time.Duration) (lost int, renewals int64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -43,8 +43,8 @@
 	return lost, renewals
 }
 
-// recovery returns the time from the kill of an agent to its task's next run,
-// with a successor on the instance and without.
+// recovery returns the time from the kill of an agent to the next run of its
+// task, with or without a successor on the instance.
 func recovery(t *testing.T, lease time.Duration, successor bool) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwner(t, 2, 0)
@@ -53,12 +53,12 @@
 			h.config.Lease, h.config.WorkerLease = lease, 0
 			h.agent, h.kill = h.rig.agent()
 		}
-		o.pass(time.Second)
+		o.advance(time.Second)
 		o.jobs = append(o.jobs, &job{id: "j0", state: structs.JobQueued})
-		o.pass(5 * time.Second)
-		h, began := o.jobs[0].on, time.Now()
+		o.advance(5 * time.Second)
+		h, began := o.jobs[0].runsOn, time.Now()
 		h.kill()
-		pause := ownerPause
+		pause := ownerInterval
 		if successor {
 			h.agent, h.kill = h.rig.agent()
 		} else {
@@ -79,9 +79,9 @@
 	return took
 }
 
-// The store is down while long batch tasks run. A long lease keeps them alive
-// through it and costs time only where an agent dies and nobody takes its
-// place. The table is in docs/notes/agent-leases.md.
+// Long batch tasks run through an outage of the store. A long lease keeps them
+// alive and costs time only where an agent is killed and has no successor. The
+// table is in docs/notes/agent-leases.md.
 func TestOutagesAndRecovery(t *testing.T) {
 	t.Logf("%-6s %14s %9s %9s %9s %12s %10s", "lease", "renewals/hour", "1m lost", "5m lost", "30m lost", "successor", "none")
 	for _, lease := range []time.Duration{time.Minute, DefaultLease, time.Hour} {
@@ -96,7 +96,7 @@
 			}
 		}
 		quick, slow := recovery(t, lease, true), recovery(t, lease, false)
-		if quick > 5*time.Second || slow > lease+maxRenew {
+		if quick > 5*time.Second || slow > lease+maxRenewInterval {
 			t.Errorf("lease %s: recovery in %s and %s", lease, quick, slow)
 		}
 		args := append([]any{lease, renewals}, lost...)
--- a/agent/refusals.go
+++ b/agent/refusals.go
@@ -8,15 +8,16 @@
 	"persimmonrock.example/structs"
 )
 
-// Pauses that a refused caller is asked for.
+// Delays after which a refused caller may retry.
 const (
 	retrySoon  = 100 * time.Millisecond
 	retryDial  = time.Second
 	retryDrain = 2 * time.Second
 )
 
-// refusalText is what a reason of the ledger becomes. Only a duplicate claims
-// no proof: the first request with that ID may run.
+// refusalText is the refusal for a Reason of the ledger. Only a duplicate is
+// not proof that the request did not run: the first request with that ID may
+// run.
 type refusalText struct {
 	kind    structs.RefusalType
 	outcome structs.Outcome
--- a/agent/rig_test.go
+++ b/agent/rig_test.go
@@ -18,7 +18,7 @@
 	"persimmonrock.example/wire"
 )
 
-// fakeEntry is an entry that acknowledges all it hears.
+// fakeEntry is an entry that acknowledges every message.
 type fakeEntry struct {
 	wire.EntryPeer
 	mu      sync.Mutex
@@ -29,8 +29,9 @@
 	last    wire.HelloRequest
 	hellos  int
 	reports map[structs.JobID][]wire.TaskReport
-	// settle, if set, decides which reports are acknowledged.
-	settle func(wire.TaskReport) bool
+	// applyReport, if set, processes a report and returns whether to
+	// acknowledge it.
+	applyReport func(wire.TaskReport) bool
 }
 
 func (e *fakeEntry) Hello(_ context.Context, r wire.HelloRequest) (wire.HelloReply, error) {
@@ -61,7 +62,7 @@
 	}
 	for i, one := range r.Reports {
 		e.reports[one.Job] = append(e.reports[one.Job], one)
-		reply.Settled[i] = e.settle == nil || e.settle(one)
+		reply.Settled[i] = e.applyReport == nil || e.applyReport(one)
 	}
 	return reply, nil
 }
@@ -84,7 +85,7 @@
 	e.slow = d
 }
 
-func (e *fakeEntry) heard() wire.HelloRequest {
+func (e *fakeEntry) lastHello() wire.HelloRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.last
@@ -99,34 +100,35 @@
 	return e.reports[id][0], true
 }
 
-// Entry implements wire.Dialer: every address is this entry.
+// Entry implements wire.Dialer: every address is that of this entry.
 func (e *fakeEntry) Entry(string) wire.EntryPeer { return e }
 
 // Agent implements wire.Dialer.
 func (e *fakeEntry) Agent(string) wire.AgentPeer { return nil }
 
-// rig is one instance: stand-ins for the platform, one entry, and agents.
+// rig is one instance with fakes of the platform, one entry, and agents.
 type rig struct {
 	t       *testing.T
 	entry   *fakeEntry
 	store   *memory.Table
 	table   *fault.Control
 	objects *fault.Control
-	// process freezes what the present agent sends to its worker; freeze does
-	// so for everything.
+	// process controls the calls of the present agent to its worker, table and
+	// objects those to the stores. host.freeze freezes all three.
 	process *fault.Control
 	bodies  *memory.Objects
 	worker  *memory.Worker
 	runs    *memory.RunRegistry
 	config  Config
 	ctx     context.Context
-	// at, kill and front are set by serving.
-	at    func(*Agent)
-	kill  func()
-	front *httptest.Server
+	// setAgent, kill and front are set by startServing.
+	setAgent func(*Agent)
+	kill     func()
+	front    *httptest.Server
 }
 
-// steps is a batch program of 100 steps of 100 ms that saves after each.
+// steps is a batch program of 100 steps of 100 ms that saves its state after
+// each.
 func steps(ctx context.Context, t memory.Task) ([]byte, error) {
 	at := byte(0)
 	if len(t.Checkpoint) == 1 {
@@ -163,7 +165,7 @@
 	}
 }
 
-// agent starts an agent and returns it and the means to kill it.
+// agent starts an agent and returns it and a function that kills it.
 func (r *rig) agent() (*Agent, func()) {
 	r.t.Helper()
 	wires := &connections{open: make(map[net.Conn]bool)}
@@ -181,7 +183,7 @@
 	return a, func() { wires.cut(true); cancel(); <-done }
 }
 
-// connections are those of one agent; they break when it is killed.
+// connections are those of one agent; they are closed when it is killed.
 type connections struct {
 	mu     sync.Mutex
 	open   map[net.Conn]bool
@@ -209,8 +211,8 @@
 	clear(c.open)
 }
 
-// serve starts a backend server behind its guard and announces it.
-func (r *rig) serve(agentURL string, slots int, h http.HandlerFunc) (*backend.Server, *httptest.Server) {
+// startBackend starts a backend server behind its guard and announces it.
+func (r *rig) startBackend(agentURL string, slots int, h http.HandlerFunc) (*backend.Server, *httptest.Server) {
 	r.t.Helper()
 	front := httptest.NewUnstartedServer(nil)
 	guard := backend.New(backend.Config{
@@ -225,7 +227,7 @@
 	return guard, front
 }
 
-// announceAt serves an agent's announce API at a fixed address over restarts.
+// announceAt serves the announce API at one address for successive agents.
 func (r *rig) announceAt() (string, func(*Agent)) {
 	var mu sync.Mutex
 	var now *Agent
@@ -257,7 +259,7 @@
 	return reply
 }
 
-// eventually waits for a condition, for up to ten seconds.
+// eventually waits up to ten seconds for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
@@ -265,7 +267,7 @@
 			return
 		}
 	}
-	t.Fatalf("not within ten seconds: %s", what)
+	t.Fatalf("condition not met within ten seconds: %s", what)
 }
 
 func ready(a *Agent) func() bool {
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -13,7 +13,7 @@
 	"persimmonrock.example/wire"
 )
 
-// rpcServer is what the agent serves to entries.
+// rpcServer is the agent's RPC service for entries.
 type rpcServer struct{ a *Agent }
 
 // RPC returns the agent's net/rpc service.
@@ -30,7 +30,7 @@
 }
 
 // Cancel implements wire.AgentAPI. It frees nothing: the backend server may
-// work on, and says so itself.
+// work on, and reports the end of the call itself.
 func (s rpcServer) Cancel(wire.CancelRequest, *wire.Empty) error {
 	s.a.counters.cancels.Add(1)
 	return nil
@@ -67,7 +67,7 @@
 	if r.Service != "" {
 		s.a.retire(r.Service)
 	} else {
-		s.a.planStop(r.Cancel)
+		s.a.setPlannedStop(r.Cancel)
 	}
 	*reply = s.a.load()
 	return nil
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// counters of the agent itself.
+// counters are the agent's own counters.
 type counters struct {
 	calls, answered, refused, cancels, overBudget atomic.Int64
 	cut, dialFailed, guardRefused, foreignAnswers atomic.Int64
--- a/agent/samples.go
+++ b/agent/samples.go
@@ -5,27 +5,28 @@
 	"persimmonrock.example/wire"
 )
 
-// sampleEvery is in how many heartbeats to an entry one carries a measurement.
-// One of a service with eight kinds beside it takes about 200 bytes; in every
-// second heartbeat that adds a fifth to what a thousand agents send an entry.
+// sampleEvery is the number of heartbeats to an entry of which one carries a
+// measurement. A measurement of a service that runs beside eight kinds takes
+// about 200 bytes; in every second heartbeat that adds a fifth to the bytes
+// that a thousand agents send an entry.
 const sampleEvery = 2
 
-// sampling is what one entry was sent of the measurements. Only the goroutine
-// that sends the heartbeats uses it.
+// sampling records the measurements that were sent to one entry. Only the
+// goroutine that sends the heartbeats uses it.
 type sampling struct {
-	beats int
-	sent  relief.Sent
+	heartbeats int
+	sent       relief.Sent
 }
 
-// next returns what the next heartbeat carries.
+// next returns the measurements for the next heartbeat.
 //
-// Failure guarded against: a heartbeat arrives and its answer is lost; repeated,
-// its measurements would count twice, and the entry be surer than it may be.
-// They count as sent before the exchange, so each is sent at most once; a lost
-// one is replaced by a later window's.
+// Failure guarded against: a heartbeat arrives and its answer is lost; if its
+// measurements were sent again they would count twice, and the entry would be
+// more certain than it should be. They count as sent before the exchange, so
+// each is sent at most once; a later window replaces a lost one.
 func (s *sampling) next(r *relief.Controller) []wire.Sample {
-	s.beats++
-	if s.beats%sampleEvery != 0 {
+	s.heartbeats++
+	if s.heartbeats%sampleEvery != 0 {
 		return nil
 	}
 	if s.sent == nil {
--- a/agent/survey.go
+++ b/agent/survey.go
@@ -10,11 +10,13 @@
 	"persimmonrock.example/structs"
 )
 
-// surveyEvery is how often the worker is asked for tasks of earlier agents.
-const surveyEvery = 200 * time.Millisecond
+// surveyInterval is the time between surveys of the worker for tasks of earlier
+// agents.
+const surveyInterval = 200 * time.Millisecond
 
-// survey keeps the ledger's account of tasks that the worker runs for earlier
-// agents, until this agent holds the lease and none of theirs runs any more.
+// survey updates the ledger's count of the tasks that the worker runs for
+// earlier agents, until this agent holds the lease and none of those tasks runs
+// any more.
 func (a *Agent) survey(ctx context.Context) {
 	for {
 		held, _ := a.lease.Held(time.Now())
@@ -25,12 +27,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(surveyEvery):
+		case <-time.After(surveyInterval):
 		}
 	}
 }
 
-// runningTasks lists the tasks that run for other incarnations than held.
+// runningTasks returns the running tasks of other incarnations than held.
 func (a *Agent) runningTasks(ctx context.Context, held structs.Incarnation) ([]ledger.WorkerTask, error) {
 	ask, cancel := context.WithTimeout(ctx, a.config.Timeout)
 	defer cancel()
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// Serving is the number of backend servers on the instance that calls are
+// Serving returns the number of backend servers on the instance that calls are
 // admitted to now.
 func (a *Agent) Serving() int {
 	if a.Ready() != nil {
--- a/agent/twoplaces_test.go
+++ b/agent/twoplaces_test.go
@@ -20,7 +20,7 @@
 )
 
 // TestMain fixes seed and length of the random runs; -rapid.seed and
-// -rapid.checks give others.
+// -rapid.checks override them.
 func TestMain(m *testing.M) {
 	given := make(map[string]bool)
 	flag.Parse()
@@ -33,12 +33,12 @@
 	os.Exit(m.Run())
 }
 
-// job is what the owner of the queue knows of one job.
+// job is the queue owner's record of one job.
 type job struct {
 	id         structs.JobID
 	epoch      structs.Epoch
 	state      structs.JobState
-	on         *host
+	runsOn     *host
 	lease      structs.Incarnation
 	confirmed  bool
 	checkpoint string
@@ -48,34 +48,34 @@
 // host is one instance with its present agent.
 type host struct {
 	*rig
-	agent *Agent
-	kill  func()
-	seen  infra.Row
-	since time.Time
+	agent         *Agent
+	kill          func()
+	leaseRow      infra.Row
+	leaseRowSince time.Time
 }
 
-// owner stands for the entry that owns the queue: it claims, grants, settles
-// and requeues by the rules of docs/ARCHITECTURE.md and no others.
+// owner stands for the entry that owns the queue: it claims, grants, applies
+// reports and requeues by the rules of docs/ARCHITECTURE.md and no others.
 type owner struct {
-	hosts []*host
-	jobs  []*job
-	turn  int
-	worst string
-	mu    sync.Mutex
-	// sent are all grants so far; deaf means that answers to starts are lost.
-	sent []wire.TaskGrant
-	deaf bool
-	// margin is what the owner waits beyond a lease's length.
+	hosts     []*host
+	jobs      []*job
+	claims    int
+	violation string
+	mu        sync.Mutex
+	// sent are all grants so far; answersLost drops the answers to starts.
+	sent        []wire.TaskGrant
+	answersLost bool
+	// margin is the time that the owner waits beyond a lease's length.
 	margin time.Duration
 }
 
 const (
-	taskSteps  = 100
-	hostLease  = 40 * time.Second
-	ownerPause = 250 * time.Millisecond
+	taskSteps     = 100
+	hostLease     = 40 * time.Second
+	ownerInterval = 250 * time.Millisecond
 )
 
-// program runs taskSteps steps of a second and saves after each.
+// program runs taskSteps steps of a second and saves its state after each.
 func program(ctx context.Context, t memory.Task) ([]byte, error) {
 	at := byte(0)
 	if len(t.Checkpoint) == 1 {
@@ -98,7 +98,7 @@
 		r.store, r.runs, r.bodies = first.store, first.runs, first.bodies
 		r.config.Instance = structs.InstanceID(fmt.Sprint("i", i))
 		r.config.Lease = hostLease
-		r.entry.settle = o.settle
+		r.entry.applyReport = o.applyReport
 		r.worker = memory.NewWorker(memory.WorkerOptions{
 			Instance: r.config.Instance, Registry: r.runs, StopDelay: 300 * time.Millisecond,
 			Kinds: map[structs.Kind]memory.Program{"steps": program},
@@ -113,8 +113,8 @@
 	return o
 }
 
-// settle takes a report; one of another epoch is void.
-func (o *owner) settle(r wire.TaskReport) bool {
+// applyReport applies a report; it ignores one of another epoch.
+func (o *owner) applyReport(r wire.TaskReport) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, j := range o.jobs {
@@ -123,36 +123,37 @@
 		}
 		switch r.End {
 		case wire.EndDone:
-			body, err := j.on.bodies.Get(context.Background(), r.Result)
+			body, err := j.runsOn.bodies.Get(context.Background(), r.Result)
 			if err != nil || len(body) != 1 || body[0] != taskSteps {
-				o.worst = fmt.Sprintf("%s is done without a whole result: %v %v", j.id, body, err)
+				o.violation = fmt.Sprintf("%s is done without a whole result: %v %v", j.id, body, err)
 			}
 			j.state = structs.JobDone
 		case wire.EndEvicted, wire.EndLost, wire.EndNotStarted:
 			j.state = structs.JobQueued
 			o.resumeFrom(j, r.Checkpoint)
 		default:
-			o.worst = fmt.Sprintf("%s ended as %s: %s", j.id, r.End, r.Error)
+			o.violation = fmt.Sprintf("%s ended as %s: %s", j.id, r.End, r.Error)
 		}
 	}
 	return true
 }
 
-// resumeFrom checks that a checkpoint exists and never goes back.
+// resumeFrom checks that the checkpoint exists and is not behind the last one.
 func (o *owner) resumeFrom(j *job, key string) {
 	if key == "" {
 		return
 	}
-	state, err := j.on.bodies.Get(context.Background(), key)
+	state, err := j.runsOn.bodies.Get(context.Background(), key)
 	at := append(state, 0)[0]
 	if err != nil || at < j.progress {
-		o.worst = fmt.Sprintf("%s: checkpoint %s is %v %v, had %d", j.id, key, state, err, j.progress)
+		o.violation = fmt.Sprintf("%s: checkpoint %s is %v %v, had %d", j.id, key, state, err, j.progress)
 		return
 	}
 	j.checkpoint, j.progress = key, at
 }
 
-// step observes the lease rows, requeues what provably stopped, and grants.
+// step reads the lease rows, requeues the jobs whose runs have provably
+// stopped, and grants.
 func (o *owner) step() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -160,7 +161,7 @@
 		o.observe(h)
 	}
 	for _, j := range o.jobs {
-		if j.state == structs.JobRunning && o.voids(j) {
+		if j.state == structs.JobRunning && o.runFenced(j) {
 			j.state = structs.JobQueued
 		}
 		if j.state == structs.JobQueued {
@@ -179,12 +180,12 @@
 
 func (o *owner) observe(h *host) {
 	row, err := h.store.Get(context.Background(), structs.AgentLeaseKey(h.config.Instance))
-	if err != nil || row.Version != h.seen.Version {
-		h.seen, h.since = row, time.Now()
+	if err != nil || row.Version != h.leaseRow.Version {
+		h.leaseRow, h.leaseRowSince = row, time.Now()
 		return
 	}
 	l := leaseOf(row)
-	if l.State != structs.LeaseActive || time.Since(h.since) <= l.Length.Std()+o.margin {
+	if l.State != structs.LeaseActive || time.Since(h.leaseRowSince) <= l.Length.Std()+o.margin {
 		return
 	}
 	l.State = structs.LeaseFenced
@@ -195,23 +196,23 @@
 	})
 }
 
-func (o *owner) voids(j *job) bool {
-	l := leaseOf(j.on.seen)
+func (o *owner) runFenced(j *job) bool {
+	l := leaseOf(j.runsOn.leaseRow)
 	return l.Incarnation > j.lease || (l.Incarnation == j.lease && l.State != structs.LeaseActive)
 }
 
 func (o *owner) claim(j *job) {
-	o.turn++
-	h := o.hosts[o.turn%len(o.hosts)]
-	if l := leaseOf(h.seen); l.State == structs.LeaseActive && h.entry.heard().Lease == l.Incarnation {
-		j.state, j.on, j.lease, j.confirmed = structs.JobRunning, h, l.Incarnation, false
+	o.claims++
+	h := o.hosts[o.claims%len(o.hosts)]
+	if l := leaseOf(h.leaseRow); l.State == structs.LeaseActive && h.entry.lastHello().Lease == l.Incarnation {
+		j.state, j.runsOn, j.lease, j.confirmed = structs.JobRunning, h, l.Incarnation, false
 		j.epoch++
 	}
 }
 
 func (o *owner) start(j *job) {
-	h := j.on
-	if h.entry.cut() || h.agent == nil {
+	h := j.runsOn
+	if h.entry.isDown() || h.agent == nil {
 		return
 	}
 	var reply wire.StartReply
@@ -220,7 +221,7 @@
 		Checkpoint: j.checkpoint, Spec: structs.JobSpec{Kind: "steps", Declared: structs.Resources{Slots: 1}},
 	})
 	_ = h.agent.RPC().Start(wire.StartRequest{Tasks: o.sent[len(o.sent)-1:]}, &reply)
-	if o.deaf {
+	if o.answersLost {
 		return
 	}
 	j.confirmed = reply.Refused[0] == nil
@@ -229,8 +230,8 @@
 	}
 }
 
-func (o *owner) pass(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(ownerPause) {
+func (o *owner) advance(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(ownerInterval) {
 		o.step()
 	}
 	synctest.Wait()
@@ -246,7 +247,7 @@
 	return n
 }
 
-func (e *fakeEntry) cut() bool {
+func (e *fakeEntry) isDown() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.down
@@ -258,7 +259,7 @@
 	e.down = down
 }
 
-// freeze stops all that the host's present agent sends.
+// freeze stops or resumes everything that the host's present agent sends.
 func (h *host) freeze(on bool) {
 	for _, c := range []*fault.Control{h.process, h.table, h.objects} {
 		if on {
@@ -270,9 +271,10 @@
 	h.entry.setDown(on)
 }
 
-// replace kills the agent and starts another; a zombie is frozen instead of
-// killed, and the returned function wakes it for a moment before it ends. What
-// is in before is done when the new agent's links are there and it isn't yet.
+// replace kills the agent and starts another. A zombie is frozen instead of
+// killed, and the returned function resumes it for a moment before it ends. The
+// functions in before run after the new agent's links exist and before it
+// starts.
 func (h *host) replace(zombie bool, before ...func()) func() {
 	old, frozen := h.kill, []*fault.Control{h.process, h.table, h.objects}
 	if zombie {
@@ -298,20 +300,20 @@
 	}
 }
 
-// upset is one thing that goes wrong.
-type upset struct {
+// disruption is one failure or operation at a host.
+type disruption struct {
 	After time.Duration
 	Host  int
 	What  string
-	// Wake lets the oldest zombie wake first.
+	// Wake resumes the oldest zombie first.
 	Wake bool
 }
 
-// drawUpsets draws all before the fake time begins.
-func drawUpsets(t *rapid.T) []upset {
-	out := make([]upset, rapid.IntRange(1, 12).Draw(t, "upsets"))
+// drawDisruptions draws all disruptions before the fake time begins.
+func drawDisruptions(t *rapid.T) []disruption {
+	out := make([]disruption, rapid.IntRange(1, 12).Draw(t, "upsets"))
 	for i := range out {
-		out[i] = upset{
+		out[i] = disruption{
 			After: time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second,
 			Host:  rapid.IntRange(0, 1).Draw(t, "host"),
 			What: rapid.SampledFrom([]string{
@@ -323,7 +325,7 @@
 	return out
 }
 
-func (o *owner) apply(u upset, after *[]func()) {
+func (o *owner) apply(u disruption, after *[]func()) {
 	h := o.hosts[u.Host]
 	switch what := u.What; what {
 	case "freeze", "thaw":
@@ -337,7 +339,7 @@
 	case "late":
 		_ = h.agent.RPC().Start(wire.StartRequest{Tasks: o.sent}, &wire.StartReply{})
 	case "deaf":
-		o.deaf = !o.deaf
+		o.answersLost = !o.answersLost
 	case "lose":
 		h.table.Next(fault.LoseAnswer)
 	case "delay":
@@ -350,26 +352,26 @@
 		*after = append(*after, h.replace(what == "zombie"))
 	case "evict":
 		for _, j := range o.jobs {
-			if j.state == structs.JobRunning && j.on == h && !h.entry.cut() {
+			if j.state == structs.JobRunning && j.runsOn == h && !h.entry.isDown() {
 				_ = h.agent.RPC().Stop(wire.StopRequest{Reason: wire.StopEvicted, Tasks: []wire.TaskRef{{Job: j.id, Epoch: j.epoch}}}, nil)
 			}
 		}
 	}
 }
 
-// A treasurer's reconciliation runs for long while agents are killed, frozen
-// past their lease and woken, cut off from the store, from the entries and
-// from both, and told to evict. The job must never run in two places at once,
-// must resume from its last checkpoint, and must be done once.
-func TestRandomLivesOfTasks(t *testing.T) {
+// Long jobs run while agents are killed, frozen past their lease and resumed,
+// cut off from the store, from the entries and from both, and asked to evict. A
+// job must never run in two places at once, must resume from its last
+// checkpoint, and must be done once.
+func TestRandomFailuresOfTasks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		upsets := drawUpsets(rt)
-		verdict := ""
+		disruptions := drawDisruptions(rt)
+		problem := ""
 		synctest.Test(t, func(t *testing.T) {
 			o := newOwner(t, 2, 4)
 			var after []func()
-			for _, u := range upsets {
-				o.pass(u.After)
+			for _, u := range disruptions {
+				o.advance(u.After)
 				o.apply(u, &after)
 				if u.Wake && len(after) > 0 {
 					after[0]()
@@ -379,17 +381,18 @@
 			for _, wake := range after {
 				wake()
 			}
-			o.deaf = false
-			verdict = o.end()
+			o.answersLost = false
+			problem = o.finish()
 		})
-		if verdict != "" {
-			rt.Fatal(verdict)
+		if problem != "" {
+			rt.Fatal(problem)
 		}
 	})
 }
 
-// end heals all, lets the jobs end and returns what is wrong, or "".
-func (o *owner) end() string {
+// finish heals all faults, waits for the jobs to end and returns the problem
+// found, or "".
+func (o *owner) finish() string {
 	for _, h := range o.hosts {
 		h.freeze(false)
 		h.table.Heal()
@@ -397,24 +400,24 @@
 		h.process.Heal()
 	}
 	for range 72 {
-		o.pass(5 * time.Second)
+		o.advance(5 * time.Second)
 		if o.done() == len(o.jobs) {
 			break
 		}
 	}
-	verdict := o.verdict()
+	problem := o.problem()
 	for _, h := range o.hosts {
 		h.kill()
 		h.worker.Close()
 		h.table.Wait()
 	}
-	return verdict
+	return problem
 }
 
-func (o *owner) verdict() string {
+func (o *owner) problem() string {
 	switch runs := o.hosts[0].runs; {
-	case o.worst != "":
-		return o.worst
+	case o.violation != "":
+		return o.violation
 	case runs.Broken() > 0:
 		return fmt.Sprintf("%d runs overlapped or repeated a claim", runs.Broken())
 	case o.done() != len(o.jobs):
