--- a/entry/intake/clock.go
+++ b/entry/intake/clock.go
@@ -19,7 +19,8 @@
 // NewStoreClock returns a clock that reads the local one through now.
 func NewStoreClock(now func() time.Duration) *StoreClock { return &StoreClock{now: now} }
 
-// Set takes the clock of an answer that has just arrived.
+// Set records the store's clock from an answer that has just arrived. It
+// ignores a stamp without a time.
 func (c *StoreClock) Set(at rowstore.Stamp) {
 	if at.Now == 0 {
 		return
@@ -29,7 +30,7 @@
 	c.store, c.local = at.Now, c.now()
 }
 
-// Now is the store's clock now.
+// Now returns the estimated time of the store's clock.
 func (c *StoreClock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/intake/clock_test.go
+++ b/entry/intake/clock_test.go
@@ -15,10 +15,10 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A long job that was the first at an entry waited behind all others until
-// nobody wanted it any more. The entry had not written to the store before, so
-// it knew no time of the store, and stamped the job with that of its own
-// machine, which had been up for less long: the scheduler took it for hours old.
+// Guards against a job stamped with the clock of the entry's own machine. An
+// entry that has not written to the store yet has no store time. If its machine
+// has been up for a shorter time than the store, the scheduler takes its first
+// job for hours old, and a long job then waits behind all others.
 func TestFirstJobIsStampedWithTheStoresTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if accepted := time.Duration(job.Accepted) * time.Millisecond; accepted < time.Hour || accepted > time.Hour+time.Minute {
-			t.Errorf("stamped %v after the store began; it was about an hour", accepted)
+			t.Errorf("job stamped %v after the store's start, want about 1 h", accepted)
 		}
 	})
 }
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake takes the clients' calls about jobs of steps at an entry:
-// it accepts a job once the store has it, shows states and cancels.
+// Package intake handles the clients' calls about jobs of steps at an entry: it
+// accepts a job once the store has it, reports states and cancels jobs.
 package intake
 
 import (
@@ -23,40 +23,41 @@
 const (
 	// writePause is the pause before a write is repeated.
 	writePause = 60 * time.Millisecond
-	// unavailableFor is how long a store that turns calls away is asked
-	// again before the client is: a refusal is to come at once.
-	unavailableFor = 250 * time.Millisecond
-	// retryAfter is when a refused client may come back. Outages of the
-	// store last seconds, and a client waits three.
+	// refusedRetryTime is the time for which a write that the store refuses is
+	// repeated before the client is refused: a refusal must come at once.
+	refusedRetryTime = 250 * time.Millisecond
+	// retryAfter is the time after which a refused client may retry. Outages of
+	// the store last seconds, and a client waits three.
 	retryAfter = time.Second
-	// peerTimeout bounds a question to the scheduler.
+	// peerTimeout bounds a request to the scheduler.
 	peerTimeout = 300 * time.Millisecond
-	// noteTimeout bounds the word to the scheduler of a stored job; the
-	// store's feed finds those that were lost.
+	// noteTimeout bounds the notification of the scheduler of a stored job; the
+	// scheduler finds jobs whose notification was lost in the store's feed.
 	noteTimeout = 500 * time.Millisecond
-	// awayAfter is how long after the store's last answer, directly or through
-	// another entry, it counts as away. The feed of the configuration answers
-	// every half second, and within 0.9 s from a slow store.
-	awayAfter = 1400 * time.Millisecond
-	// awayCheck is the time between two looks whether it is while a call to it
-	// is under way.
-	awayCheck = 100 * time.Millisecond
+	// unavailableAfter is the time after the store's last answer, received
+	// directly or through another entry, after which the store counts as
+	// unavailable. The feed of the configuration answers every half second, and
+	// within 0.9 s from a slow store.
+	unavailableAfter = 1400 * time.Millisecond
+	// unavailableCheckInterval is the time between two checks of the store's
+	// availability while a call to it is in progress.
+	unavailableCheckInterval = 100 * time.Millisecond
 )
 
-// Counters are an entry's figures.
+// Counters count an entry's calls.
 type Counters struct {
 	Accepted, Repeated, Refused, Undecided, States, StateReads, Cancels atomic.Int64
-	// HandIn is the time from a job's arrival to the answer, State that of a
-	// question for a state.
-	HandIn, State histogram.Latency
+	// Submission is the time from a job's arrival to the answer, State that of
+	// a request for a state.
+	Submission, State histogram.Latency
 }
 
-// Figures are the counters as they are shown.
+// Figures returns the counters for display.
 func (c *Counters) Figures() map[string]any {
 	return map[string]any{
 		"accepted": c.Accepted.Load(), "repeated": c.Repeated.Load(), "refused": c.Refused.Load(), "undecided": c.Undecided.Load(),
 		"states": c.States.Load(), "state_reads": c.StateReads.Load(), "cancels": c.Cancels.Load(),
-		"hand_in_ms": c.HandIn.Summary(), "state_ms": c.State.Summary(),
+		"hand_in_ms": c.Submission.Summary(), "state_ms": c.State.Summary(),
 	}
 }
 
@@ -76,22 +77,23 @@
 	return &Service{store: store, config: config, elector: elector, clock: clock, log: log}
 }
 
-// Stop says that the process is about to end.
+// Stop marks the process as about to end.
 func (s *Service) Stop() { s.stopping.Store(true) }
 
 // Stopping reports whether the process is about to end.
 func (s *Service) Stopping() bool { return s.stopping.Load() }
 
-// Ready reports whether new connections are wanted here.
+// Ready reports whether the entry accepts new connections.
 func (s *Service) Ready() bool {
-	return !s.stopping.Load() && s.config.Current() != nil && !s.away()
+	return !s.stopping.Load() && s.config.Current() != nil && !s.storeUnavailable()
 }
 
-// away reports whether the store has not answered for so long that a write
-// would only keep its caller waiting.
-func (s *Service) away() bool { return s.config.Heard() > awayAfter }
+// storeUnavailable reports whether the store has not answered for so long that
+// a write would only keep its caller waiting.
+func (s *Service) storeUnavailable() bool { return s.config.AnswerAge() > unavailableAfter }
 
-// Queue finds the queue of a call.
+// Queue finds the queue of a call. It also returns the rest of the path and the
+// largest body that is accepted.
 func (s *Service) Queue(host, path string) (workload.Queue, string, int64, error) {
 	c := s.config.Current()
 	if c == nil {
@@ -104,16 +106,16 @@
 	return q, rest, c.MaxBody, nil
 }
 
-// Submit stores j and returns nil once the store has it. The same identifier
-// is one job, however often and wherever it is handed in.
+// Submit stores j and returns nil once the store has it. Submissions with the
+// same identifier are one job, however often and wherever they are made.
 func (s *Service) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	begun := time.Now()
-	if s.away() {
-		// Nothing is written, so the refusal is certain, and the client may
-		// try another entry at once instead of waiting here until its
-		// deadline for an outcome that can't be known.
+	if s.storeUnavailable() {
+		// Nothing is written, so the refusal is certain, and the client may try
+		// another entry at once instead of waiting here until its deadline for
+		// an unknown outcome.
 		s.Counters.Refused.Add(1)
-		s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Dur("heard", s.config.Heard()).Msg("job refused: the store is away")
+		s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Dur("heard", s.config.AnswerAge()).Msg("job refused: the store is away")
 		return &workload.UnavailableError{RetryAfter: retryAfter, Cause: rowstore.ErrUnavailable}
 	}
 	j.Queue = q
@@ -128,11 +130,11 @@
 	})
 	s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Str("outcome", result.String()).Dur("took", time.Since(begun)).
 		Uint64("config", s.configVersion()).Int("steps", len(j.Steps)).Msg("job handed in")
-	s.Counters.HandIn.Observe(time.Since(begun))
+	s.Counters.Submission.Observe(time.Since(begun))
 	switch result {
 	case stored:
 		s.Counters.Accepted.Add(1)
-		s.note(dispatch.NoteArgs{Job: &j})
+		s.notifyScheduler(dispatch.NoteArgs{Job: &j})
 		return nil
 	case undecided:
 		s.Counters.Undecided.Add(1)
@@ -149,10 +151,9 @@
 	return 0
 }
 
-// write applies a write whose condition is the absence of its row. It is
-// repeated until its outcome is known: a write without an answer may take
-// effect seconds later, and only a repeat under the same condition settles
-// it.
+// write applies a write whose condition is the absence of its row. It repeats
+// the write until its outcome is known: a write without an answer may take
+// effect seconds later, and only a repeat under the same condition settles it.
 func (s *Service) write(ctx context.Context, t rowstore.Txn) outcome {
 	begun := time.Now()
 	uncertain := false
@@ -162,8 +163,8 @@
 			return result
 		}
 		uncertain = uncertain || !errors.Is(err, rowstore.ErrUnavailable)
-		over := !uncertain && time.Since(begun) > unavailableFor
-		if ctx.Err() != nil || over || s.away() {
+		expired := !uncertain && time.Since(begun) > refusedRetryTime
+		if ctx.Err() != nil || expired || s.storeUnavailable() {
 			break
 		}
 		wait.For(ctx, writePause)
@@ -174,10 +175,10 @@
 	return notStored
 }
 
-// writeOnce makes one attempt. An error is rowstore.ErrUnavailable if it
-// proves that this attempt did nothing.
+// writeOnce makes one attempt. It returns rowstore.ErrUnavailable only if the
+// attempt certainly had no effect.
 func (s *Service) writeOnce(ctx context.Context, t rowstore.Txn) (outcome, error) {
-	ctx, stop := s.whileThere(ctx)
+	ctx, stop := s.untilStoreUnavailable(ctx)
 	defer stop()
 	stamp, err := s.store.Apply(ctx, t)
 	var conflict *rowstore.ConflictError
@@ -186,24 +187,25 @@
 		s.clock.Set(stamp)
 		return stored, nil
 	case errors.As(err, &conflict):
-		// The row is there: an earlier attempt, or another entry's.
+		// The row exists: an earlier attempt wrote it, or another entry.
 		s.Counters.Repeated.Add(1)
 		return stored, nil
 	}
 	return notStored, err
 }
 
-// whileThere returns a context that ends once the store counts as away.
+// untilStoreUnavailable returns a context that ends once the store counts as
+// unavailable.
 //
-// Failure guarded against: the store falls silent, and calls that were taken
-// just before keep their clients waiting to their deadlines, while later ones
-// are refused at once. By the time the store counts as away they are given up,
-// too, and their clients can ask again.
-func (s *Service) whileThere(ctx context.Context) (context.Context, func()) {
+// Failure guarded against: the store stops answering, and calls accepted just
+// before keep their clients waiting until their deadlines, while later calls
+// are refused at once. Ending them when the store counts as unavailable lets
+// their clients retry.
+func (s *Service) untilStoreUnavailable(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		for wait.For(ctx, awayCheck) {
-			if s.away() {
+		for wait.For(ctx, unavailableCheckInterval) {
+			if s.storeUnavailable() {
 				cancel()
 			}
 		}
@@ -211,8 +213,8 @@
 	return ctx, cancel
 }
 
-// note tells the scheduler, without waiting for it.
-func (s *Service) note(args dispatch.NoteArgs) {
+// notifyScheduler notifies the scheduler without waiting for it.
+func (s *Service) notifyScheduler(args dispatch.NoteArgs) {
 	if s.elector.Note(args) {
 		return
 	}
@@ -223,7 +225,7 @@
 	go func() {
 		var reply dispatch.NoteReply
 		if err := leader.Call(context.Background(), "Scheduler.Note", args, &reply, noteTimeout); err != nil {
-			s.log.Debug().Err(err).Msg("scheduler not told; it finds the job in the store")
+			s.log.Debug().Err(err).Msg("scheduler not notified; it finds the job in the store")
 		}
 	}()
 }
@@ -235,13 +237,13 @@
 	if !workload.ValidJobID(string(id)) {
 		return "", workload.ErrNoJob
 	}
-	if reply, ok := s.ask(ctx, id); ok && reply.Known {
+	if reply, ok := s.schedulerState(ctx, id); ok && reply.Known {
 		return reply.State, nil
 	}
 	return s.readState(ctx, id)
 }
 
-func (s *Service) ask(ctx context.Context, id workload.JobID) (dispatch.StateReply, bool) {
+func (s *Service) schedulerState(ctx context.Context, id workload.JobID) (dispatch.StateReply, bool) {
 	if term := s.elector.Term(); term != nil {
 		return term.State(id), true
 	}
@@ -254,8 +256,8 @@
 	return reply, err == nil && reply.Leading
 }
 
-// readState reads a job's state from the store. That there is no such job is
-// only known after the store was read.
+// readState reads a job's state from the store. Only a read of the store proves
+// that a job does not exist.
 func (s *Service) readState(ctx context.Context, id workload.JobID) (workload.State, error) {
 	s.Counters.StateReads.Add(1)
 	exists, cancelled, err := s.exists(ctx, id)
@@ -280,7 +282,7 @@
 	return state, nil
 }
 
-// exists reads the rows of a job and its cancellation.
+// exists reports whether the rows of a job and of its cancellation exist.
 func (s *Service) exists(ctx context.Context, id workload.JobID) (exists, cancelled bool, err error) {
 	key := scheduler.JobKey(id)
 	for {
@@ -292,7 +294,7 @@
 			}
 			return exists, cancelled, nil
 		}
-		if !s.again(ctx) {
+		if !s.pauseRetry(ctx) {
 			return false, false, &workload.UnavailableError{RetryAfter: retryAfter, Cause: err}
 		}
 	}
@@ -304,14 +306,15 @@
 		if err == nil {
 			return row, nil
 		}
-		if !s.again(ctx) {
+		if !s.pauseRetry(ctx) {
 			return row, &workload.UnavailableError{RetryAfter: retryAfter, Cause: err}
 		}
 	}
 }
 
-// again pauses before a repeated read and reports whether there is time.
-func (s *Service) again(ctx context.Context) bool {
+// pauseRetry pauses before a repeated read and reports whether ctx is still
+// active.
+func (s *Service) pauseRetry(ctx context.Context) bool {
 	wait.For(ctx, writePause)
 	return ctx.Err() == nil
 }
@@ -322,7 +325,7 @@
 	if !workload.ValidJobID(string(id)) {
 		return workload.ErrNoJob
 	}
-	if reply, ok := s.ask(ctx, id); !ok || !reply.Known {
+	if reply, ok := s.schedulerState(ctx, id); !ok || !reply.Known {
 		exists, _, err := s.exists(ctx, id)
 		if err != nil {
 			return err
@@ -335,11 +338,11 @@
 	result := s.write(ctx, rowstore.Txn{
 		Conds: []rowstore.Cond{{Key: key}}, Puts: []rowstore.Put{{Key: key, Value: []byte("{}")}},
 	})
-	s.log.Info().Str("job", string(id)).Str("queue", q.Name).Str("outcome", result.String()).Msg("cancel asked for")
+	s.log.Info().Str("job", string(id)).Str("queue", q.Name).Str("outcome", result.String()).Msg("cancellation requested")
 	switch result {
 	case stored:
 		s.Counters.Cancels.Add(1)
-		s.note(dispatch.NoteArgs{Cancelled: id})
+		s.notifyScheduler(dispatch.NoteArgs{Cancelled: id})
 		return nil
 	case undecided:
 		return workload.ErrUndecided
@@ -347,40 +350,40 @@
 	return &workload.UnavailableError{RetryAfter: retryAfter, Cause: rowstore.ErrUnavailable}
 }
 
-// Waiting returns the number of a queue's jobs of which nothing has started.
+// Waiting returns the number of a queue's jobs that have no started task.
 func (s *Service) Waiting(ctx context.Context, q workload.Queue) (int, error) {
 	for {
-		if reply := s.askWaiting(ctx, q.Name); reply.Leading {
+		if reply := s.schedulerWaiting(ctx, q.Name); reply.Leading {
 			return reply.Waiting, nil
 		}
-		if !s.again(ctx) {
+		if !s.pauseRetry(ctx) {
 			return 0, &workload.UnavailableError{RetryAfter: retryAfter, Cause: eris.New("no scheduler is known")}
 		}
 	}
 }
 
-func (s *Service) askWaiting(ctx context.Context, queue string) dispatch.WaitingReply {
+func (s *Service) schedulerWaiting(ctx context.Context, queue string) dispatch.WaitingReply {
 	if term := s.elector.Term(); term != nil {
 		return term.Waiting(queue)
 	}
 	var reply dispatch.WaitingReply
 	if leader := s.elector.Leader(); leader != nil {
 		if err := leader.Call(ctx, "Scheduler.Waiting", dispatch.WaitingArgs{Queue: queue}, &reply, peerTimeout); err != nil {
-			s.log.Debug().Err(err).Msg("scheduler does not answer")
+			s.log.Debug().Err(err).Msg("scheduler did not answer")
 			return dispatch.WaitingReply{}
 		}
 	}
 	return reply
 }
 
-// outcome is what became of a write.
+// outcome is the result of a write.
 type outcome uint8
 
 const (
-	// notStored: not written, and it never will be.
+	// notStored: not written, and never will be.
 	notStored outcome = iota
 	stored
-	// undecided: perhaps written, perhaps later.
+	// undecided: may have been written, or may be written later.
 	undecided
 )
 
