--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -12,152 +12,154 @@
 )
 
 const (
-	// againAfter is how long a read without any sign of an answer is left alone
-	// before another one is begun beside it.
-	againAfter = 600 * time.Millisecond
-	// checkEvery is the number of such times from one look at the direct way to
-	// the next.
+	// hedgeDelay is the time without any sign of an answer after which another
+	// attempt is started in parallel with the pending ones.
+	hedgeDelay = 600 * time.Millisecond
+	// checkEvery is the number of hedge delays between two checks of the direct
+	// path.
 	checkEvery = 4
-	// mostAttempts bounds the attempts of one read that are under way.
-	mostAttempts = 3
+	// maxAttempts bounds the pending attempts of one read.
+	maxAttempts = 3
 )
 
-// errSilent says that the direct way gave no sign of an answer in time.
-var errSilent = errors.New("no sign of an answer")
+// errNoResponse reports that the direct path gave no sign of an answer in time.
+var errNoResponse = errors.New("store gave no sign of an answer")
 
-// read is how a read is raced.
-type read struct {
-	// patience is the time without a sign of an answer after which another
-	// attempt is made; the next ones follow after againAfter each.
-	patience time.Duration
-	// feed says that the read waits for changes.
+// plan describes the attempts of a read.
+type plan struct {
+	// answerTimeout is the time without a sign of an answer after which the
+	// second attempt is started; further ones follow after hedgeDelay each.
+	answerTimeout time.Duration
+	// feed marks a read that waits for changes.
 	feed bool
-	// directFirst asks other entries only if the direct way fails, or is seen
-	// to be silent where theirs is not.
+	// directFirst reads through other entries only if the direct path fails or
+	// does not answer while theirs does.
 	directFirst bool
-	// direct reads by the direct way, through by way of another entry.
+	// direct reads from the store directly, viaPeer through another entry.
 	direct  func(context.Context) answer
-	through func(context.Context, *dispatch.Link) answer
+	viaPeer func(context.Context, *dispatch.Link) answer
 }
 
-// race is one read, with the attempts at it that are under way.
+// race is one read with its pending attempts.
 type race struct {
 	relay   *Store
-	read    read
-	answers chan attempted
-	// heard tells of attempts whose answers are on their way.
-	heard chan *attempt
-	// open are the attempts under way, oldest first.
-	open  []*attempt
-	begun int
-	// quiet counts the times without a sign of an answer.
-	quiet int
-	// silent tells that other entries get answers.
-	silent chan struct{}
-	// around says that the latest attempt was made through another entry.
-	around bool
-	// last is the latest entry that was asked.
-	last *peer
-	// failed is what the attempts that failed leave to know.
-	failed answer
+	plan    plan
+	answers chan attemptResult
+	// responding receives attempts whose answers have begun to arrive.
+	responding chan *attempt
+	// open holds the pending attempts, oldest first.
+	open    []*attempt
+	started int
+	// idlePeriods counts the hedge delays that passed without a sign of an
+	// answer.
+	idlePeriods int
+	// peersOnly signals that only other entries get answers.
+	peersOnly chan struct{}
+	// indirect is set if the latest attempt was made through another entry.
+	indirect bool
+	// lastPeer is the entry that was asked last.
+	lastPeer *peer
+	// failure is the answer to return if all attempts fail.
+	failure answer
 }
 
 type attempt struct{ cancel context.CancelFunc }
 
-type attempted struct {
+type attemptResult struct {
 	attempt *attempt
 	answer  answer
 }
 
-// race returns the first answer of use.
-func (s *Store) race(ctx context.Context, how read) answer {
+// race returns the first usable answer.
+func (s *Store) race(ctx context.Context, p plan) answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &race{relay: s, read: how, answers: make(chan attempted), heard: make(chan *attempt, 1), silent: make(chan struct{}, 1)}
+	r := &race{relay: s, plan: p, answers: make(chan attemptResult), responding: make(chan *attempt, 1), peersOnly: make(chan struct{}, 1)}
 	lost := s.lostSignal()
-	r.begin(ctx, lost == nil && !how.directFirst)
-	if how.directFirst {
+	r.startAttempt(ctx, lost == nil && !p.directFirst)
+	if p.directFirst {
 		lost = nil
 	}
-	timer := time.NewTimer(how.patience)
+	timer := time.NewTimer(p.answerTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case a := <-r.answers:
-			if r.ended(ctx, a) {
+			if r.handleResult(ctx, a) {
 				return a.answer
 			}
 			if len(r.open) == 0 {
-				return r.failed
+				return r.failure
 			}
-		case a := <-r.heard:
-			if r.keep(a) {
-				timer.Reset(againAfter)
+		case a := <-r.responding:
+			if r.cancelOthers(a) {
+				timer.Reset(hedgeDelay)
 			}
 		case <-lost:
 			lost = nil
-			r.begin(ctx, true)
-		case <-r.silent:
-			r.begin(ctx, true)
+			r.startAttempt(ctx, true)
+		case <-r.peersOnly:
+			r.startAttempt(ctx, true)
 		case <-timer.C:
-			r.again(ctx)
-			timer.Reset(againAfter)
+			r.hedge(ctx)
+			timer.Reset(hedgeDelay)
 		case <-ctx.Done():
 			return answer{err: rowstore.ErrUnknown}
 		}
 	}
 }
 
-// again makes one attempt more after a time without a sign of an answer, and
-// looks at the direct way. The first such time of a feed is only for the look.
-func (r *race) again(ctx context.Context) {
-	if (r.read.feed || r.read.directFirst) && r.quiet%checkEvery == 0 {
-		go r.check(context.WithoutCancel(ctx))
+// hedge starts another attempt after a time without a sign of an answer, and at
+// times checks the direct path. A feed's first such time leads only to a check.
+func (r *race) hedge(ctx context.Context) {
+	if (r.plan.feed || r.plan.directFirst) && r.idlePeriods%checkEvery == 0 {
+		go r.checkDirect(context.WithoutCancel(ctx))
 	}
-	if !r.read.feed || r.quiet > 0 {
-		r.begin(ctx, !r.read.directFirst && !r.around)
+	if !r.plan.feed || r.idlePeriods > 0 {
+		r.startAttempt(ctx, !r.plan.directFirst && !r.indirect)
 	}
-	r.quiet++
+	r.idlePeriods++
 }
 
-// check finds out whether the store is silent towards this machine only.
-func (r *race) check(ctx context.Context) {
+// checkDirect finds out whether the store fails to answer this machine only.
+func (r *race) checkDirect(ctx context.Context) {
 	found := r.relay.compare(ctx)
 	if found != directAnswers {
-		r.relay.lose(errSilent)
+		r.relay.markLost(errNoResponse)
 	}
-	if found != onlyOthersAnswered || !r.read.directFirst {
+	if found != onlyPeerAnswered || !r.plan.directFirst {
 		return
 	}
 	select {
-	case r.silent <- struct{}{}:
+	case r.peersOnly <- struct{}{}:
 	default:
 	}
 }
 
-// ended takes an answer and reports whether it is of use. If the first attempt
-// fails, another one follows at once.
-func (r *race) ended(ctx context.Context, a attempted) bool {
+// handleResult records the result of an attempt and reports whether it is
+// usable. If the first attempt fails, another one is started at once.
+func (r *race) handleResult(ctx context.Context, a attemptResult) bool {
 	i := slices.Index(r.open, a.attempt)
 	if i < 0 {
-		return false // it was given up for another one
+		return false // cancelled in favour of another attempt
 	}
 	r.open = slices.Delete(r.open, i, i+1)
-	if !away(a.answer.err) {
+	if !storeUnavailable(a.answer.err) {
 		return true
 	}
-	if r.failed.err == nil || errors.Is(a.answer.err, rowstore.ErrUnknown) {
-		r.failed = a.answer
+	if r.failure.err == nil || errors.Is(a.answer.err, rowstore.ErrUnknown) {
+		r.failure = a.answer
 	}
-	if r.begun == 1 && ctx.Err() == nil {
-		r.begin(ctx, true)
+	if r.started == 1 && ctx.Err() == nil {
+		r.startAttempt(ctx, true)
 	}
 	return false
 }
 
-// keep gives up all attempts but one, whose answer is on its way: they would
-// only take a part of the link. It reports whether that one is under way.
-func (r *race) keep(a *attempt) bool {
+// cancelOthers cancels all attempts except a, whose answer has begun to arrive:
+// they would only use a part of the link's bandwidth. It reports whether a is
+// pending.
+func (r *race) cancelOthers(a *attempt) bool {
 	if !slices.Contains(r.open, a) {
 		return false
 	}
@@ -170,44 +172,45 @@
 	return true
 }
 
-// begin makes another attempt. If too many are under way the youngest is given
-// up for it: the oldest one is the next to be answered by a slow store.
-func (r *race) begin(ctx context.Context, around bool) {
-	if len(r.open) == mostAttempts {
-		r.open[mostAttempts-1].cancel()
-		r.open = r.open[:mostAttempts-1]
+// startAttempt starts another attempt. If too many are pending, it cancels the
+// youngest one: a slow store answers the oldest one next.
+func (r *race) startAttempt(ctx context.Context, indirect bool) {
+	if len(r.open) == maxAttempts {
+		r.open[maxAttempts-1].cancel()
+		r.open = r.open[:maxAttempts-1]
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	this := &attempt{cancel: cancel}
 	ctx = progress.Watch(ctx, func() {
 		select {
-		case r.heard <- this:
+		case r.responding <- this:
 		default:
 		}
 	})
-	call := r.way(ctx, around)
+	call := r.path(ctx, indirect)
 	r.open = append(r.open, this)
-	r.begun++
+	r.started++
 	go func() {
 		defer cancel()
 		a := call()
 		select {
-		case r.answers <- attempted{attempt: this, answer: a}:
+		case r.answers <- attemptResult{attempt: this, answer: a}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// way is the direct way, or one through another entry if there is any.
-func (r *race) way(ctx context.Context, around bool) func() answer {
-	r.around = around
-	if around {
-		if p := r.relay.chooseAny(r.last); p != nil {
-			r.last = p
+// path returns a call of the direct path, or of another entry if indirect is
+// set and an entry is available.
+func (r *race) path(ctx context.Context, indirect bool) func() answer {
+	r.indirect = indirect
+	if indirect {
+		if p := r.relay.chooseAnyPeer(r.lastPeer); p != nil {
+			r.lastPeer = p
 			return func() answer {
-				return r.relay.via(ctx, p, func(l *dispatch.Link) answer { return r.read.through(ctx, l) })
+				return r.relay.callPeer(ctx, p, func(l *dispatch.Link) answer { return r.plan.viaPeer(ctx, l) })
 			}
 		}
 	}
-	return func() answer { return r.relay.straight(ctx, func() answer { return r.read.direct(ctx) }) }
+	return func() answer { return r.relay.callDirect(ctx, func() answer { return r.plan.direct(ctx) }) }
 }
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -8,30 +8,31 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Reader reads the store by whichever way answers first. An attempt that has
-// shown no sign of an answer is not given up; another one, by another way, is
-// begun beside it. The first sign of an answer ends the others.
+// Reader reads the store by the path that answers first. An attempt that has
+// shown no sign of an answer is not cancelled; another attempt, by another
+// path, is started in parallel with it. The first sign of an answer ends the
+// others.
 //
-// A bound on a whole read, from which it is begun anew, would let none end while
-// the store is slow or the answer large for the link.
+// A time-out for a whole read, after which the read is started anew, would let
+// no read complete while the store is slow or the answer is large for the link.
 type Reader struct {
 	relay *Store
-	// direct is the direct way.
+	// direct reads from the store directly.
 	direct rowstore.Reader
-	// directFirst is that of its reads.
+	// directFirst is the option of that name for its reads.
 	directFirst bool
 }
 
 var _ rowstore.Reader = (*Reader)(nil)
 
-// Reader returns a reader whose direct way is the given one, which may be more
-// patient. Its answers are large, so other entries are asked only if the direct
-// way fails, or is seen to be silent where theirs is not.
+// Reader returns a reader that uses direct, which may have longer time-outs,
+// for its direct path. Its answers are large, so other entries are asked only
+// if the direct path fails or does not answer while theirs does.
 func (s *Store) Reader(direct rowstore.Reader) *Reader {
 	return &Reader{relay: s, direct: direct, directFirst: true}
 }
 
-// reader reads for the Store itself.
+// reader returns a reader for the Store's own reads.
 func (s *Store) reader() *Reader { return &Reader{relay: s, direct: s.direct} }
 
 // List implements rowstore.Reader.
@@ -42,37 +43,36 @@
 		r.relay.observe(a.err, time.Since(begun))
 		return a
 	}
-	through := func(ctx context.Context, l *dispatch.Link) answer {
+	viaPeer := func(ctx context.Context, l *dispatch.Link) answer {
 		var reply dispatch.RowsReply
 		args := dispatch.ListArgs{Table: table, Part: part, From: from, To: to}
-		return relayed(&reply, l.Call(ctx, "Relay.List", args, &reply, readTimeout))
+		return peerAnswer(&reply, l.Call(ctx, "Relay.List", args, &reply, readTimeout))
 	}
-	a := r.relay.race(ctx, read{patience: againAfter, directFirst: r.directFirst, direct: direct, through: through})
+	a := r.relay.race(ctx, plan{answerTimeout: hedgeDelay, directFirst: r.directFirst, direct: direct, viaPeer: viaPeer})
 	return a.rows, a.more, a.at, a.err
 }
 
 // Feed implements rowstore.Reader. All attempts together wait for changes no
-// longer than one would.
+// longer than a single one does.
 //
-// A feed answers after its wait at the latest, and one is always under way, so
-// it is the first to miss the answers of a store that has fallen silent towards
-// this machine.
+// A feed answers after its wait at the latest, and one is always pending, so it
+// is the first call to time out when the store stops answering this machine.
 func (r *Reader) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
 	end := time.Now().Add(wait)
-	left := func() time.Duration { return max(0, time.Until(end)) }
+	remaining := func() time.Duration { return max(0, time.Until(end)) }
 	direct := func(ctx context.Context) (a answer) {
-		begun, wait := time.Now(), left()
+		begun, wait := time.Now(), remaining()
 		a.rows, a.at, a.err = r.direct.Feed(ctx, table, after, wait)
 		if len(a.rows) == 0 {
 			r.relay.observe(a.err, time.Since(begun)-wait)
 		}
 		return a
 	}
-	through := func(ctx context.Context, l *dispatch.Link) answer {
+	viaPeer := func(ctx context.Context, l *dispatch.Link) answer {
 		var reply dispatch.RowsReply
-		args := dispatch.FeedArgs{Table: table, After: after, Wait: left()}
-		return relayed(&reply, l.Call(ctx, "Relay.Feed", args, &reply, args.Wait+readTimeout))
+		args := dispatch.FeedArgs{Table: table, After: after, Wait: remaining()}
+		return peerAnswer(&reply, l.Call(ctx, "Relay.Feed", args, &reply, args.Wait+readTimeout))
 	}
-	a := r.relay.race(ctx, read{patience: wait + r.relay.patience(), feed: true, directFirst: r.directFirst, direct: direct, through: through})
+	a := r.relay.race(ctx, plan{answerTimeout: wait + r.relay.answerTimeout(), feed: true, directFirst: r.directFirst, direct: direct, viaPeer: viaPeer})
 	return a.rows, a.at, a.err
 }
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay reaches the store through another entry where the store
-// turns this machine away or does not answer it: it may serve others.
+// Package relay calls the store through another entry when the store refuses
+// this machine or does not answer it: the store may still serve others.
 package relay
 
 import (
@@ -19,29 +19,31 @@
 
 const (
 	// callTimeout bounds a transaction through another entry, and readTimeout a
-	// read beside its own wait: another way is tried beside it before that.
+	// read, in addition to its own wait: another path is tried in parallel
+	// before that.
 	callTimeout = 900 * time.Millisecond
 	readTimeout = 3 * time.Second
-	// leastPatience and mostPatience bound how long a feed's answer is waited
-	// for beyond its wait, by the times of earlier reads. The slowest store that
-	// the users describe takes 0.3 s for one.
-	leastPatience = 100 * time.Millisecond
-	mostPatience  = 800 * time.Millisecond
-	// probeEvery is the time between two tries of the direct way while it is
-	// lost. They are made beside the calls: a machine that is cut off from
-	// the store learns so only by a time-out, for which calls would wait.
-	probeEvery = 300 * time.Millisecond
-	// avoidFor is how long an entry that could not help is left alone; it
-	// doubles with each failure in a row, up to maxAvoid.
-	avoidFor = time.Second
-	maxAvoid = 8 * time.Second
-	// listEvery is the time between two looks at the list of entries. The
-	// first ones follow each other sooner: entries that start together miss
-	// each other at first, and one that is cut off from the store then could
-	// ask nobody.
-	listEvery = 5 * time.Second
-	listFirst = 500 * time.Millisecond
-	// listRetry is the pause after a look that failed.
+	// minAnswerTimeout and maxAnswerTimeout bound the time for which a feed's
+	// answer is awaited beyond its wait, which follows the durations of earlier
+	// reads. The slowest store that the users describe takes 0.3 s for a read.
+	minAnswerTimeout = 100 * time.Millisecond
+	maxAnswerTimeout = 800 * time.Millisecond
+	// probeInterval is the time between two probes of the direct path while it
+	// is lost. Probes run in parallel with the calls: a machine that is cut off
+	// from the store detects it only by a time-out, which would delay the
+	// calls.
+	probeInterval = 300 * time.Millisecond
+	// avoidTime is the time for which an entry that could not help is not
+	// asked; it doubles with each consecutive failure, up to maxAvoidTime.
+	avoidTime    = time.Second
+	maxAvoidTime = 8 * time.Second
+	// listInterval is the time between two reads of the list of entries. The
+	// first reads follow each other sooner: entries that start together are
+	// missing from each other's first lists, and an entry that is cut off from
+	// the store at that time could not ask any other.
+	listInterval      = 5 * time.Second
+	firstListInterval = 500 * time.Millisecond
+	// listRetry is the pause after a read of the list that failed.
 	listRetry = 500 * time.Millisecond
 )
 
@@ -51,29 +53,29 @@
 	entriesPart  = "e"
 )
 
-// entryRow is where an entry can be called.
+// entryRow holds the address at which an entry can be called.
 type entryRow struct {
 	Address string `json:"a"`
 }
 
-// Store is a rowstore.Store that falls back to other entries.
+// Store is a rowstore.Store that falls back to calls through other entries.
 type Store struct {
-	direct rowstore.Store
-	log    zerolog.Logger
-	own    string
-	link   func(address string) *dispatch.Link
+	direct     rowstore.Store
+	log        zerolog.Logger
+	ownAddress string
+	link       func(address string) *dispatch.Link
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// lost is closed when the direct way has failed; it is nil until that
-	// works again, which is tried beside the calls.
+	// lost is closed when the direct path has failed. It is nil until a probe
+	// finds that the path works again.
 	lost chan struct{}
-	// reads follows the times of reads by the direct way.
+	// reads estimates the duration of reads by the direct path.
 	reads rtt.Estimator
-	// last is the entry that helped last.
-	last *peer
+	// lastHelpful is the entry whose latest call succeeded last.
+	lastHelpful *peer
 
-	// wake tells Run's probe that the direct way is lost.
+	// wake starts the probes of the direct path.
 	wake chan struct{}
 
 	relayed atomic.Int64
@@ -81,43 +83,43 @@
 
 type peer struct {
 	link *dispatch.Link
-	// avoid is until when it is left alone, failures how often it failed in
-	// a row.
-	avoid    time.Time
-	failures int
+	// avoidUntil is the time before which the entry is not asked, failures the
+	// number of its consecutive failures.
+	avoidUntil time.Time
+	failures   int
 }
 
 var _ rowstore.Store = (*Store)(nil)
 
-// New returns a store that uses direct first. address is this entry's own.
-// link makes the link to another entry.
+// New returns a store that uses direct first. address is this entry's own. link
+// opens the link to another entry.
 func New(direct rowstore.Store, address string, link func(address string) *dispatch.Link, log zerolog.Logger) *Store {
-	return &Store{direct: direct, own: address, log: log, link: link, peers: map[string]*peer{}, lost: make(chan struct{}), wake: make(chan struct{}, 1)}
+	return &Store{direct: direct, ownAddress: address, log: log, link: link, peers: map[string]*peer{}, lost: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// Relayed counts the calls that other entries made for this one.
+// Relayed returns the number of calls made through other entries.
 func (s *Store) Relayed() int64 { return s.relayed.Load() }
 
-// Run registers this entry under node and keeps the list of the others until
-// ctx ends.
+// Run registers this entry under node and keeps the list of the other entries
+// up to date until ctx ends.
 func (s *Store) Run(ctx context.Context, node string) {
 	go s.probeLoop(ctx)
 	registered := false
-	pause := listFirst
+	pause := firstListInterval
 	for ctx.Err() == nil {
-		err := s.look(ctx, node, &registered)
+		err := s.registerAndList(ctx, node, &registered)
 		if err != nil {
 			wait.For(ctx, listRetry)
 			continue
 		}
 		wait.For(ctx, pause)
-		pause = min(listEvery, 2*pause)
+		pause = min(listInterval, 2*pause)
 	}
 }
 
-func (s *Store) look(ctx context.Context, node string, registered *bool) error {
+func (s *Store) registerAndList(ctx context.Context, node string, registered *bool) error {
 	if !*registered {
-		value, err := json.Marshal(entryRow{Address: s.own})
+		value, err := json.Marshal(entryRow{Address: s.ownAddress})
 		if err != nil {
 			return err
 		}
@@ -142,10 +144,10 @@
 	for _, row := range rows {
 		var e entryRow
 		if err := json.Unmarshal(row.Value, &e); err != nil {
-			s.log.Error().Err(err).Str("entry", row.Key.Key).Msg("entry can't be read")
+			s.log.Error().Err(err).Str("entry", row.Key.Key).Msg("row of entry can't be decoded")
 			continue
 		}
-		if e.Address == s.own || e.Address == "" {
+		if e.Address == s.ownAddress || e.Address == "" {
 			continue
 		}
 		seen[e.Address] = true
@@ -161,7 +163,7 @@
 	}
 }
 
-// answer is what a call of the store returned.
+// answer is the result of a call of the store.
 type answer struct {
 	rows []rowstore.Row
 	more bool
@@ -169,22 +171,22 @@
 	err  error
 }
 
-// relayed is the answer to a call through another entry.
-func relayed(reply *dispatch.RowsReply, err error) answer {
+// peerAnswer converts the reply to a call through another entry.
+func peerAnswer(reply *dispatch.RowsReply, err error) answer {
 	if err != nil {
-		return answer{err: sent(err)}
+		return answer{err: callError(err)}
 	}
 	return answer{rows: reply.Rows, more: reply.More, at: reply.At, err: reply.Err()}
 }
 
 // Apply implements rowstore.Store.
 func (s *Store) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
-	a := s.either(ctx, func() (a answer) {
+	a := s.applyWithFallback(ctx, func() (a answer) {
 		a.at, a.err = s.direct.Apply(ctx, t)
 		return a
 	}, func(l *dispatch.Link) answer {
 		var reply dispatch.RowsReply
-		return relayed(&reply, l.Call(ctx, "Relay.Apply", dispatch.ApplyArgs{Txn: t}, &reply, callTimeout))
+		return peerAnswer(&reply, l.Call(ctx, "Relay.Apply", dispatch.ApplyArgs{Txn: t}, &reply, callTimeout))
 	})
 	return a.at, a.err
 }
@@ -199,19 +201,20 @@
 	return s.reader().Feed(ctx, table, after, wait)
 }
 
-// observe takes the time of a read by the direct way.
-func (s *Store) observe(err error, took time.Duration) {
-	if err != nil || took < 0 {
+// observe records the duration of a read by the direct path.
+func (s *Store) observe(err error, duration time.Duration) {
+	if err != nil || duration < 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reads.Observe(took)
+	s.reads.Observe(duration)
 }
 
-// patience is how long a feed's answer is worth waiting for beyond its wait.
-func (s *Store) patience() time.Duration {
+// answerTimeout returns the time for which a feed's answer is awaited beyond
+// its wait.
+func (s *Store) answerTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads.Timeout(leastPatience, mostPatience)
+	return s.reads.Timeout(minAnswerTimeout, maxAnswerTimeout)
 }
--- a/entry/relay/service.go
+++ b/entry/relay/service.go
@@ -7,13 +7,13 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Service makes calls for other entries, and only by the direct way.
+// Service makes calls for other entries, only by the direct path.
 type Service struct{ store rowstore.Store }
 
-// Service returns what other entries may call.
+// Service returns the RPC service for other entries.
 func (s *Store) Service() *Service { return &Service{store: s.direct} }
 
-// Apply implements the call of that name.
+// Apply implements the RPC method of that name.
 func (r *Service) Apply(args dispatch.ApplyArgs, reply *dispatch.RowsReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// List implements the call of that name.
+// List implements the RPC method of that name.
 func (r *Service) List(args dispatch.ListArgs, reply *dispatch.RowsReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Feed implements the call of that name.
+// Feed implements the RPC method of that name.
 func (r *Service) Feed(args dispatch.FeedArgs, reply *dispatch.RowsReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Wait+readTimeout)
 	defer cancel()
--- a/entry/relay/ways.go
+++ b/entry/relay/ways.go
@@ -11,28 +11,29 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// ways says which ways to the store were found to answer.
-type ways uint8
+// comparison is the result of compare.
+type comparison uint8
 
 const (
-	// directAnswers: the direct way answers about as soon as another entry's.
-	directAnswers ways = iota
-	// onlyOthersAnswered: another entry was answered, and this one was not.
-	onlyOthersAnswered
-	// noneAnswers: neither was; the store may be away, or slow.
+	// directAnswers: the direct path answers about as soon as another entry
+	// does.
+	directAnswers comparison = iota
+	// onlyPeerAnswered: another entry got an answer and this one did not.
+	onlyPeerAnswered
+	// noneAnswers: neither got one; the store may be unavailable or slow.
 	noneAnswers
 )
 
-// compare asks the store by the direct way and through another entry: a store
-// that is slow for all is not lost, and calls that were made twice would only be
-// more work for it.
-func (s *Store) compare(ctx context.Context) ways {
+// compare asks the store directly and through another entry. A store that is
+// slow for all entries is not lost, and making its calls twice would only add
+// to its load.
+func (s *Store) compare(ctx context.Context) comparison {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	direct, around := make(chan answer, 1), make(chan answer, 1)
+	direct, viaPeer := make(chan answer, 1), make(chan answer, 1)
 	begun := time.Now()
-	go func() { direct <- s.ask(ctx) }()
-	go func() { around <- s.askAround(ctx) }()
+	go func() { direct <- s.askDirect(ctx) }()
+	go func() { viaPeer <- s.askPeer(ctx) }()
 	var late <-chan time.Time
 	for {
 		select {
@@ -41,144 +42,145 @@
 				return directAnswers
 			}
 			if late != nil {
-				return onlyOthersAnswered
+				return onlyPeerAnswered
 			}
-			if around == nil {
+			if viaPeer == nil {
 				return noneAnswers
 			}
 			direct = nil
-		case a := <-around:
+		case a := <-viaPeer:
 			if direct == nil {
 				if a.err == nil {
-					return onlyOthersAnswered
+					return onlyPeerAnswered
 				}
 				return noneAnswers
 			}
 			if a.err == nil {
-				timer := time.NewTimer(max(leastPatience, 2*time.Since(begun)))
+				timer := time.NewTimer(max(minAnswerTimeout, 2*time.Since(begun)))
 				defer timer.Stop()
 				late = timer.C
 			}
-			around = nil
+			viaPeer = nil
 		case <-late:
-			return onlyOthersAnswered
+			return onlyPeerAnswered
 		}
 	}
 }
 
-// ownKey is a row that is read to see whether the store answers.
-func (s *Store) ownKey() rowstore.Key {
-	return rowstore.Key{Table: entriesTable, Part: entriesPart, Key: s.own}
+// probeKey is the key that is read to check whether the store answers.
+func (s *Store) probeKey() rowstore.Key {
+	return rowstore.Key{Table: entriesTable, Part: entriesPart, Key: s.ownAddress}
 }
 
-// ask reads that row by the direct way.
-func (s *Store) ask(ctx context.Context) (a answer) {
-	k := s.ownKey()
+// askDirect reads the probe key directly.
+func (s *Store) askDirect(ctx context.Context) (a answer) {
+	k := s.probeKey()
 	a.rows, a.more, a.at, a.err = s.direct.List(ctx, k.Table, k.Part, k.Key, k.Key+"\x00")
 	return a
 }
 
-// askAround reads it through another entry.
-func (s *Store) askAround(ctx context.Context) answer {
-	p := s.choose(nil)
+// askPeer reads the probe key through another entry.
+func (s *Store) askPeer(ctx context.Context) answer {
+	p := s.choosePeer(nil)
 	if p == nil {
 		return answer{err: rowstore.ErrUnavailable}
 	}
-	k := s.ownKey()
-	return s.via(ctx, p, func(l *dispatch.Link) answer {
+	k := s.probeKey()
+	return s.callPeer(ctx, p, func(l *dispatch.Link) answer {
 		var reply dispatch.RowsReply
 		args := dispatch.ListArgs{Table: k.Table, Part: k.Part, From: k.Key, To: k.Key + "\x00"}
-		return relayed(&reply, l.Call(ctx, "Relay.List", args, &reply, callTimeout))
+		return peerAnswer(&reply, l.Call(ctx, "Relay.List", args, &reply, callTimeout))
 	})
 }
 
-// sent tells a call that never left from one that may have been carried out.
-func sent(err error) error {
+// callError maps the error of a call through another entry:
+// rowstore.ErrUnavailable if the call was never sent, rowstore.ErrUnknown if it
+// may have been carried out.
+func callError(err error) error {
 	if errors.Is(err, dispatch.ErrNotSent) {
 		return rowstore.ErrUnavailable
 	}
 	return rowstore.ErrUnknown
 }
 
-// away reports whether err says that the store could not be used, rather
-// than what it answered.
-func away(err error) bool {
+// storeUnavailable reports whether err means that the store could not be used,
+// in contrast to an error that the store returned.
+func storeUnavailable(err error) bool {
 	return errors.Is(err, rowstore.ErrUnavailable) || errors.Is(err, rowstore.ErrUnknown)
 }
 
-// either makes a transaction by the direct way, and then through another entry;
-// while the direct way is lost, through two other entries. A transaction that is
-// tried twice carries conditions, so that at most one attempt takes effect, and
-// the other is told of the conflict.
-func (s *Store) either(ctx context.Context, direct func() answer, through func(*dispatch.Link) answer) answer {
-	straight := func() answer { return s.straight(ctx, direct) }
-	p := s.choose(nil)
+// applyWithFallback makes a transaction directly and then through another
+// entry; while the direct path is lost, through up to two other entries. A
+// transaction that is tried twice carries conditions, so that at most one
+// attempt takes effect and the other returns a conflict.
+func (s *Store) applyWithFallback(ctx context.Context, direct func() answer, peerCall func(*dispatch.Link) answer) answer {
+	callDirect := func() answer { return s.callDirect(ctx, direct) }
+	p := s.choosePeer(nil)
 	if p == nil {
-		return straight()
+		return callDirect()
 	}
-	around := func() answer { return s.via(ctx, p, through) }
+	viaPeer := func() answer { return s.callPeer(ctx, p, peerCall) }
 	lost := s.lostSignal()
 	if lost != nil {
-		return untilLost(ctx, straight, around, lost)
+		return directUntilLost(ctx, callDirect, viaPeer, lost)
 	}
-	second := straight
-	if other := s.choose(p); other != nil {
-		second = func() answer { return s.via(ctx, other, through) }
+	second := callDirect
+	if other := s.choosePeer(p); other != nil {
+		second = func() answer { return s.callPeer(ctx, other, peerCall) }
 	}
-	return inTurn(ctx, around(), second)
+	return tryNext(ctx, viaPeer(), second)
 }
 
-// inTurn tries the second way if the first was of no use.
-func inTurn(ctx context.Context, first answer, second func() answer) answer {
-	if !away(first.err) || ctx.Err() != nil {
+// tryNext makes the second call if the first one got no answer of the store.
+func tryNext(ctx context.Context, first answer, second func() answer) answer {
+	if !storeUnavailable(first.err) || ctx.Err() != nil {
 		return first
 	}
-	return worse(first, second())
+	return combine(first, second())
 }
 
-// worse is the answer of two attempts, of which the first was of no use: if
-// both were, and one of them may yet take effect, that is what is known.
-func worse(first, second answer) answer {
-	if away(second.err) && errors.Is(first.err, rowstore.ErrUnknown) {
+// combine returns the answer of two attempts of which the first one failed. If
+// both failed and the first one may still take effect, the outcome is unknown.
+func combine(first, second answer) answer {
+	if storeUnavailable(second.err) && errors.Is(first.err, rowstore.ErrUnknown) {
 		return first
 	}
 	return second
 }
 
-// untilLost tries the direct way, and the other one beside it as soon as the
-// direct way is lost.
+// directUntilLost calls the store directly, and through another entry in
+// parallel as soon as the direct path is lost.
 //
-// Failure guarded against: the store falls silent towards this machine. A call
-// that was under way waited for its whole time-out, a second and a half, before
-// it went another way; the scheduler placed nothing meanwhile, and clients'
-// short jobs ended late. Whichever call misses its answer first now tells the
-// others.
-func untilLost(ctx context.Context, straight, around func() answer, lost <-chan struct{}) answer {
+// Failure guarded against: the store stops answering this machine. A pending
+// call would wait for its whole time-out, 1.5 s, before it takes another path;
+// the scheduler would place nothing meanwhile, and clients' short jobs would
+// end late. Therefore the first call that times out notifies the others.
+func directUntilLost(ctx context.Context, direct, viaPeer func() answer, lost <-chan struct{}) answer {
 	answers := make(chan answer, 2)
-	go func() { answers <- straight() }()
+	go func() { answers <- direct() }()
 	select {
 	case first := <-answers:
-		return inTurn(ctx, first, around)
+		return tryNext(ctx, first, viaPeer)
 	case <-lost:
 	}
-	go func() { answers <- around() }()
+	go func() { answers <- viaPeer() }()
 	first := <-answers
-	if !away(first.err) {
+	if !storeUnavailable(first.err) {
 		return first
 	}
-	return worse(first, <-answers)
+	return combine(first, <-answers)
 }
 
-func (s *Store) straight(ctx context.Context, direct func() answer) answer {
+func (s *Store) callDirect(ctx context.Context, direct func() answer) answer {
 	a := direct()
-	if away(a.err) && ctx.Err() == nil {
-		s.lose(a.err)
+	if storeUnavailable(a.err) && ctx.Err() == nil {
+		s.markLost(a.err)
 	}
 	return a
 }
 
-// lose notes that the direct way is lost.
-func (s *Store) lose(err error) {
+// markLost records that the direct path is lost.
+func (s *Store) markLost(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost == nil {
@@ -193,7 +195,7 @@
 	}
 }
 
-// probeLoop probes the direct way whenever it is lost.
+// probeLoop probes the direct path whenever it is lost.
 func (s *Store) probeLoop(ctx context.Context) {
 	for {
 		select {
@@ -205,11 +207,11 @@
 	}
 }
 
-// probe tries the direct way until it works again.
+// probe probes the direct path until it works again.
 func (s *Store) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, probeEvery)
-		if s.ask(ctx).err != nil {
+		wait.For(ctx, probeInterval)
+		if s.askDirect(ctx).err != nil {
 			continue
 		}
 		s.mu.Lock()
@@ -220,62 +222,64 @@
 	}
 }
 
-// lostSignal is closed when the direct way is lost; it is nil while it is.
+// lostSignal returns a channel that is closed when the direct path is lost, or
+// nil while it is lost.
 func (s *Store) lostSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lost
 }
 
-// via makes a call through another entry. One that ctx has ended says nothing of
-// that entry.
-func (s *Store) via(ctx context.Context, p *peer, through func(*dispatch.Link) answer) answer {
+// callPeer makes a call through another entry. A call that ctx has ended does
+// not count as a failure of that entry.
+func (s *Store) callPeer(ctx context.Context, p *peer, call func(*dispatch.Link) answer) answer {
 	s.relayed.Add(1)
-	a := through(p.link)
+	a := call(p.link)
 	if ctx.Err() != nil {
 		return a
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if away(a.err) {
-		p.avoid = time.Now().Add(min(maxAvoid, avoidFor<<min(p.failures, 3)))
+	if storeUnavailable(a.err) {
+		p.avoidUntil = time.Now().Add(min(maxAvoidTime, avoidTime<<min(p.failures, 3)))
 		p.failures++
 		return a
 	}
 	p.failures = 0
-	s.last = p
+	s.lastHelpful = p
 	return a
 }
 
-// chooseAny is choose, but returns the entry that may be asked again first if
-// none is known to be of help: in a slow store all fail, and it may be fast now.
-func (s *Store) chooseAny(except *peer) *peer {
-	if p := s.choose(except); p != nil {
+// chooseAnyPeer is like choosePeer, but if all entries are to be avoided, it
+// returns the one whose avoidance ends first: in a slow store all calls fail,
+// and the store may be fast again.
+func (s *Store) chooseAnyPeer(except *peer) *peer {
+	if p := s.choosePeer(except); p != nil {
 		return p
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var first *peer
 	for _, p := range s.peers {
-		if p != except && (first == nil || p.avoid.Before(first.avoid)) {
+		if p != except && (first == nil || p.avoidUntil.Before(first.avoidUntil)) {
 			first = p
 		}
 	}
 	return first
 }
 
-// choose returns another entry that is not known to be of no help, the one
-// that helped last first, or nil.
-func (s *Store) choose(except *peer) *peer {
+// choosePeer returns an entry other than except that is not to be avoided, by
+// preference the one that helped last, or nil if there is none.
+func (s *Store) choosePeer(except *peer) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var usable []*peer
 	for _, p := range s.peers {
-		if p == except || now.Before(p.avoid) {
+		if p == except || now.Before(p.avoidUntil) {
 			continue
 		}
-		if p == s.last {
+		if p == s.lastHelpful {
 			return p
 		}
 		usable = append(usable, p)
