--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -1,8 +1,8 @@
-// Package directory is an entry's knowledge of agents and other entries.
+// Package directory holds an entry's state of agents and other entries.
 //
-// Agents make themselves known by heartbeats; there is no list of backend
-// servers anywhere. What the directory holds is a guess: the agent's own
-// ledger decides, and may refuse.
+// Agents register by heartbeats; there is no list of backend servers anywhere.
+// The directory's state is only an estimate: the agent's own ledger decides,
+// and may refuse.
 package directory
 
 import (
@@ -17,132 +17,136 @@
 	"persimmonrock.example/wire"
 )
 
-// Pace of heartbeats and judgement of silence.
+// Intervals of heartbeats and limits for agents without contact.
 const (
-	// MinHeartbeat is the pace with few agents, where none is set.
+	// MinHeartbeat is the default heartbeat interval while agents are few.
 	MinHeartbeat = 2 * time.Second
-	// MaxHeartbeat bounds how old an idle agent's load may get.
+	// MaxHeartbeat bounds the age of an idle agent's load.
 	MaxHeartbeat = 3 * time.Minute
-	// overdueHeartbeats is after how many an agent is passed over, as long as
-	// others are there: it may be paused, and a call to it would wait for its
-	// deadline without an answer.
+	// overdueHeartbeats is the number of missed heartbeats after which an agent
+	// is excluded as long as others are available: it may be paused, and a call
+	// to it would wait until its deadline without an answer.
 	overdueHeartbeats = 2
-	// missedHeartbeats is how many may fail to come before an agent is
-	// forgotten.
+	// missedHeartbeats is the number of missed heartbeats after which an agent
+	// is removed.
 	missedHeartbeats = 3
-	// suspectFor is how long an agent that could not be reached is passed
-	// over, unless it makes itself heard sooner.
-	suspectFor = 2 * time.Second
-	// offeredFor is how long a service is known after its last agent has gone.
-	offeredFor = time.Hour
+	// suspectTime is the time for which an agent that could not be reached is
+	// excluded, unless a heartbeat or load of it arrives sooner.
+	suspectTime = 2 * time.Second
+	// serviceRetention is the time for which a service stays known after the
+	// removal of its last agent.
+	serviceRetention = time.Hour
 )
 
-// Steps of the time line.
+// Steps recorded in the time line.
 const (
 	StepAgentKnown structs.Step = "agent-known"
 	StepAgentLost  structs.Step = "agent-lost"
 )
 
-// Agent is what the directory knows of one agent. It is a copy.
+// Agent is a copy of the directory's state of one agent.
 type Agent struct {
 	Instance structs.InstanceID
 	Address  string
 	Zone     structs.DataCentre
 	Load     wire.Load
-	// Lease is the incarnation of the agent's batch lease, 0 without one.
+	// Lease is the incarnation of the agent's batch lease, 0 without a lease.
 	Lease    structs.Incarnation
 	Revision structs.Revision
-	// Age is the time since the load was taken in.
+	// Age is the time since the agent's last heartbeat or newer load.
 	Age time.Duration
 	// Outstanding counts calls of this entry that the agent has not answered.
 	Outstanding int
-	// Suspect agents could not be reached a moment ago, or are silent; Overdue
-	// ones have missed heartbeats.
+	// Suspect agents could not be reached recently or are unresponsive; Overdue
+	// agents have missed heartbeats.
 	Suspect, Overdue bool
 }
 
-// record is the directory's own state of an agent.
+// record is the directory's internal state of an agent.
 type record struct {
 	mu    sync.Mutex
 	agent Agent
-	// said is the last heartbeat, for parts that are omitted from the next
-	// one. Answers may have brought newer loads since.
-	said         wire.HelloRequest
-	heard        time.Time
-	next         time.Duration
+	// lastHello is the last heartbeat, from which parts that the next heartbeat
+	// omits are restored. Answers may have brought newer loads since.
+	lastHello    wire.HelloRequest
+	lastContact  time.Time
+	interval     time.Duration
 	suspectUntil time.Time
-	// silent is set while the agent owes answers and doesn't say that it is
-	// there; anything that it says ends it.
-	silent bool
+	// unresponsive is set while the agent leaves calls unanswered and sends
+	// nothing else; any message of the agent clears it.
+	unresponsive bool
 }
 
 // Directory is safe for concurrent use.
 type Directory struct {
-	// fastest is the pace that agents are asked for while they are few.
-	fastest time.Duration
-	sizes   sizes
-	self    string
-	peers   wire.Dialer
-	events  structs.Recorder
-	log     zerolog.Logger
+	// minInterval is the heartbeat interval while agents are few.
+	minInterval time.Duration
+	sizes       sizes
+	self        string
+	peers       wire.Dialer
+	events      structs.Recorder
+	log         zerolog.Logger
 
 	mu       sync.RWMutex
 	agents   map[structs.InstanceID]*record
 	services map[structs.Service][]*record
-	// offered says when the last agent of a service went.
-	offered map[structs.Service]time.Time
-	seeds   []string
-	entries map[string]bool
+	// withdrawn holds the time at which the last agent of a service was
+	// removed.
+	withdrawn map[structs.Service]time.Time
+	seeds     []string
+	entries   map[string]bool
 
-	// Stale counts loads that came out of order and were dropped, Lost the
-	// agents forgotten after silence.
-	Stale atomic.Int64
-	Lost  atomic.Int64
-	Heard atomic.Int64
+	// Stale counts loads that arrived out of order and were dropped, Lost the
+	// agents removed for lack of contact, HeartbeatCount the heartbeats.
+	Stale          atomic.Int64
+	Lost           atomic.Int64
+	HeartbeatCount atomic.Int64
 }
 
-// New returns an empty directory of the entry at address self; seeds are
-// other entries' addresses from the settings.
+// New returns an empty directory of the entry at address self; seeds are the
+// addresses of other entries from the settings.
 func New(self string, seeds []string, peers wire.Dialer, events structs.Recorder, log zerolog.Logger) *Directory {
 	d := &Directory{
-		fastest: MinHeartbeat,
-		self:    self, peers: peers, events: events, log: log,
-		agents:   make(map[structs.InstanceID]*record),
-		services: make(map[structs.Service][]*record),
-		offered:  make(map[structs.Service]time.Time),
-		seeds:    seeds,
+		minInterval: MinHeartbeat,
+		self:        self, peers: peers, events: events, log: log,
+		agents:    make(map[structs.InstanceID]*record),
+		services:  make(map[structs.Service][]*record),
+		withdrawn: make(map[structs.Service]time.Time),
+		seeds:     seeds,
 	}
 	d.SetEntries(nil)
 	return d
 }
 
-// SetPace sets the pace of heartbeats with few agents. It is called before the
-// first heartbeat.
-func (d *Directory) SetPace(fastest time.Duration) { d.fastest = fastest }
+// SetPace sets the heartbeat interval for few agents. It must be called before
+// the first heartbeat.
+func (d *Directory) SetPace(minInterval time.Duration) { d.minInterval = minInterval }
 
-// Hello takes in an agent's whole heartbeat and returns when the next is due.
+// Hello records an agent's complete heartbeat and returns the time until the
+// next one is due.
 func (d *Directory) Hello(r wire.HelloRequest) time.Duration {
-	d.Heard.Add(1)
+	d.HeartbeatCount.Add(1)
 	rec := d.recordOf(r.Load.Instance)
-	next := d.pace()
+	interval := d.heartbeatInterval()
 	rec.mu.Lock()
 	rec.agent.Address = r.Address
 	rec.agent.Zone = r.Zone
 	rec.agent.Lease = max(rec.agent.Lease, r.Lease)
 	rec.agent.Revision = r.Revision
-	rec.said = r
-	rec.heard = time.Now()
-	rec.next = next
+	rec.lastHello = r
+	rec.lastContact = time.Now()
+	rec.interval = interval
 	rec.suspectUntil = time.Time{}
-	rec.silent = false
+	rec.unresponsive = false
 	if r.Load.Process != rec.agent.Load.Process {
-		// A heartbeat comes from the process itself: a new one starts over.
+		// A heartbeat comes from the process itself, so a new process starts a
+		// new sequence.
 		rec.agent.Load.Process = r.Load.Process
 		rec.agent.Load.Sequence = 0
 	}
 	rec.mu.Unlock()
 	d.Update(r.Load)
-	return next
+	return interval
 }
 
 func (d *Directory) recordOf(id structs.InstanceID) *record {
@@ -163,10 +167,10 @@
 	return rec
 }
 
-// Update takes in a load, which may have ridden on an answer. A load that is
-// not newer than the one held, or that comes from another process than the
-// last heartbeat, is dropped, so that answers that overtake each other can't
-// bring an old state back.
+// Update records a load, which may have arrived with an answer. A load that is
+// not newer than the recorded one, or that comes from another process than the
+// last heartbeat, is dropped, so that an overtaken answer can't restore an old
+// state.
 func (d *Directory) Update(l wire.Load) {
 	if l.Instance == "" {
 		return
@@ -181,8 +185,8 @@
 	}
 	changed := !sameServices(held.Services, l.Services)
 	rec.agent.Load = l
-	rec.heard = time.Now()
-	rec.silent = false
+	rec.lastContact = time.Now()
+	rec.unresponsive = false
 	rec.mu.Unlock()
 	if changed {
 		d.index()
@@ -214,21 +218,22 @@
 		}
 		rec.mu.Unlock()
 	}
-	d.remember(services)
+	d.recordWithdrawn(services)
 	d.services = services
 }
 
-// remember notes which services are no longer among those offered.
-func (d *Directory) remember(next map[structs.Service][]*record) {
+// recordWithdrawn records the services that are no longer offered and deletes
+// expired ones.
+func (d *Directory) recordWithdrawn(next map[structs.Service][]*record) {
 	now := time.Now()
 	for s := range d.services {
 		if next[s] == nil {
-			d.offered[s] = now
+			d.withdrawn[s] = now
 		}
 	}
-	for s, gone := range d.offered {
-		if next[s] != nil || now.Sub(gone) > offeredFor {
-			delete(d.offered, s)
+	for s, at := range d.withdrawn {
+		if next[s] != nil || now.Sub(at) > serviceRetention {
+			delete(d.withdrawn, s)
 		}
 	}
 }
@@ -242,17 +247,18 @@
 	return ids
 }
 
-// Service returns the agents that offer s; known is false for a service that
-// no agent has offered here for a while.
+// Service returns the agents that offer s. known is false for a service that no
+// agent has offered for serviceRetention.
 //
-// Failure guarded against: all agents of a service are silent and forgotten,
-// and callers are told that there is no such service, which is no reason to
-// come back. The service stays known for offeredFor, without agents.
+// Failure guarded against: all agents of a service are removed for lack of
+// contact, and callers get the answer that the service does not exist, which is
+// no reason to retry. The service stays known for serviceRetention, without
+// agents.
 func (d *Directory) Service(s structs.Service) (agents []Agent, known bool) {
 	now := time.Now()
 	d.mu.RLock()
 	records, known := d.services[s]
-	if gone, offered := d.offered[s]; offered && now.Sub(gone) <= offeredFor {
+	if at, withdrawn := d.withdrawn[s]; withdrawn && now.Sub(at) <= serviceRetention {
 		known = true
 	}
 	d.mu.RUnlock()
@@ -294,42 +300,42 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.agent
-	a.Age = now.Sub(r.heard)
-	a.Suspect = r.silent || now.Before(r.suspectUntil)
-	a.Overdue = a.Age > overdueHeartbeats*max(r.next, MinHeartbeat)
+	a.Age = now.Sub(r.lastContact)
+	a.Suspect = r.unresponsive || now.Before(r.suspectUntil)
+	a.Overdue = a.Age > overdueHeartbeats*max(r.interval, MinHeartbeat)
 	return a
 }
 
-// Begin counts a call in flight to id; the returned function ends it.
+// Begin counts a call in flight to id; the returned function ends the call.
 func (d *Directory) Begin(id structs.InstanceID) (end func()) {
 	rec := d.recordOf(id)
-	rec.add(1)
-	return func() { rec.add(-1) }
+	rec.addOutstanding(1)
+	return func() { rec.addOutstanding(-1) }
 }
 
-func (r *record) add(n int) {
+func (r *record) addOutstanding(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.agent.Outstanding += n
 }
 
-// Suspect passes over an agent that could not be reached for a while.
+// Suspect excludes an agent that could not be reached, for suspectTime.
 func (d *Directory) Suspect(id structs.InstanceID) {
 	rec := d.recordOf(id)
 	rec.mu.Lock()
-	rec.suspectUntil = time.Now().Add(suspectFor)
+	rec.suspectUntil = time.Now().Add(suspectTime)
 	rec.mu.Unlock()
 }
 
-// Age returns the time since an agent was heard.
+// Age returns the time since an agent's last heartbeat or newer load.
 func (d *Directory) Age(id structs.InstanceID) (age time.Duration, known bool) {
 	a, known := d.Agent(id)
 	return a.Age, known
 }
 
-// SetSilent passes over an agent that doesn't answer, until it is heard or
-// silent is taken back. An agent that is forgotten stays so.
-func (d *Directory) SetSilent(id structs.InstanceID, silent bool) {
+// SetSilent excludes an agent that does not answer until a message of it
+// arrives or the call is made with false. It does not restore a removed agent.
+func (d *Directory) SetSilent(id structs.InstanceID, unresponsive bool) {
 	d.mu.RLock()
 	rec := d.agents[id]
 	d.mu.RUnlock()
@@ -337,25 +343,25 @@
 		return
 	}
 	rec.mu.Lock()
-	rec.silent = silent
+	rec.unresponsive = unresponsive
 	rec.mu.Unlock()
 }
 
-// Sweep forgets agents that have been silent for several heartbeats.
+// Sweep removes agents that have sent nothing for several heartbeats.
 func (d *Directory) Sweep() {
 	now := time.Now()
 	lost := 0
 	d.mu.Lock()
 	for id, rec := range d.agents {
 		rec.mu.Lock()
-		silent := now.Sub(rec.heard) > missedHeartbeats*max(rec.next, MinHeartbeat)
+		expired := now.Sub(rec.lastContact) > missedHeartbeats*max(rec.interval, MinHeartbeat)
 		busy := rec.agent.Outstanding > 0
 		rec.mu.Unlock()
-		if silent && !busy {
+		if expired && !busy {
 			delete(d.agents, id)
 			lost++
 			d.events.Record(structs.Event{Step: StepAgentLost, Peer: string(id)})
-			d.log.Warn().Str("instance", string(id)).Msg("agent silent, forgotten")
+			d.log.Warn().Str("instance", string(id)).Msg("agent removed: no contact for several heartbeats")
 		}
 	}
 	d.mu.Unlock()
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -19,9 +19,9 @@
 	return New("e0", []string{"10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001", "10.0.0.4:7001"}, nil, structs.NoEvents{}, zerolog.Nop())
 }
 
-// beat is a heartbeat of process p of an instance that runs two services and
-// the letter's 28 batch tasks, of eight customers.
-func beat(instance, p string, sequence uint64) wire.HelloRequest {
+// heartbeat is a heartbeat of process p of an instance that runs two services
+// and 24 batch tasks of eight customers.
+func heartbeat(instance, p string, sequence uint64) wire.HelloRequest {
 	load := wire.Load{Instance: structs.InstanceID(instance), Process: p, Incarnation: 3, Sequence: sequence,
 		Free: structs.Resources{Slots: 9, MilliCores: 3000, MemoryBytes: 1 << 33}, Total: structs.Resources{Slots: 64, MilliCores: 64000, MemoryBytes: 1 << 37}}
 	for _, s := range []structs.Service{"assay-check", "receipt-check"} {
@@ -33,26 +33,27 @@
 	return wire.HelloRequest{Address: "10.1.2.3:7002", Zone: "north-1", Load: load, Revision: 9, Lease: 3}
 }
 
-// Answers of an agent overtake each other, and one of an agent process that
-// has ended comes after its successor's first heartbeat. The entry goes on
-// with the newest state; otherwise it would send calls to slots that are gone.
+// Answers of an agent may overtake each other, and an answer of an ended agent
+// process may arrive after its successor's first heartbeat. The entry must keep
+// the newest state; otherwise it would send calls to slots that no longer
+// exist.
 func TestLoadThatWasOvertakenIsDropped(t *testing.T) {
 	d := newDirectory()
-	d.Hello(beat("i1", "first", 1))
-	step := func(p string, sequence uint64, taken bool) {
+	d.Hello(heartbeat("i1", "first", 1))
+	step := func(p string, sequence uint64, accepted bool) {
 		t.Helper()
 		before, stale := mustAgent(t, d).Load, d.Stale.Load()
-		d.Update(beat("i1", p, sequence).Load)
+		d.Update(heartbeat("i1", p, sequence).Load)
 		after := mustAgent(t, d).Load
-		if took := after.Process == p && after.Sequence == sequence && d.Stale.Load() == stale; took != taken {
-			t.Errorf("load %d of %s after %d of %s: taken in: %t, dropped loads %d to %d", sequence, p, before.Sequence, before.Process, took, stale, d.Stale.Load())
+		if got := after.Process == p && after.Sequence == sequence && d.Stale.Load() == stale; got != accepted {
+			t.Errorf("load %d of %s after %d of %s: accepted %t, dropped loads %d to %d", sequence, p, before.Sequence, before.Process, got, stale, d.Stale.Load())
 		}
 	}
 	step("first", 5, true)
 	step("first", 3, false)
 	step("first", 4, false)
 	step("first", 6, true)
-	d.Hello(beat("i1", "second", 1))
+	d.Hello(heartbeat("i1", "second", 1))
 	step("first", 7, false)
 	step("second", 2, true)
 }
@@ -66,14 +67,14 @@
 	return a
 }
 
-// An agent says nothing for more than three of its heartbeats. It is
-// forgotten, once, and counted, unless a call to it is still in flight; its
-// services get no more calls, and it is known again as soon as it is heard.
-func TestSilentAgentIsForgotten(t *testing.T) {
+// An agent that sends nothing for more than three of its heartbeats is removed
+// and counted once, unless a call to it is still in flight. Its services get no
+// more calls, and the next heartbeat adds it again.
+func TestUnresponsiveAgentIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory()
-		next := d.Hello(beat("i1", "p", 1))
-		d.Hello(beat("busy", "p", 1))
+		next := d.Hello(heartbeat("i1", "p", 1))
+		d.Hello(heartbeat("busy", "p", 1))
 		end := d.Begin("busy")
 		want := func(lost int64, known ...structs.InstanceID) {
 			t.Helper()
@@ -94,73 +95,74 @@
 		end()
 		want(2)
 		want(2)
-		d.Hello(beat("i1", "p", 2))
+		d.Hello(heartbeat("i1", "p", 2))
 		want(2, "i1")
 	})
 }
 
-// greeter serves heartbeats from a directory.
-type greeter struct {
+// heartbeatServer serves heartbeats from a directory.
+type heartbeatServer struct {
 	wire.EntryAPI
 	*Directory
 }
 
-func (g greeter) Hello(r wire.HelloRequest, reply *wire.HelloReply) error {
+func (g heartbeatServer) Hello(r wire.HelloRequest, reply *wire.HelloReply) error {
 	whole, ok := g.Directory.Restore(r)
 	if !ok {
 		return nil
 	}
-	reply.Next, reply.Entries, reply.Kept = g.Directory.Hello(whole), g.Directory.EntriesUnless(r.Entries), true
+	reply.Next, reply.Entries, reply.Kept = g.Directory.Hello(whole), g.Directory.EntriesIfChanged(r.Entries), true
 	return nil
 }
 
-func (greeter) Config(wire.ConfigRequest, *wire.ConfigReply) error { return nil }
-func (greeter) Events(wire.EventsRequest, *wire.EventsReply) error { return nil }
+func (heartbeatServer) Config(wire.ConfigRequest, *wire.ConfigReply) error { return nil }
+func (heartbeatServer) Events(wire.EventsRequest, *wire.EventsReply) error { return nil }
 
-// saved is what a heartbeat leaves out.
-type saved int
+// omission selects the parts that a heartbeat omits.
+type omission int
 
 const (
-	whole saved = iota
+	whole omission = iota
 	withoutEntries
 	withoutBatch
 	withoutBatchAndServices
 	withoutAll
-	// withMeasurement is withoutAll and a measurement more.
+	// withMeasurement is withoutAll plus a measurement.
 	withMeasurement
 )
 
-// spare leaves out of r what the entry has kept of the one before.
-func spare(r wire.HelloRequest, what saved) wire.HelloRequest {
+// omitKept omits from r the parts that the entry has kept from the heartbeat
+// before.
+func omitKept(r wire.HelloRequest, omitted omission) wire.HelloRequest {
 	kept := r.Sums()
-	if what < withoutAll {
+	if omitted < withoutAll {
 		kept.Sender = 0
 	}
-	if what >= withoutEntries {
+	if omitted >= withoutEntries {
 		r.Entries = wire.EntriesSum(newDirectory().Entries())
 	}
-	if what < withoutBatchAndServices {
+	if omitted < withoutBatchAndServices {
 		kept.Services = 0
 	}
-	if what < withoutBatch {
+	if omitted < withoutBatch {
 		kept.Batch = 0
 	}
-	if what == withMeasurement {
-		one := wire.Sample{Service: "assay-check", Band: 1, ServiceTime: 20 * time.Millisecond, Calls: 30}
+	if omitted == withMeasurement {
+		sample := wire.Sample{Service: "assay-check", Band: 1, ServiceTime: 20 * time.Millisecond, Calls: 30}
 		for i := range 8 {
-			one.Together = append(one.Together, wire.Together{Kind: structs.Kind(fmt.Sprintf("nightly-rep-%03d", i)), Count: 1.25})
+			sample.Together = append(sample.Together, wire.Together{Kind: structs.Kind(fmt.Sprintf("nightly-rep-%03d", i)), Count: 1.25})
 		}
-		r.Samples = []wire.Sample{one}
+		r.Samples = []wire.Sample{sample}
 	}
 	return r.Omit(kept)
 }
 
 // bytesPerHeartbeat measures a heartbeat and its answer on a real connection
-// that has exchanged its types already.
-func bytesPerHeartbeat(t *testing.T, what saved) int64 {
+// that has already exchanged its types.
+func bytesPerHeartbeat(t *testing.T, omitted omission) int64 {
 	var count wire.ByteCount
 	server := wire.NewServer([]byte("secret"), &count)
-	if err := server.ServeEntry(greeter{Directory: newDirectory()}); err != nil {
+	if err := server.ServeEntry(heartbeatServer{Directory: newDirectory()}); err != nil {
 		t.Fatal(err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,9 +180,9 @@
 			before = count.In.Load() + count.Out.Load()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-		next := beat("i1", "RANDOMNAMEOFPROCESS0123456", 8*uint64(i+1))
+		next := heartbeat("i1", "RANDOMNAMEOFPROCESS0123456", 8*uint64(i+1))
 		if i > 0 {
-			next = spare(next, what)
+			next = omitKept(next, omitted)
 		}
 		reply, err := client.Entry(l.Addr().String()).Hello(ctx, next)
 		if cancel(); err != nil || !reply.Kept {
@@ -190,79 +192,79 @@
 	return (count.In.Load() + count.Out.Load() - before) / beats
 }
 
-// nodeBudget is what a node may spend on control, in bytes a second.
+// nodeBudget bounds the control traffic of a node, in bytes per second.
 const nodeBudget = 4000
 
-// The more agents there are, the more rarely each reports, so that the traffic
+// The more agents there are, the less often each reports, so that the traffic
 // of an entry stays within a node's budget.
 func TestHeartbeatsStayWithinTheBudget(t *testing.T) {
-	for _, what := range []saved{withoutEntries, withoutBatch, withoutBatchAndServices, withoutAll, withMeasurement} {
-		size, reckoned := bytesPerHeartbeat(t, what), estimatedBytes(spare(beat("i1", "p", 8), what))
-		t.Logf("%d bytes a heartbeat that leaves out %d, reckoned with %d", size, what, reckoned)
-		if float64(reckoned) < float64(size) || float64(reckoned) > 1.2*float64(size) {
-			t.Errorf("the pace reckons with %d bytes, a heartbeat takes %d", reckoned, size)
+	for _, omitted := range []omission{withoutEntries, withoutBatch, withoutBatchAndServices, withoutAll, withMeasurement} {
+		size, estimated := bytesPerHeartbeat(t, omitted), estimatedBytes(omitKept(heartbeat("i1", "p", 8), omitted))
+		t.Logf("%d bytes per heartbeat with omission %d, estimate %d", size, omitted, estimated)
+		if float64(estimated) < float64(size) || float64(estimated) > 1.2*float64(size) {
+			t.Errorf("estimate %d bytes per heartbeat, measured %d", estimated, size)
 		}
 	}
 	size := bytesPerHeartbeat(t, whole)
-	t.Logf("%d bytes a whole heartbeat", size)
+	t.Logf("%d bytes per complete heartbeat", size)
 	if size > HeartbeatBytes {
-		t.Errorf("a heartbeat takes %d bytes, the pace reckons with %d", size, HeartbeatBytes)
+		t.Errorf("measured %d bytes per heartbeat, HeartbeatBytes is %d", size, HeartbeatBytes)
 	}
 	for _, n := range []int{10, 100, 1000} {
 		d := newDirectory()
-		rate := func(what saved) (float64, time.Duration) {
+		rate := func(omitted omission) (float64, time.Duration) {
 			var next time.Duration
 			for i := range n {
-				r, ok := d.Restore(spare(beat(fmt.Sprint("i", i), "p", 8), what))
+				r, ok := d.Restore(omitKept(heartbeat(fmt.Sprint("i", i), "p", 8), omitted))
 				if !ok {
-					t.Fatal("a part that was kept is not known")
+					t.Fatal("a part that was kept could not be restored")
 				}
 				next = d.Hello(r)
 			}
-			return float64(bytesPerHeartbeat(t, what)) * float64(n) / next.Seconds(), next
+			return float64(bytesPerHeartbeat(t, omitted)) * float64(n) / next.Seconds(), next
 		}
-		for _, what := range []saved{whole, whole, withoutAll, withoutAll, withoutAll} {
-			bytes, next := rate(what)
-			t.Logf("%d agents, left out %d: one heartbeat in %s each, %.0f bytes a second", n, what, next, bytes)
+		for _, omitted := range []omission{whole, whole, withoutAll, withoutAll, withoutAll} {
+			bytes, next := rate(omitted)
+			t.Logf("%d agents, omission %d: one heartbeat per %s each, %.0f bytes per second", n, omitted, next, bytes)
 			if bytes > nodeBudget || next < MinHeartbeat || (bytes > HeartbeatBudget*4/3 && next < MaxHeartbeat) {
-				t.Errorf("%d agents: %.0f bytes a second at %s", n, bytes, next)
+				t.Errorf("%d agents: %.0f bytes per second at interval %s", n, bytes, next)
 			}
 		}
 	}
 }
 
-// An agent is paused with its connections open. Callers that are sent to it
-// wait for their deadline in vain, one after the other. After two heartbeats
-// without any sign of life it is passed over; one answer brings it back.
-func TestOverdueAgentIsPassedOver(t *testing.T) {
+// Callers that are sent to an agent that is paused with its connections open
+// wait until their deadlines without an answer. After two missed heartbeats the
+// agent must be excluded; one answer includes it again.
+func TestOverdueAgentIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New("e:1", nil, nil, structs.NoEvents{}, zerolog.Nop())
 		load := wire.Load{Instance: "i1", Process: "p", Sequence: 1}
 		d.Hello(wire.HelloRequest{Address: "a:1", Load: load})
 		time.Sleep(overdueHeartbeats*MinHeartbeat + time.Millisecond)
 		if a, _ := d.Agent("i1"); !a.Overdue {
-			t.Error("a silent agent still gets calls")
+			t.Error("overdue agent is not excluded")
 		}
 		load.Sequence++
 		d.Update(load)
 		if a, _ := d.Agent("i1"); a.Overdue {
-			t.Error("an agent that answered is still passed over")
+			t.Error("agent that answered is still excluded")
 		}
 	})
 }
 
-// An agent leaves out of its heartbeats what the entry has. The entry is
-// restarted, or an answer to a call has brought other tasks meanwhile: a part
-// that is not known by its contents is asked for, and no old list of tasks is
-// taken for the present one.
-func TestOmittedPartsAreTheAgentsOwn(t *testing.T) {
+// An agent omits from its heartbeats the parts that the entry has kept. After a
+// restart of the entry, or if an answer to a call has changed the tasks
+// meanwhile, the entry must request a part whose contents it does not hold, and
+// must not use an old list of tasks as the current one.
+func TestOmittedPartsAreRestoredOnlyFromSameContents(t *testing.T) {
 	d := newDirectory()
-	first := beat("i1", "p", 8)
+	first := heartbeat("i1", "p", 8)
 	hello := func(d *Directory, r wire.HelloRequest, want bool) {
 		t.Helper()
 		r, ok := d.Restore(r)
 		if ok != want {
-			t.Fatalf("taken in: %t, want %t", ok, want)
+			t.Fatalf("restored: %t, want %t", ok, want)
 		}
 		if ok {
 			d.Hello(r)
@@ -275,19 +277,20 @@
 		}
 	}
 	hello(d, first, true)
-	answer := beat("i1", "p", 9).Load
+	answer := heartbeat("i1", "p", 9).Load
 	answer.Batch[0].Running = 7
 	d.Update(answer)
 	running(7)
-	hello(d, spare(beat("i1", "p", 16), withoutAll), true)
+	hello(d, omitKept(heartbeat("i1", "p", 16), withoutAll), true)
 	running(3)
-	other := beat("i1", "p", 24)
+	other := heartbeat("i1", "p", 24)
 	other.Load.Batch[0].Running = 5
-	hello(d, spare(other, withoutBatchAndServices), false)
+	hello(d, omitKept(other, withoutBatchAndServices), false)
 	running(3)
 	hello(d, other, true)
 	running(5)
-	// A successor of the agent process is never taken for the one before.
-	hello(d, spare(beat("i1", "successor", 8), withoutAll), false)
-	hello(newDirectory(), spare(other, withoutBatchAndServices), false)
+	// A heartbeat of a new agent process is never completed with parts of its
+	// predecessor.
+	hello(d, omitKept(heartbeat("i1", "successor", 8), withoutAll), false)
+	hello(newDirectory(), omitKept(other, withoutBatchAndServices), false)
 }
--- a/entry/directory/entries.go
+++ b/entry/directory/entries.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-// EntriesUnless returns Entries, or nil if the agent has that list already.
-func (d *Directory) EntriesUnless(sum uint64) []string {
+// EntriesIfChanged returns Entries, or nil if the agent already has that list.
+func (d *Directory) EntriesIfChanged(sum uint64) []string {
 	list := d.Entries()
 	if wire.EntriesSum(list) == sum {
 		return nil
@@ -32,7 +32,7 @@
 	return list
 }
 
-// others is Entries without this one.
+// others returns the entries other than this one.
 func (d *Directory) others() []string {
 	var list []string
 	for _, address := range d.Entries() {
@@ -43,8 +43,8 @@
 	return list
 }
 
-// SetEntries replaces the entries learnt from the table service; seeds from
-// the settings stay.
+// SetEntries replaces the entries read from the table service; seeds from the
+// settings stay.
 func (d *Directory) SetEntries(addresses []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,8 +59,8 @@
 	}
 }
 
-// NewerConfig asks all other entries at once for a configuration above held
-// and returns the newest that came within ctx, or nil.
+// NewerConfig requests a configuration above held from all other entries in
+// parallel and returns the newest one that arrives within ctx, or nil.
 func (d *Directory) NewerConfig(ctx context.Context, held structs.Config) *structs.Config {
 	var (
 		mu     sync.Mutex
@@ -85,8 +85,9 @@
 	return newest
 }
 
-// Announce tells all other entries that revision r has been accepted, so that
-// they need not wait for their next poll. Errors don't matter: the poll comes.
+// Announce notifies all other entries that revision r has been accepted, so
+// that they need not wait for their next poll. Errors are ignored, as the poll
+// follows.
 func (d *Directory) Announce(ctx context.Context, r structs.Revision) {
 	var wait sync.WaitGroup
 	for _, address := range d.others() {
@@ -97,14 +98,15 @@
 	wait.Wait()
 }
 
-// EntryRevision is the configuration of another entry.
+// EntryRevision is the revision of another entry's configuration.
 type EntryRevision struct {
 	Address  string
 	Revision structs.Revision
 	Err      error
 }
 
-// AskRevisions asks all other entries for their revision, in address order.
+// AskRevisions requests the revisions of all other entries. The result is in
+// address order.
 func (d *Directory) AskRevisions(ctx context.Context, own structs.Revision) []EntryRevision {
 	others := d.others()
 	out := make([]EntryRevision, len(others))
@@ -119,8 +121,8 @@
 	return out
 }
 
-// EventsFrom collects the time lines of every known process. Processes that
-// can't be reached are named in missing.
+// EventsFrom collects the time lines of every known process. missing names the
+// processes that can't be reached.
 func (d *Directory) EventsFrom(ctx context.Context, r wire.EventsRequest) (lines [][]structs.Event, missing []string) {
 	var (
 		mu   sync.Mutex
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -16,44 +16,46 @@
 	"persimmonrock.example/structs"
 )
 
-// Pace of an entry's own row. With five entries it costs one write and one
+// Renewal of an entry's own row. With five entries it costs one write and one
 // read a second in all.
 const (
-	memberPrefix  = "entry/"
-	memberRenew   = 5 * time.Second
-	memberTimeout = 2 * time.Second
-	// memberSilence is how long a row must stay unchanged, in this process's
-	// sight, before its entry no longer counts as alive.
-	memberSilence = 4 * memberRenew
-	memberPage    = 200
-	// memberForget is after how many silent periods the row is deleted.
-	memberForget = 30
+	memberPrefix        = "entry/"
+	memberRenewInterval = 5 * time.Second
+	memberTimeout       = 2 * time.Second
+	// memberExpiry is the time for which a row must stay unchanged, as read by
+	// this process, before its entry no longer counts as alive.
+	memberExpiry   = 4 * memberRenewInterval
+	memberPageSize = 200
+	// memberDeleteAfter is the number of expiry periods after which the row is
+	// deleted.
+	memberDeleteAfter = 30
 )
 
-// memberRow is the row of one entry. It is only a hint for spreading shards
-// and for finding addresses; no right follows from it.
+// memberRow is the row of one entry. It only serves to spread shards and to
+// find addresses; it grants no rights.
 type memberRow struct {
 	Entry   structs.EntryID `json:"entry"`
 	Address string          `json:"address"`
 	Counter uint64          `json:"counter"`
 }
 
-// sighting is when a row was last seen to change.
-type sighting struct {
+// observedRow is the latest version of a row and the time at which it was first
+// read.
+type observedRow struct {
 	row     memberRow
 	version uint64
 	changed time.Time
 }
 
-// Members keeps the list of entries that are alive through rows of the table
-// service. While the service is down the last list stands.
+// Members maintains the list of alive entries through rows of the table
+// service. While the service is down, the last list stays in use.
 type Members struct {
 	self  memberRow
 	table infra.Table
 	dir   *Directory
 
 	mu      sync.Mutex
-	seen    map[string]*sighting
+	seen    map[string]*observedRow
 	counter uint64
 
 	Writes, Reads, Failed atomic.Int64
@@ -61,18 +63,18 @@
 
 // NewMembers returns a list that holds only this entry.
 func NewMembers(id structs.EntryID, address string, table infra.Table, dir *Directory) *Members {
-	return &Members{self: memberRow{Entry: id, Address: address}, table: table, dir: dir, seen: make(map[string]*sighting)}
+	return &Members{self: memberRow{Entry: id, Address: address}, table: table, dir: dir, seen: make(map[string]*observedRow)}
 }
 
-// Run renews the own row and reads the others' until ctx ends.
+// Run renews this entry's row and reads those of the others until ctx ends.
 func (m *Members) Run(ctx context.Context) {
-	timer := time.NewTimer(memberRenew)
+	timer := time.NewTimer(memberRenewInterval)
 	defer timer.Stop()
 	for {
 		if err := m.round(ctx); err != nil {
 			m.Failed.Add(1)
 		}
-		timer.Reset(memberRenew)
+		timer.Reset(memberRenewInterval)
 		select {
 		case <-ctx.Done():
 			return
@@ -98,17 +100,17 @@
 		return eris.Wrap(err, "members: write own row to table")
 	}
 	m.Reads.Add(1)
-	rows, err := m.table.Scan(ctx, memberPrefix, "", memberPage)
+	rows, err := m.table.Scan(ctx, memberPrefix, "", memberPageSize)
 	if err != nil {
 		return eris.Wrap(err, "members: scan entries in table")
 	}
-	m.take(rows, time.Now())
-	m.forget(ctx, time.Now())
+	m.recordRows(rows, time.Now())
+	m.deleteExpired(ctx, time.Now())
 	return nil
 }
 
-// take notes which rows changed.
-func (m *Members) take(rows []infra.Row, now time.Time) {
+// recordRows records the rows that changed and updates the directory's entries.
+func (m *Members) recordRows(rows []infra.Row, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var addresses []string
@@ -119,44 +121,45 @@
 		}
 		s := m.seen[r.Key]
 		if s == nil {
-			s = &sighting{}
+			s = &observedRow{}
 			m.seen[r.Key] = s
 		}
 		if s.version != r.Version {
-			*s = sighting{row: row, version: r.Version, changed: now}
+			*s = observedRow{row: row, version: r.Version, changed: now}
 		}
-		if now.Sub(s.changed) <= memberSilence {
+		if now.Sub(s.changed) <= memberExpiry {
 			addresses = append(addresses, row.Address)
 		}
 	}
 	m.dir.SetEntries(addresses)
 }
 
-// forget deletes rows that have been silent for long. The delete is
-// conditional, so an entry that was only slow is never deleted.
-func (m *Members) forget(ctx context.Context, now time.Time) {
+// deleteExpired deletes rows that have not changed for a long time. The delete
+// is conditional, so the row of an entry that was only slow is never deleted.
+func (m *Members) deleteExpired(ctx context.Context, now time.Time) {
 	m.mu.Lock()
-	var old []infra.Cond
+	var expired []infra.Cond
 	for key, s := range m.seen {
-		if now.Sub(s.changed) > memberForget*memberSilence {
-			old = append(old, infra.Cond{Key: key, Version: s.version})
+		if now.Sub(s.changed) > memberDeleteAfter*memberExpiry {
+			expired = append(expired, infra.Cond{Key: key, Version: s.version})
 			delete(m.seen, key)
 		}
 	}
 	m.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_, _ = m.table.Commit(ctx, infra.Txn{Op: fmt.Sprintf("forget/%s/%d", c.Key, c.Version), Conds: []infra.Cond{c}, Deletes: []string{c.Key}})
 	}
 }
 
-// Alive returns the entries believed alive, this one included, in order.
+// Alive returns the IDs of the entries that count as alive, including this one,
+// in order.
 func (m *Members) Alive() []structs.EntryID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ids := []structs.EntryID{m.self.Entry}
 	now := time.Now()
 	for _, s := range m.seen {
-		if s.row.Entry != m.self.Entry && now.Sub(s.changed) <= memberSilence {
+		if s.row.Entry != m.self.Entry && now.Sub(s.changed) <= memberExpiry {
 			ids = append(ids, s.row.Entry)
 		}
 	}
@@ -164,7 +167,7 @@
 	return ids
 }
 
-// Leave deletes the own row at a planned stop.
+// Leave deletes this entry's row at a planned stop.
 func (m *Members) Leave(ctx context.Context) error {
 	_, err := m.table.Commit(ctx, infra.Txn{Op: rand.Text(), Deletes: []string{memberPrefix + string(m.self.Entry)}})
 	return err
--- a/entry/directory/pace.go
+++ b/entry/directory/pace.go
@@ -10,27 +10,28 @@
 
 // Bytes of heartbeats.
 const (
-	// HeartbeatBytes is what one whole heartbeat and its answer cost on the
-	// wire, with tasks of eight customers and five entries (the test of the
-	// pace measures it). It is reckoned with before heartbeats have come.
+	// HeartbeatBytes is the size of one complete heartbeat and its answer on
+	// the wire, with tasks of eight customers and five entries. It is the
+	// estimate before the first heartbeat; TestHeartbeatsStayWithinTheBudget
+	// checks it.
 	HeartbeatBytes = 560
-	// HeartbeatBudget is what an entry may spend on all of them in a second,
-	// of a node's 4,000; the table service takes the rest.
+	// HeartbeatBudget bounds the heartbeat traffic of an entry in bytes per
+	// second, out of a node's 4,000; the table service uses the rest.
 	HeartbeatBudget = 850
-	// A heartbeat that leaves out all it can costs baseBytes, what is said of
-	// the sender senderBytes; a service and a pair of customer and kind cost
-	// their names and these.
+	// A heartbeat that omits all that it can has baseBytes, the sender's part
+	// senderBytes. A service, and a pair of customer and kind, have the length
+	// of their names and serviceBytes or pairBytes.
 	baseBytes, senderBytes, serviceBytes, pairBytes = 140, 60, 12, 8
-	// A measurement costs the name of its service and sampleBytes, and each kind
-	// in it its name and togetherBytes.
-	sampleBytes, togetherBytes = 30, 6
-	// entryListBytes are those of the list of five entries in an answer.
+	// A measurement has the length of its service's name and sampleBytes, and
+	// each of its kinds the length of its name and kindBytes.
+	sampleBytes, kindBytes = 30, 6
+	// entryListBytes is the size of the list of five entries in an answer.
 	entryListBytes = 60
-	// sizeWeight is the part of a new size in the mean.
+	// sizeWeight is the weight of a new size in the mean.
 	sizeWeight = 1.0 / 8
 )
 
-// sizes is the moving mean of what heartbeats cost.
+// sizes holds the moving mean of the size of heartbeats.
 type sizes struct {
 	mu   sync.Mutex
 	mean float64
@@ -54,7 +55,7 @@
 	return s.mean
 }
 
-// estimatedBytes is what r and its answer cost on the wire.
+// estimatedBytes returns the estimated size of r and its answer on the wire.
 func estimatedBytes(r wire.HelloRequest) int {
 	n := baseBytes
 	if r.Omitted.Sender == 0 {
@@ -69,39 +70,40 @@
 	for _, b := range r.Load.Batch {
 		n += pairBytes + len(b.Customer) + len(b.Kind)
 	}
-	for _, one := range r.Samples {
-		n += sampleBytes + len(one.Service)
-		for _, t := range one.Together {
-			n += togetherBytes + len(t.Kind)
+	for _, sample := range r.Samples {
+		n += sampleBytes + len(sample.Service)
+		for _, t := range sample.Together {
+			n += kindBytes + len(t.Kind)
 		}
 	}
 	return n
 }
 
-// pace stretches the heartbeat with the number of agents and the size of their
+// heartbeatInterval grows with the number of agents and the size of their
 // heartbeats, so that the traffic of an entry stays within HeartbeatBudget.
-func (d *Directory) pace() time.Duration {
+func (d *Directory) heartbeatInterval() time.Duration {
 	d.mu.RLock()
 	n := len(d.agents)
 	d.mu.RUnlock()
-	spread := time.Duration(float64(n) * d.sizes.get() / HeartbeatBudget * float64(time.Second))
-	if spread <= d.fastest {
-		return d.fastest
+	interval := time.Duration(float64(n) * d.sizes.get() / HeartbeatBudget * float64(time.Second))
+	if interval <= d.minInterval {
+		return d.minInterval
 	}
-	return min(max(scattered(spread), d.fastest), MaxHeartbeat)
+	return min(max(jittered(interval), d.minInterval), MaxHeartbeat)
 }
 
-// scattered is within a quarter of d, at random.
+// jittered returns a random duration within a quarter of d.
 //
-// Failure guarded against: an entry is restarted, all agents find it within a
-// few seconds, and from then on their heartbeats come all at once, minutes
-// apart; the entry's processor and link are idle and overrun by turns.
-func scattered(d time.Duration) time.Duration {
+// Failure guarded against: an entry is restarted, all agents connect to it
+// within a few seconds, and from then on their heartbeats arrive all at once,
+// minutes apart, so that the entry's processor and link alternate between idle
+// and overloaded.
+func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
 
-// Restore completes a heartbeat that omits what this entry has kept; ok
-// is false if it has not.
+// Restore completes a heartbeat that omits parts that this entry has kept; ok
+// is false if the entry does not hold them.
 func (d *Directory) Restore(r wire.HelloRequest) (whole wire.HelloRequest, ok bool) {
 	d.sizes.add(estimatedBytes(r))
 	if r.Omitted == (wire.HelloSums{}) {
@@ -114,7 +116,7 @@
 		return r, false
 	}
 	rec.mu.Lock()
-	kept := rec.said
+	kept := rec.lastHello
 	rec.mu.Unlock()
 	return r.Restore(kept)
 }
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -23,7 +23,7 @@
 	reply.Kept = true
 	reply.Next = s.directory.Hello(whole)
 	s.learnt.Hello(time.Since(s.started), &whole)
-	reply.Entries = s.directory.EntriesUnless(r.Entries)
+	reply.Entries = s.directory.EntriesIfChanged(r.Entries)
 	reply.Config, reply.Change = s.newer(r.Revision, r.Want)
 	return nil
 }
--- a/entry/vars.go
+++ b/entry/vars.go
@@ -80,7 +80,7 @@
 	v.Config.Reads, v.Config.Failed, v.Config.Held = s.Reads.Load(), s.Failed.Load(), s.Held.Load()
 	d := e.directory
 	v.Directory.Agents, v.Directory.Entries = len(d.Agents()), len(e.members.Alive())
-	v.Directory.Heartbeats, v.Directory.Stale, v.Directory.Lost = d.Heard.Load(), d.Stale.Load(), d.Lost.Load()
+	v.Directory.Heartbeats, v.Directory.Stale, v.Directory.Lost = d.HeartbeatCount.Load(), d.Stale.Load(), d.Lost.Load()
 	v.Directory.Writes, v.Directory.Reads, v.Directory.Failed = e.members.Writes.Load(), e.members.Reads.Load(), e.members.Failed.Load()
 	learnt := e.learnt.Counters()
 	v.Interference.Taken, v.Interference.Dropped, v.Interference.Regimes = learnt.Taken, learnt.Dropped, learnt.RegimeChanges
