--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -24,23 +24,24 @@
 // Change is one operator's change of one customer's contract.
 type Change struct {
 	Customer structs.Customer
-	// Contract is the new contract; nil deletes.
+	// Contract is the new contract; nil deletes the contract.
 	Contract *structs.Contract
-	// IfMatch is the revision of the contract that the operator has seen.
+	// IfMatch is the revision of the contract on which the change is based.
 	IfMatch structs.Revision
-	// Operation identifies the intent; a repeat carries it again. It must not
-	// be empty, and two intents must not share one.
+	// Operation identifies the intended change; a repeat has the same
+	// identifier. It must not be empty, and two different changes must not
+	// share one.
 	Operation string
 }
 
-// errRaced says that another change came in between and that the same change
-// may be tried again on what is there now.
+// errRaced reports that another change was accepted in between and that the
+// same change may be retried on the current state.
 var errRaced = errors.New("contracts: raced with another change")
 
-// Apply makes the change and returns the revision that accepted it. Two
-// operators that change one contract from the same revision: one wins, the
-// other gets a precondition refusal. A repeated operation returns the revision
-// of its first acceptance and changes nothing.
+// Apply makes the change and returns the revision that accepted it. Of two
+// operators that change one contract from the same revision, one succeeds and
+// the other gets a precondition refusal. A repeated operation returns the
+// revision of its first acceptance and changes nothing.
 func (s *Store) Apply(ctx context.Context, c Change) (structs.Revision, *structs.Refusal) {
 	for {
 		revision, err := s.apply(ctx, c)
@@ -48,7 +49,7 @@
 		switch {
 		case err == nil:
 			s.events.Record(structs.Event{Step: StepAccepted, Customer: c.Customer, Epoch: structs.Epoch(revision)})
-			s.Heard(revision)
+			s.RecordRevision(revision)
 			s.Confirm(ctx)
 			return revision, nil
 		case errors.Is(err, errRaced):
@@ -73,23 +74,23 @@
 func (s *Store) apply(ctx context.Context, c Change) (structs.Revision, error) {
 	revision, revisionVersion, err := configtable.ReadRevision(ctx, s.table)
 	if err != nil {
-		return 0, readFailed(err)
+		return 0, asUnavailable(err)
 	}
 	operations, operationsVersion, err := s.readOperations(ctx, revision)
 	if err != nil {
-		return 0, readFailed(err)
+		return 0, asUnavailable(err)
 	}
 	if accepted := operations.find(c); accepted != 0 {
 		return accepted, nil
 	}
 	current, version, err := configtable.ReadContract(ctx, s.table, c.Customer)
 	if err != nil {
-		return 0, readFailed(err)
+		return 0, asUnavailable(err)
 	}
 	if refused := precondition(c, current, version); refused != nil {
 		return 0, refused
 	}
-	if err := s.keysFree(ctx, c, revision.Revision); err != nil {
+	if err := s.checkKeys(ctx, c, revision.Revision); err != nil {
 		return 0, err
 	}
 	next := revision.Next(configtable.Changed{Customer: c.Customer, Removed: c.Contract == nil})
@@ -108,8 +109,8 @@
 	var conflict *infra.ConflictError
 	var superseded *infra.SupersededError
 	if errors.As(err, &conflict) || errors.As(err, &superseded) {
-		// A superseded change is decided: the recent operations say whether
-		// it took effect before the change that superseded it.
+		// A superseded change is decided: the recent operations show whether it
+		// took effect before the change that superseded it.
 		return 0, errRaced
 	}
 	if err != nil {
@@ -118,18 +119,18 @@
 	return next.Revision, nil
 }
 
-// keysFree refuses a contract with another customer's key.
+// checkKeys refuses a contract with another customer's key.
 //
-// Failure guarded against: two operators give one key to two customers through
-// two entries at once; its holder would be either customer, by chance. The
-// contracts compared are those of the revision that the change is conditional
-// on, so no other change can come in between.
-func (s *Store) keysFree(ctx context.Context, c Change, at structs.Revision) error {
+// Failure guarded against: two operators assign one key to two customers
+// through two entries at once; its holder would be either customer, by chance.
+// The contracts compared are those of the revision that the change is
+// conditional on, so no other change can be accepted in between.
+func (s *Store) checkKeys(ctx context.Context, c Change, at structs.Revision) error {
 	if c.Contract == nil || len(c.Contract.KeyHashes) == 0 {
 		return nil
 	}
 	if s.Config().Revision < at {
-		s.Heard(at)
+		s.RecordRevision(at)
 		s.Confirm(ctx)
 	}
 	config := s.Config()
@@ -153,16 +154,17 @@
 	return slices.ContainsFunc(a, func(h string) bool { return slices.Contains(b, h) })
 }
 
-// readFailed marks a failed read as proof that nothing was changed.
-func readFailed(err error) error {
+// asUnavailable converts the error of a read whose outcome is unknown: a read
+// that failed has changed nothing.
+func asUnavailable(err error) error {
 	if errors.Is(err, infra.ErrUnknown) || errors.Is(err, context.DeadlineExceeded) {
 		return infra.ErrUnavailable
 	}
 	return err
 }
 
-// precondition compares by revision, which never repeats, and not by row
-// version, which starts again when a deleted contract is written anew.
+// precondition compares revisions, which are never reused, instead of row
+// versions, which start again when a deleted contract is recreated.
 func precondition(c Change, current structs.Contract, version uint64) *structs.Refusal {
 	exists := version != 0
 	switch {
--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/structs"
 )
 
-// node is one entry's store behind its own faults.
+// node is one entry's store with its own fault injection.
 type node struct {
 	*Store
 	faults *fault.Control
@@ -42,9 +42,9 @@
 	return r
 }
 
-// Two operators read the same contract and each sends a change. One is told
-// that it holds; the other is told that the contract has moved on, and to
-// which revision. Cause: both conditions name the revision that was read.
+// Two operators read the same contract and each sends a change. One change must
+// be accepted, and the other refused with the contract's new revision, as both
+// are conditional on the revision that was read.
 func TestTwoOperatorsRace(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -60,10 +60,10 @@
 	}
 }
 
-// An operator's change is accepted, its answer is lost, and the operator
-// repeats it through another entry, after a third operator's change. The
-// repeat gets the first result, and nothing is changed twice. Cause: the
-// write took effect although its caller saw a time-out.
+// A change is accepted, its answer is lost, and the operator repeats it through
+// another entry after a third operator's change. The repeat must return the
+// first result and change nothing, as the write took effect although its caller
+// saw a time-out.
 func TestRepeatAfterLostAnswerHasOneResult(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -84,11 +84,11 @@
 	}
 }
 
-// An operator's change takes effect, its answer is lost, and before the entry
-// repeats it another operator's change is accepted at another entry. The first
-// operator is told the revision of the change, not that it is in doubt, and
-// the second change stays in force. Cause: rows of the first write were
-// written again, so the write alone can't tell what became of it.
+// A change takes effect, its answer is lost, and before the entry repeats it
+// another operator's change is accepted at another entry. The first operator
+// must get the revision of the change, not an unknown outcome, and the second
+// change must stay in force. The second change has rewritten rows of the first,
+// so a repeat of the write alone can't show its outcome.
 func TestSupersededChangeIsDecided(t *testing.T) {
 	for name, customer := range map[string]string{"same customer": "kowhai", "another customer": "granite-notch"} {
 		t.Run(name, func(t *testing.T) {
@@ -118,9 +118,10 @@
 	}
 }
 
-// Two operators give one key to two customers through two entries, the second
-// of which has not heard of the first contract. The second is refused with
-// proof. Cause: the entry compared keys with its own, older view.
+// Two operators assign one key to two customers through two entries, the second
+// of which has not received the first contract. The second must be refused with
+// nothing changed. The failure occurs if the entry compares keys with its own
+// older view.
 func TestKeyBelongsToOneCustomer(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -129,15 +130,15 @@
 		c := change([]string{"kowhai", "granite-notch"}[i], 0.5, NoContract, "give")
 		c.Contract.KeyHashes = []string{"shared"}
 		_, refused := n.Apply(t.Context(), c)
-		if taken := refused != nil && refused.Type == structs.RefusedBadRequest && refused.Outcome == structs.NotRun; taken != (i == 1) {
+		if rejected := refused != nil && refused.Type == structs.RefusedBadRequest && refused.Outcome == structs.NotRun; rejected != (i == 1) {
 			t.Errorf("operator %d: %v", i, refused)
 		}
 	}
 }
 
-// A process is stopped for a minute, three changes are accepted, it goes on,
-// and a caller comes at once. The caller is judged under the third change.
-// Cause: the first request after the pause comes before the next poll.
+// A process is paused for a minute while three changes are accepted. The first
+// request after the pause may arrive before the next poll; it must be served
+// under the third change.
 func TestPausedProcessConfirmsBeforeItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
@@ -152,51 +153,51 @@
 			t.Fatal(refused)
 		}
 		if c, _ := paused.Contract("kowhai"); c.Share != 0.4 {
-			t.Errorf("served under share %v, accepted is 0.4", c.Share)
+			t.Errorf("served under share %v, want the accepted 0.4", c.Share)
 		}
 	})
 }
 
-// peersWith is a Peers that has one configuration, or none.
-type peersWith struct{ config *structs.Config }
+// fixedPeers implements Peers with one configuration, or none.
+type fixedPeers struct{ config *structs.Config }
 
-func (p peersWith) NewerConfig(_ context.Context, held structs.Config) *structs.Config {
+func (p fixedPeers) NewerConfig(_ context.Context, held structs.Config) *structs.Config {
 	if p.config != nil && p.config.Revision > held.Revision {
 		return p.config
 	}
 	return nil
 }
 
-// An entry is started while the table service is down. Callers are refused
-// with proof that nothing ran, until another entry hands its configuration
-// over; a process that is known to be behind is not served either.
+// An entry is started while the table service is down. It must refuse callers
+// with proof that nothing ran until another entry provides its configuration. A
+// process that is known to be behind must refuse them, too.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
 		running := newNode(table, nil, 1)
 		mustApply(t, running, change("kowhai", 0.5, NoContract, "0"))
-		alone := newNode(table, peersWith{}, 2)
+		alone := newNode(table, fixedPeers{}, 2)
 		alone.faults.Cut(true)
 		if refused := alone.Serve(t.Context()); refused == nil || refused.Outcome != structs.NotRun || refused.RetryAfter == 0 {
 			t.Fatalf("served without a configuration: %v", refused)
 		}
 		config := running.Config()
-		helped := newNode(table, peersWith{&config}, 3)
+		helped := newNode(table, fixedPeers{&config}, 3)
 		helped.faults.Cut(true)
 		if refused := helped.Serve(t.Context()); refused != nil {
 			t.Fatal(refused)
 		}
-		helped.Heard(config.Revision + 1)
+		helped.RecordRevision(config.Revision + 1)
 		if refused := helped.Serve(t.Context()); refused == nil {
 			t.Error("served although a newer revision is known to exist")
 		}
 	})
 }
 
-// A message with an older configuration arrives after a newer one is in
-// force; a deleted contract is written anew by someone who read the old one.
-// Neither reverts what was accepted. Cause: messages overtake each other, and
-// row versions start again after a delete.
+// A message with an older configuration arrives after a newer one is in force,
+// and a recreated contract is changed by an operator who read it before the
+// deletion. Neither may revert the accepted configuration. Messages overtake
+// each other, and row versions start again after a delete.
 func TestOlderConfigurationIsRefused(t *testing.T) {
 	n := newNode(memory.NewTable(), nil, 1)
 	old := mustApply(t, n, change("kowhai", 0.1, NoContract, "0"))
@@ -211,9 +212,9 @@
 	}
 }
 
-// Several entries and operators, with every fault of the store at once: no
-// view ever goes back, every change that was acknowledged is in every view's
-// past, and all views agree within seconds once the faults end.
+// With several entries and operators and all faults of the store at once, no
+// view's revision may decrease, every acknowledged change must be contained in
+// every view, and all views must agree within seconds of the end of the faults.
 func TestRandomisedChangesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) { runRandomised(t, rt) })
@@ -250,9 +251,9 @@
 			accepted[id] = r
 		}
 		time.Sleep(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "pause")) * time.Millisecond)
-		for k, one := range nodes {
-			if now := one.Config().Revision; now < highest[k] {
-				rt.Fatalf("node %d went back from %d to %d", k, highest[k], now)
+		for k, other := range nodes {
+			if now := other.Config().Revision; now < highest[k] {
+				rt.Fatalf("view of node %d reverted from %d to %d", k, highest[k], now)
 			} else {
 				highest[k] = now
 			}
--- a/entry/contracts/operations.go
+++ b/entry/contracts/operations.go
@@ -14,21 +14,21 @@
 	"persimmonrock.example/structs"
 )
 
-// recentOperations is how many accepted operations the table keeps: at 3,200
-// changes a day an operator has about half an hour to repeat one.
+// recentOperations is the number of accepted operations that the table keeps:
+// at 3,200 changes a day an operator has about half an hour to repeat one.
 const recentOperations = 64
 
-// operationsRow is the value of structs.OperationsKey. Only changes read it,
-// so that the revision row, which everyone polls, stays small.
+// operationsRow is the value of structs.OperationsKey. Only changes read it, so
+// that the revision row, which all processes poll, stays small.
 type operationsRow struct {
-	// Recent are the last accepted operations, newest last, so that a
+	// Recent holds the last accepted operations, newest last, so that a
 	// repeated change finds its own result.
 	Recent []configtable.Operation `json:"recent"`
 }
 
-// readOperations returns the operations accepted up to now and the version of
-// their row. Those that an earlier release keeps in the revision row are among
-// them.
+// readOperations returns the accepted operations and the version of their row.
+// The result includes operations that an earlier release keeps in the revision
+// row.
 func (s *Store) readOperations(ctx context.Context, revision configtable.RevisionRow) (operationsRow, uint64, error) {
 	row, err := s.table.Get(ctx, structs.OperationsKey)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -46,17 +46,18 @@
 	return value, row.Version, nil
 }
 
-// find returns the revision that accepted the operation of c, 0 if none did.
+// find returns the revision that accepted the operation of c, or 0 if it was
+// not accepted.
 func (o operationsRow) find(c Change) structs.Revision {
-	for _, one := range o.Recent {
-		if one.ID == c.Operation && one.Customer == c.Customer {
-			return one.Revision
+	for _, op := range o.Recent {
+		if op.ID == c.Operation && op.Customer == c.Customer {
+			return op.Revision
 		}
 	}
 	return 0
 }
 
-// with is the row after change c was accepted as revision r.
+// with returns the row after change c was accepted as revision r.
 func (o operationsRow) with(c Change, r structs.Revision) operationsRow {
 	recent := append([]configtable.Operation(nil), o.Recent...)
 	recent = append(recent, configtable.Operation{ID: c.Operation, Customer: c.Customer, Revision: r})
--- a/entry/contracts/reader_test.go
+++ b/entry/contracts/reader_test.go
@@ -15,29 +15,28 @@
 	"persimmonrock.example/structs"
 )
 
-// between runs a step before each read of a reader.
-type between struct {
+// interleavedTable runs a step before each read.
+type interleavedTable struct {
 	infra.Table
 	step  func()
 	scans int
 }
 
-func (b *between) Get(ctx context.Context, key string) (infra.Row, error) {
+func (b *interleavedTable) Get(ctx context.Context, key string) (infra.Row, error) {
 	b.step()
 	return b.Table.Get(ctx, key)
 }
 
-func (b *between) Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error) {
+func (b *interleavedTable) Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error) {
 	b.step()
 	b.scans++
 	return b.Table.Scan(ctx, prefix, after, limit)
 }
 
-// An operator changes contracts while another process reads them: contracts
-// come, change, go and come again between any two of its reads. What the
-// process then holds is exactly what was accepted at the revision that it
-// names, and never a lower one. Cause: the revision and the rows are read one
-// after the other.
+// Contracts are created, changed, deleted and recreated between any two reads
+// of another process. The configuration that the process then holds must be
+// exactly the one accepted at its revision, and never of a lower revision. The
+// revision and the rows are read one after the other.
 func TestReaderNeverMixesRevisions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		writer := newNode(memory.NewTable(), nil, 1)
@@ -59,9 +58,9 @@
 		var held structs.Config
 		for range 6 {
 			step(12)
-			quiet := 0
-			table := &between{Table: writer.table, step: func() {
-				if quiet++; quiet < 8 {
+			reads := 0
+			table := &interleavedTable{Table: writer.table, step: func() {
+				if reads++; reads < 8 {
 					step(1)
 				}
 			}}
@@ -81,10 +80,10 @@
 	})
 }
 
-// A process that is a few changes behind reads the changed contracts alone;
-// one that was away for longer reads all. Otherwise each change would cost
-// 1,000 agents the whole configuration.
-func TestReaderReadsWhatChanged(t *testing.T) {
+// A process that is a few changes behind reads only the changed contracts; a
+// process that is further behind reads all. Otherwise each change would make
+// 1,000 agents read the whole configuration.
+func TestReaderReadsOnlyChangedContracts(t *testing.T) {
 	writer := newNode(memory.NewTable(), nil, 1)
 	for i := range 20 {
 		mustApply(t, writer, change(fmt.Sprint("customer-", i), 0.1, AnyRevision, fmt.Sprint("create-", i)))
@@ -102,7 +101,7 @@
 		for i := range behind {
 			mustApply(t, writer, change(fmt.Sprint("customer-", i), 0.3, AnyRevision, fmt.Sprint("behind-", behind, i)))
 		}
-		table := &between{Table: writer.table, step: func() {}}
+		table := &interleavedTable{Table: writer.table, step: func() {}}
 		held, err = configtable.Newer(t.Context(), table, from)
 		if diff := cmp.Diff(writer.Config(), held); err != nil || diff != "" || table.scans != scans {
 			t.Errorf("%d behind: %d scans, want %d; %v\n%s", behind, table.scans, scans, err, diff)
@@ -110,10 +109,10 @@
 	}
 }
 
-// A deployment is upgraded while operators change contracts. The revision row
-// of the earlier release, which holds the operations itself, is read; an
-// operation that it names still has one result, also after an entry of the
-// earlier release has written the row once more.
+// During an upgrade of a deployment, an entry must read the revision row of the
+// earlier release, which holds the operations itself. An operation in that row
+// must still have one result, also after an entry of the earlier release has
+// written the row once more.
 func TestRowOfTheEarlierReleaseIsRead(t *testing.T) {
 	table := memory.NewTable()
 	earlier := func(r structs.Revision, id string) {
--- a/entry/contracts/since.go
+++ b/entry/contracts/since.go
@@ -6,45 +6,48 @@
 	"persimmonrock.example/structs"
 )
 
-// rememberedRevisions is from how many of the last revisions a view can tell
-// the change; a holder of another one gets the whole configuration.
-const rememberedRevisions = 64
+// maxRevisions is the number of recent revisions from which a view can compute
+// a change; a holder of any other revision gets the whole configuration.
+const maxRevisions = 64
 
-// installed is one revision that a view had in force.
-type installed struct {
+// installedRevision is one revision that a view had in force.
+type installedRevision struct {
 	revision structs.Revision
-	// removed had a contract in the revision before it, as this view saw it.
+	// removed are the customers whose contract this view held in the preceding
+	// revision and no longer holds in this one.
 	removed []structs.Customer
 }
 
-// past are the last revisions that a view had in force, the present one last.
-type past []installed
+// revisions are the last revisions that a view had in force, the current one
+// last.
+type revisions []installedRevision
 
-// with adds next, which replaces before.
-func (p past) with(before, next structs.Config) past {
-	step := installed{revision: next.Revision}
+// with appends next, which replaces before.
+func (p revisions) with(before, next structs.Config) revisions {
+	step := installedRevision{revision: next.Revision}
 	for customer := range before.Contracts {
-		if _, still := next.Contracts[customer]; !still {
+		if _, kept := next.Contracts[customer]; !kept {
 			step.removed = append(step.removed, customer)
 		}
 	}
-	if len(p) == rememberedRevisions {
+	if len(p) == maxRevisions {
 		p = p[1:]
 	}
 	return append(slices.Clip(p), step)
 }
 
 // Since returns the change from revision r to the configuration in force, or
-// nil if there is none or it can't be told.
+// nil if r is in force or the change can't be computed.
 //
-// Failure guarded against: a contract was made at r and removed again between
-// two readings of this process, so that it never saw it; a change from r would
-// not name it, and its holder would keep it for good. So only revisions that
-// were in force here are started from: their contracts are known.
+// Failure guarded against: a contract was created at r and removed again
+// between two reads of this process, so that the process never read it; a
+// change from r would not name the contract, and its holder would keep it for
+// good. Therefore only revisions that were in force here are accepted: their
+// contracts are known.
 func (v *View) Since(r structs.Revision) *structs.ConfigChange {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	at := slices.IndexFunc(v.past, func(i installed) bool { return i.revision == r })
+	at := slices.IndexFunc(v.revisions, func(i installedRevision) bool { return i.revision == r })
 	config := v.Config()
 	if at < 0 || r == config.Revision {
 		return nil
@@ -55,7 +58,7 @@
 			change.Contracts = append(change.Contracts, c)
 		}
 	}
-	for _, step := range v.past[at+1:] {
+	for _, step := range v.revisions[at+1:] {
 		for _, customer := range step.removed {
 			if _, again := config.Contracts[customer]; !again && !slices.Contains(change.Removed, customer) {
 				change.Removed = append(change.Removed, customer)
--- a/entry/contracts/since_test.go
+++ b/entry/contracts/since_test.go
@@ -12,10 +12,11 @@
 	"persimmonrock.example/structs"
 )
 
-// An entry sends a process the change from the revision that it holds: from
-// any earlier one that the entry can tell, the change leads to exactly what is
-// in force. Cause of the failure: the entry itself had only some of the
-// revisions in force, and a contract came and went between two of them.
+// An entry sends a process the change from the revision that the process holds.
+// From any earlier revision that the entry has had in force, the change must
+// lead exactly to the configuration in force. The failure occurs if the entry
+// had only some revisions in force and a contract was created and removed
+// between two of them.
 func TestChangeSinceAnyRevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := memory.NewTable()
@@ -35,20 +36,20 @@
 			}
 		}
 		entry.Confirm(t.Context())
-		told := 0
+		found := 0
 		for _, held := range history {
 			d := entry.Since(held.Revision)
 			if d == nil {
 				continue
 			}
-			told++
+			found++
 			next, ok := held.With(*d)
 			if diff := cmp.Diff(entry.Config(), next); !ok || diff != "" {
-				rt.Fatalf("from %d, fits: %t (-in force +told):\n%s", held.Revision, ok, diff)
+				rt.Fatalf("change from %d, applies: %t (-in force +result):\n%s", held.Revision, ok, diff)
 			}
 		}
-		if told != len(entry.past)-1 && entry.past[0].revision > configtable.FirstRevision {
-			rt.Fatalf("%d revisions could be told from, want %d", told, len(entry.past)-1)
+		if found != len(entry.revisions)-1 && entry.revisions[0].revision > configtable.FirstRevision {
+			rt.Fatalf("changes found from %d revisions, want %d", found, len(entry.revisions)-1)
 		}
 	})
 }
--- a/entry/contracts/store.go
+++ b/entry/contracts/store.go
@@ -19,26 +19,26 @@
 	attemptTimeout = time.Second
 )
 
-// Steps of the time line.
+// Steps recorded in the time line.
 const (
 	StepInstalled structs.Step = "config-installed"
 	StepAccepted  structs.Step = "config-accepted"
 )
 
-// Peers asks other entries for a newer configuration.
+// Peers requests a newer configuration from other entries.
 type Peers interface {
 	// NewerConfig returns the newest configuration above held that any
 	// reachable entry has, or nil.
 	NewerConfig(ctx context.Context, held structs.Config) *structs.Config
 }
 
-// Options sets the pace of a Store; zero fields take the defaults.
+// Options holds the intervals of a Store; zero fields mean the defaults.
 type Options struct {
 	// Poll is the pause between two reads of the revision row.
 	Poll time.Duration
-	// Stale is how long after the last ended confirmation the view may still
-	// be served. It is above Poll plus the time-out of one attempt, so that
-	// only a paused process exceeds it.
+	// Stale is the time after the end of the last confirmation for which the
+	// view may still be served. It must be above Poll plus the time-out of one
+	// attempt, so that only a paused process exceeds it.
 	Stale time.Duration
 }
 
@@ -51,7 +51,7 @@
 	log    zerolog.Logger
 	opts   Options
 
-	// confirming holds one token: one confirmation runs at a time.
+	// confirming holds one token, so that one confirmation runs at a time.
 	confirming chan struct{}
 	wake       chan struct{}
 
@@ -63,7 +63,7 @@
 	Held   atomic.Int64
 }
 
-// New returns a store without a configuration; Run brings the first one.
+// New returns a store without a configuration; Run reads the first one.
 func New(table infra.Table, peers Peers, events structs.Recorder, log zerolog.Logger, opts Options) *Store {
 	if opts.Poll == 0 {
 		opts.Poll = DefaultPoll
@@ -74,7 +74,7 @@
 	return &Store{table: table, peers: peers, events: events, log: log, opts: opts, wake: make(chan struct{}, 1), confirming: make(chan struct{}, 1)}
 }
 
-// Run confirms the view at the set pace until ctx ends.
+// Run confirms the view at the configured interval until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	timer := time.NewTimer(s.opts.Poll)
 	defer timer.Stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-// ConfirmSoon asks Run to confirm at once.
+// ConfirmSoon makes Run confirm at once.
 func (s *Store) ConfirmSoon() {
 	select {
 	case s.wake <- struct{}{}:
@@ -100,12 +100,12 @@
 
 // Serve returns nil if requests may be decided under the view now.
 //
-// Failure guarded against: the process is paused while newer configurations
-// are accepted, wakes, and decides its next request under the old one. After
-// a pause no confirmation has ended within Stale, so the request waits for
-// one. A confirmation that fails because the store is down still counts: then
-// nobody can accept a change through the store, and other entries have been
-// asked. A view known to be behind is not served at all.
+// Failure guarded against: the process is paused while newer configurations are
+// accepted, resumes, and decides its next request under the old one. After a
+// pause no confirmation has ended within Stale, so the request waits for one. A
+// confirmation that fails because the store is down still counts: no change can
+// be accepted through the store then, and other entries have been asked. A view
+// known to be behind is not served at all.
 func (s *Store) Serve(ctx context.Context) *structs.Refusal {
 	attempted, _, behind := s.state()
 	if s.Config().Revision != 0 && !behind && time.Since(attempted) <= s.opts.Stale {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Confirm brings the view up to the table service's revision, or to that of
-// another entry when the store does not answer.
+// Confirm updates the view to the table service's revision, or to that of
+// another entry if the store does not answer.
 func (s *Store) Confirm(ctx context.Context) {
 	started := time.Now()
 	select {
@@ -148,7 +148,7 @@
 		s.Failed.Add(1)
 		s.askPeers(ctx)
 	}
-	s.ended(time.Now(), err == nil)
+	s.recordConfirmation(time.Now(), err == nil)
 	if now := s.Config().Revision; now != before {
 		s.events.Record(structs.Event{Step: StepInstalled, Epoch: structs.Epoch(now)})
 		s.log.Info().Uint64("revision", uint64(now)).Msg("configuration in force")
@@ -166,7 +166,8 @@
 	}
 }
 
-// refresh reads what is newer in the table service and installs it.
+// refresh reads the newer configuration from the table service, if any, and
+// installs it.
 func (s *Store) refresh(ctx context.Context) error {
 	s.Reads.Add(1)
 	held := s.Config()
--- a/entry/contracts/view.go
+++ b/entry/contracts/view.go
@@ -20,13 +20,15 @@
 	current atomic.Pointer[snapshot]
 
 	mu sync.Mutex
-	// known is the highest revision that this process has heard of.
-	known structs.Revision
-	// attempted is when a confirmation last ended, with or without success.
+	// highestKnown is the highest revision known to this process.
+	highestKnown structs.Revision
+	// attempted is the time at which the last confirmation ended, with or
+	// without success.
 	attempted time.Time
-	// confirmed is when the table service last said that current is newest.
+	// confirmed is the time at which the table service last confirmed that
+	// current is the newest.
 	confirmed time.Time
-	past      past
+	revisions revisions
 
 	// Installed counts adopted configurations, Older those refused because
 	// their revision was not above the current one.
@@ -54,7 +56,8 @@
 }
 
 // ByKey returns the contract that the caller's key belongs to. The key is
-// hashed before any look-up, so that answer times tell nothing about the key.
+// hashed before any look-up, so that response times reveal nothing about the
+// key.
 func (v *View) ByKey(key string) (structs.Contract, bool) {
 	s := v.current.Load()
 	if s == nil || key == "" {
@@ -68,12 +71,12 @@
 	return contract, keys.Match(contract.KeyHashes, key)
 }
 
-// Install adopts c if its revision is above the current one and reports
-// whether it did.
+// Install adopts c if its revision is above the current one and reports whether
+// it did.
 //
 // Failure guarded against: a late message or a slow read brings an older
-// configuration after a newer one is in force; it would show as a contract
-// that reverts. The comparison and the swap are one step under the lock.
+// configuration after a newer one is in force; a contract would then revert.
+// The comparison and the swap are one step under the lock.
 func (v *View) Install(c structs.Config) bool {
 	next := &snapshot{config: c, byKey: make(map[string]structs.Customer)}
 	for customer, contract := range c.Contracts {
@@ -87,24 +90,24 @@
 		v.Older.Add(1)
 		return false
 	}
-	v.past = v.past.with(v.Config(), c)
+	v.revisions = v.revisions.with(v.Config(), c)
 	v.current.Store(next)
-	v.known = max(v.known, c.Revision)
+	v.highestKnown = max(v.highestKnown, c.Revision)
 	v.Installed.Add(1)
 	return true
 }
 
-// Heard notes that revision r exists and reports whether it is newer than the
-// configuration in force.
-func (v *View) Heard(r structs.Revision) bool {
+// RecordRevision records that revision r exists and reports whether it is newer
+// than the configuration in force.
+func (v *View) RecordRevision(r structs.Revision) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.known = max(v.known, r)
+	v.highestKnown = max(v.highestKnown, r)
 	return r > v.Config().Revision
 }
 
-// ended notes that a confirmation ended at now.
-func (v *View) ended(now time.Time, confirmed bool) {
+// recordConfirmation records that a confirmation ended at now.
+func (v *View) recordConfirmation(now time.Time, confirmed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.attempted = now
@@ -113,9 +116,9 @@
 	}
 }
 
-// state returns what Serve needs to judge the view.
+// state returns the values by which Serve decides whether the view is current.
 func (v *View) state() (attempted, confirmed time.Time, behind bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.attempted, v.confirmed, v.known > v.Config().Revision
+	return v.attempted, v.confirmed, v.highestKnown > v.Config().Revision
 }
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -31,7 +31,7 @@
 // newer returns the configuration in force, in the wanted form, if it is above
 // revision r, and takes note if r is above it.
 func (e *Entry) newer(r structs.Revision, want wire.ConfigWant) (*structs.Config, *structs.ConfigChange) {
-	if e.contracts.Heard(r) {
+	if e.contracts.RecordRevision(r) {
 		e.contracts.ConfirmSoon()
 		return nil, nil
 	}
