--- a/entry/model/model.go
+++ b/entry/model/model.go
@@ -1,5 +1,5 @@
-// Package model shares what an entry has learnt about interference between
-// the urgent path and the placement of batch tasks.
+// Package model shares an entry's interference model between the urgent path
+// and the placement of batch tasks.
 package model
 
 import (
@@ -9,28 +9,28 @@
 	"persimmonrock.example/decide"
 )
 
-// Shared is a decide.Interference under a lock.
+// Shared is a decide.Interference with a lock.
 type Shared struct {
 	mu sync.RWMutex
 	m  *decide.Interference
-	// reports knows the last heartbeat of each instance; refused counts
-	// measurements that were dropped before the learner saw them.
-	reports decide.Reports
-	refused uint64
-	forgot  time.Duration
+	// reports holds the last heartbeat of each instance; rejected counts
+	// measurements that were dropped before the learner received them.
+	reports    decide.Reports
+	rejected   uint64
+	lastForget time.Duration
 }
 
-// New returns a model that has learnt nothing.
+// New returns a model without samples.
 func New() *Shared { return &Shared{m: decide.NewInterference()} }
 
-// ChooseUrgent is decide.ChooseUrgent under the lock.
+// ChooseUrgent calls decide.ChooseUrgent under the lock.
 func (s *Shared) ChooseUrgent(q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return decide.ChooseUrgent(q, cs, s.m)
 }
 
-// With runs f with the model while nothing changes it.
+// With calls f with the model, which does not change during the call.
 func (s *Shared) With(f func(*decide.Interference)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/entry/model/samples.go
+++ b/entry/model/samples.go
@@ -11,55 +11,55 @@
 const (
 	// maxKinds bounds the kinds of one measurement.
 	maxKinds = 256
-	// forgetAfter is the age from which an instance's last heartbeat is not
-	// remembered; by then its agent has sent others or is gone.
-	forgetAfter = time.Hour
-	forgetEvery = time.Minute
+	// forgetAfter is the age at which an instance's last heartbeat is deleted;
+	// by then its agent has sent newer ones or no longer exists.
+	forgetAfter    = time.Hour
+	forgetInterval = time.Minute
 )
 
-// Counters of what was learnt from heartbeats.
+// Counters count what was learnt from heartbeats.
 type Counters struct {
-	// Taken and Dropped count measurements, RegimeChanges how often a service
-	// was opened up again (see decide.InterferenceCounters).
+	// Taken and Dropped count measurements, RegimeChanges the changes of regime
+	// that were detected (see decide.InterferenceCounters).
 	Taken, Dropped, RegimeChanges uint64
 }
 
-// Counters returns what was taken and dropped so far.
+// Counters returns the counters so far.
 func (s *Shared) Counters() Counters {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	c := s.m.Counters()
-	return Counters{Taken: c.Samples, Dropped: c.Dropped + s.refused, RegimeChanges: c.RegimeChanges}
+	return Counters{Taken: c.Samples, Dropped: c.Dropped + s.rejected, RegimeChanges: c.RegimeChanges}
 }
 
-// Hello learns from the measurements of a heartbeat that came at time now.
+// Hello learns from the measurements of a heartbeat that arrived at time now.
 //
 // Failure guarded against: a heartbeat is delivered twice, is overtaken by a
 // later one, or comes from an agent process that was replaced or counts wrong;
-// calls and tasks would be placed by what never was. It shows as the dropped
-// count that grows. The guard holds because only a heartbeat newer than every
-// one before of its instance is used, and of it only measurements of services
-// that it says it has, each once and with sane values.
+// calls and tasks would be placed by false measurements. It shows as an
+// increasing count of dropped measurements. Only a heartbeat newer than all
+// earlier ones of its instance is used, and only its measurements of services
+// that it lists, each once and with plausible values.
 func (s *Shared) Hello(now time.Duration, r *wire.HelloRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(now)
+	s.forgetReports(now)
 	if s.reports.Accept(now, now, &r.Load) != decide.ReportAccepted {
-		s.refused += uint64(len(r.Samples))
+		s.rejected += uint64(len(r.Samples))
 		return
 	}
 	for i := range r.Samples {
-		if one := &r.Samples[i]; !offers(&r.Load, one.Service) || measuredBefore(r.Samples[:i], one.Service) || !sound(one) {
-			s.refused++
+		if sample := &r.Samples[i]; !offers(&r.Load, sample.Service) || measuredBefore(r.Samples[:i], sample.Service) || !valid(sample) {
+			s.rejected++
 			continue
 		}
 		s.m.Observe(sampleOf(&r.Samples[i]))
 	}
 }
 
-func (s *Shared) forget(now time.Duration) {
-	if now-s.forgot >= forgetEvery {
-		s.forgot = now
+func (s *Shared) forgetReports(now time.Duration) {
+	if now-s.lastForget >= forgetInterval {
+		s.lastForget = now
 		s.reports.ForgetBefore(now - forgetAfter)
 	}
 }
@@ -82,14 +82,14 @@
 	return false
 }
 
-// sound reports whether a sample names each of not too many kinds once; the
+// valid reports whether a sample has at most maxKinds kinds, each once; the
 // learner checks the values.
-func sound(one *wire.Sample) bool {
-	if len(one.Together) > maxKinds {
+func valid(sample *wire.Sample) bool {
+	if len(sample.Together) > maxKinds {
 		return false
 	}
-	seen := make(map[structs.Kind]bool, len(one.Together))
-	for _, t := range one.Together {
+	seen := make(map[structs.Kind]bool, len(sample.Together))
+	for _, t := range sample.Together {
 		if seen[t.Kind] {
 			return false
 		}
@@ -98,12 +98,12 @@
 	return true
 }
 
-func sampleOf(one *wire.Sample) decide.Sample {
+func sampleOf(sample *wire.Sample) decide.Sample {
 	out := decide.Sample{
-		Service: one.Service, Band: decide.LoadBand(one.Band), ServiceTime: one.ServiceTime, Calls: one.Calls,
-		Together: make([]decide.Together, 0, len(one.Together)),
+		Service: sample.Service, Band: decide.LoadBand(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls,
+		Together: make([]decide.Together, 0, len(sample.Together)),
 	}
-	for _, t := range one.Together {
+	for _, t := range sample.Together {
 		out.Together = append(out.Together, decide.Together{Kind: t.Kind, Count: t.Count})
 	}
 	return out
--- a/entry/model/samples_test.go
+++ b/entry/model/samples_test.go
@@ -9,7 +9,8 @@
 	"persimmonrock.example/wire"
 )
 
-// heartbeat is one of instance i1, with one slow measurement of service s.
+// heartbeat returns a heartbeat of instance i1 with one slow measurement of
+// service s.
 func heartbeat(n structs.Incarnation, sequence uint64) wire.HelloRequest {
 	total := structs.Resources{Slots: 8}
 	return wire.HelloRequest{
@@ -24,32 +25,32 @@
 	}
 }
 
-// An operator sees tasks kept off instances for harm that was never measured.
-// A heartbeat is delivered twice or out of order, a paused agent wakes after
-// it was replaced, or an agent counts wrong. Each such measurement is counted
-// and moves no prediction.
-func TestMeasurementsThatMoveNoDecision(t *testing.T) {
+// A heartbeat is delivered twice or out of order, a paused agent resumes after
+// it was replaced, or an agent counts wrong. Each such measurement must be
+// counted and change no prediction; otherwise tasks are kept off instances for
+// interference that was never measured.
+func TestBadMeasurementsChangeNoPrediction(t *testing.T) {
 	alter := func(f func(*wire.HelloRequest)) wire.HelloRequest {
 		r := heartbeat(4, 11)
 		f(&r)
 		return r
 	}
-	one := func(f func(*wire.Sample)) wire.HelloRequest {
+	alterSample := func(f func(*wire.Sample)) wire.HelloRequest {
 		return alter(func(r *wire.HelloRequest) { f(&r.Samples[0]) })
 	}
 	for name, r := range map[string]wire.HelloRequest{
 		"twice":             heartbeat(4, 10),
 		"overtaken":         heartbeat(4, 9),
-		"dead process":      heartbeat(3, 99),
-		"absurd load":       alter(func(r *wire.HelloRequest) { r.Load.Free.Slots = 9 }),
+		"replaced process":  heartbeat(3, 99),
+		"free above total":  alter(func(r *wire.HelloRequest) { r.Load.Free.Slots = 9 }),
 		"no instance":       alter(func(r *wire.HelloRequest) { r.Load.Instance = "" }),
-		"unknown service":   one(func(s *wire.Sample) { s.Service = "other" }),
-		"negative time":     one(func(s *wire.Sample) { s.ServiceTime = -1 }),
-		"time of hours":     one(func(s *wire.Sample) { s.ServiceTime = 5 * time.Hour }),
-		"no calls":          one(func(s *wire.Sample) { s.Calls = 0 }),
-		"no such load band": one(func(s *wire.Sample) { s.Band = 77 }),
-		"negative count":    one(func(s *wire.Sample) { s.Together[0].Count = -1 }),
-		"kind named twice":  one(func(s *wire.Sample) { s.Together[1].Kind = "noisy" }),
+		"unknown service":   alterSample(func(s *wire.Sample) { s.Service = "other" }),
+		"negative time":     alterSample(func(s *wire.Sample) { s.ServiceTime = -1 }),
+		"time of hours":     alterSample(func(s *wire.Sample) { s.ServiceTime = 5 * time.Hour }),
+		"no calls":          alterSample(func(s *wire.Sample) { s.Calls = 0 }),
+		"no such load band": alterSample(func(s *wire.Sample) { s.Band = 77 }),
+		"negative count":    alterSample(func(s *wire.Sample) { s.Together[0].Count = -1 }),
+		"kind named twice":  alterSample(func(s *wire.Sample) { s.Together[1].Kind = "noisy" }),
 	} {
 		shared := New()
 		first := heartbeat(4, 10)
