--- a/entry/admin.go
+++ b/entry/admin.go
@@ -51,7 +51,7 @@
 
 func etag(r structs.Revision) string { return fmt.Sprintf("%q", strconv.FormatUint(uint64(r), 10)) }
 
-// ifMatch reads If-Match and If-None-Match: * of a change.
+// ifMatch reads the headers If-Match and If-None-Match: * of a change.
 func ifMatch(r *http.Request) (structs.Revision, *structs.Refusal) {
 	given := r.Header.Get("If-Match")
 	switch absent := r.Header.Get("If-None-Match"); {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// adminConfig says which revision is in force where.
+// adminConfig lists the revision in force in each process.
 func (e *Entry) adminConfig(w http.ResponseWriter, r *http.Request) *structs.Refusal {
 	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
@@ -185,7 +185,8 @@
 	return e.drainInstance(w, r, wire.DrainRequest{Service: structs.Service(r.PathValue("service"))})
 }
 
-// drainInstance passes an operator's word to the agent and returns its state.
+// drainInstance sends an operator's request to the agent and returns the
+// agent's state.
 func (e *Entry) drainInstance(w http.ResponseWriter, r *http.Request, q wire.DrainRequest) *structs.Refusal {
 	id := structs.InstanceID(r.PathValue("instance"))
 	agent, ok := e.directory.Agent(id)
@@ -206,7 +207,7 @@
 	return nil
 }
 
-// adminEvents merges the time lines of all processes that can be reached.
+// adminEvents merges the time lines of all reachable processes.
 func (e *Entry) adminEvents(w http.ResponseWriter, r *http.Request) *structs.Refusal {
 	q := wire.EventsRequest{Request: structs.RequestID(r.URL.Query().Get("request")), Job: structs.JobID(r.URL.Query().Get("job"))}
 	if after := r.URL.Query().Get("after"); after != "" {
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/wire"
 )
 
-// callerHeaders are the request headers that reach the backend server.
+// callerHeaders are the request headers that are passed to the backend server.
 var callerHeaders = []string{"Accept", "Accept-Language", "Content-Encoding", "Content-Type", "Traceparent"}
 
 // serveCall serves one urgent call.
@@ -28,7 +28,7 @@
 	}
 	request := urgent.Request{
 		ID: structs.RequestID(newID()), Contract: c, Service: structs.Service(r.PathValue("service")),
-		Headers: pick(r.Header, callerHeaders), Body: body, Key: key, Revision: e.contracts.Config().Revision,
+		Headers: selectHeaders(r.Header, callerHeaders), Body: body, Key: key, Revision: e.contracts.Config().Revision,
 	}
 	w.Header().Set(headerRequest, string(request.ID))
 	answer, refused := e.urgent.Call(ctx, request)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func pick(h http.Header, names []string) []wire.Header {
+func selectHeaders(h http.Header, names []string) []wire.Header {
 	var out []wire.Header
 	for _, name := range names {
 		for _, value := range h.Values(name) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry assembles one entry process: callers' and operators' HTTP
-// interface, the urgent path, the queue shards it owns, and what it serves to
-// agents and other entries.
+// Package entry assembles one entry process: the HTTP interface of callers and
+// operators, the urgent path, the queue shards that the entry owns, and the RPC
+// service for agents and other entries.
 package entry
 
 import (
@@ -26,18 +26,18 @@
 	"persimmonrock.example/wire"
 )
 
-// Config is what one entry is told by its settings.
+// Config holds the settings of one entry.
 type Config struct {
 	ID   structs.EntryID
 	Zone structs.DataCentre
 	// Address is the advertised RPC address.
 	Address string
-	// Seeds are RPC addresses of other entries, for the time before the table
-	// service has been read.
+	// Seeds are RPC addresses of other entries, used until the table service
+	// has been read.
 	Seeds []string
 	// OperatorKeyHashes are the hex SHA-256 hashes of the operators' keys.
 	OperatorKeyHashes []string
-	// MaxBody is the greatest request body in bytes.
+	// MaxBody is the largest request body in bytes.
 	MaxBody int64
 	// ConfigPoll is the pause between two reads of the revision.
 	ConfigPoll time.Duration
@@ -46,26 +46,25 @@
 	// Heartbeat is the shortest time between two reports of one agent; 0 means
 	// directory.MinHeartbeat.
 	Heartbeat time.Duration
-	// AgentScan is the time between two looks at the agents' lease rows.
+	// AgentScan is the time between two scans of the agents' lease rows.
 	AgentScan time.Duration
-	// CallRetention is how long the record of a keyed call is kept at least; 0
-	// means DefaultCallRetention.
+	// CallRetention is the least time for which the record of a keyed call is
+	// kept; 0 means DefaultCallRetention.
 	CallRetention time.Duration
-	// JobRetention is how long final jobs are kept at least.
+	// JobRetention is the least time for which final jobs are kept.
 	JobRetention time.Duration
 }
 
-// Steps of the time line.
+// Steps recorded in the time line.
 const (
 	StepDraining structs.Step = "entry-draining"
 	StepDrained  structs.Step = "entry-drained"
 )
 
-// DefaultMaxBody is the limit of request bodies where none is set.
+// DefaultMaxBody is the default of Config.MaxBody.
 const DefaultMaxBody = 1 << 20
 
-// DefaultCallRetention is how long records of keyed calls are kept where it
-// isn't set.
+// DefaultCallRetention is the default of Config.CallRetention.
 const DefaultCallRetention = 24 * time.Hour
 
 // Timeline is the part of a process's event ring that an entry needs.
@@ -74,7 +73,7 @@
 	Select(request structs.RequestID, job structs.JobID, after uint64) []structs.Event
 }
 
-// Deps are what an entry works with.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Table   infra.Table
 	Objects infra.Objects
@@ -121,7 +120,7 @@
 		Model: e.learnt, Events: d.Events, Log: d.Log, Random: random,
 	})
 	e.batch = batch.New(batch.Config{Entry: c.ID, Address: c.Address, ShardLease: c.ShardLease, AgentScanEvery: c.AgentScan, JobRetention: c.JobRetention}, batch.Deps{
-		Table: d.Table, Objects: d.Objects, Directory: agentsOf{e.directory, e.members}, Contracts: e.contracts,
+		Table: d.Table, Objects: d.Objects, Directory: agentDirectory{e.directory, e.members}, Contracts: e.contracts,
 		Peers: d.Peers, Placer: newPlacer(e.learnt, e.contracts), Events: d.Events, Log: d.Log,
 	})
 	return e
@@ -133,8 +132,8 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// sweepEvery is how often silent agents are looked for.
-const sweepEvery = time.Second
+// sweepInterval is the time between two searches for unresponsive agents.
+const sweepInterval = time.Second
 
 // Run does the entry's background work until ctx ends.
 func (e *Entry) Run(ctx context.Context) error {
@@ -154,7 +153,7 @@
 }
 
 func (e *Entry) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -166,14 +165,14 @@
 	}
 }
 
-// ownsCustomer reports whether this entry owns the customer's queue shard, and
-// so looks after its records.
+// ownsCustomer reports whether this entry owns the customer's queue shard and
+// is therefore responsible for the customer's records.
 func (e *Entry) ownsCustomer(c structs.Customer) bool {
 	return e.batch.Owner(structs.ShardOf(c)) == e.config.Address
 }
 
-// Ready returns nil once the entry may be given requests: it has a
-// configuration and no planned stop has begun.
+// Ready returns nil if the entry may receive requests: it has a configuration
+// and no planned stop has begun.
 func (e *Entry) Ready() error {
 	switch {
 	case e.requests.closing():
@@ -184,51 +183,51 @@
 	return nil
 }
 
-// lastCalls is how long a planned stop goes on answering before its sockets
-// may be closed.
+// refusalPeriod is the time for which a planned stop continues to answer before
+// its sockets may be closed.
 //
-// Failure guarded against: a caller sends its next request on a connection
-// that was kept open, just as the server closes it; the caller sees a reset.
-// During lastCalls each such request gets a refusal that closes the connection
-// in order, and the balancer sees that the entry is not ready.
-const lastCalls = time.Second
+// Failure guarded against: a caller sends its next request on a connection that
+// was kept open, just as the server closes it; the caller sees a reset. During
+// refusalPeriod each such request gets a refusal that closes the connection in
+// order, and the balancer sees that the entry is not ready.
+const refusalPeriod = time.Second
 
 // Drain carries out a planned stop: it refuses new requests with proof that
-// they did not run, lets those in progress finish, writes what is pending and
+// they did not run, waits for those in progress, writes pending records and
 // hands its queue shards over. Run must still be running.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.requests.close()
-	last := time.After(lastCalls)
+	refusalsEnd := time.After(refusalPeriod)
 	e.deps.Events.Record(structs.Event{Step: StepDraining})
 	e.deps.Log.Info().Msg("planned stop: no new requests")
 	err := e.handOver(ctx)
 	select {
-	case <-last:
+	case <-refusalsEnd:
 	case <-ctx.Done():
 	}
 	e.deps.Events.Record(structs.Event{Step: StepDrained})
 	return err
 }
 
-// handOver waits for what is in progress and gives up what this entry owns.
-// An error of one part does not keep the others from being handed over.
+// handOver waits for requests in progress and hands over what this entry owns.
+// An error of one part does not prevent the others.
 func (e *Entry) handOver(ctx context.Context) error {
 	return errors.Join(
 		eris.Wrap(e.requests.wait(ctx), "wait for requests in progress"),
-		eris.Wrap(e.urgent.Records().Wait(ctx), "write the ends of keyed calls"),
+		eris.Wrap(e.urgent.Records().Wait(ctx), "write the final records of keyed calls"),
 		eris.Wrap(e.batch.Drain(ctx), "hand over the queue shards"),
-		eris.Wrap(e.members.Leave(ctx), "delete the own row"),
+		eris.Wrap(e.members.Leave(ctx), "delete this entry's membership row"),
 	)
 }
 
-// agentsOf shows the directory to package batch in its own terms.
-type agentsOf struct {
+// agentDirectory adapts the directory to batch.Directory.
+type agentDirectory struct {
 	*directory.Directory
 	members *directory.Members
 }
 
 // Agents implements batch.Directory.
-func (a agentsOf) Agents() []batch.AgentView {
+func (a agentDirectory) Agents() []batch.AgentView {
 	known := a.Directory.Agents()
 	out := make([]batch.AgentView, 0, len(known))
 	for _, k := range known {
@@ -238,7 +237,7 @@
 }
 
 // Entries implements batch.Directory.
-func (a agentsOf) Entries() []structs.EntryID { return a.members.Alive() }
+func (a agentDirectory) Entries() []structs.EntryID { return a.members.Alive() }
 
 // Observe implements batch.Directory.
-func (a agentsOf) Observe(l wire.Load) { a.Update(l) }
+func (a agentDirectory) Observe(l wire.Load) { a.Update(l) }
--- a/entry/http.go
+++ b/entry/http.go
@@ -28,7 +28,7 @@
 	headerOperation = "Operation-Id"
 )
 
-// Limits of what a caller may ask.
+// Limits of a caller's request.
 const (
 	maxTimeout  = time.Hour
 	maxKey      = 200
@@ -77,7 +77,8 @@
 
 type operatorHandler func(w http.ResponseWriter, r *http.Request) *structs.Refusal
 
-// asCustomer checks the state of the entry and the caller's key before h.
+// asCustomer checks the state of the entry and the caller's key before it calls
+// h.
 func (e *Entry) asCustomer(h customerHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		end, refused := e.begin()
@@ -105,8 +106,8 @@
 	})
 }
 
-// asOperator checks the operator's key before h. Operators are served during
-// a planned stop too, so that they can see it.
+// asOperator checks the operator's key before it calls h. Operators are also
+// served during a planned stop, so that they can follow it.
 func (e *Entry) asOperator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := keys.Bearer(r)
@@ -129,7 +130,7 @@
 	})
 }
 
-// checkPath refuses names in the path that could never be keys of a row.
+// checkPath refuses paths with names that can't be part of a row's key.
 func checkPath(r *http.Request) *structs.Refusal {
 	if !isText(r.URL.Path) {
 		return badRequest("http.path", "the path is not UTF-8 text")
@@ -139,14 +140,14 @@
 
 // isText reports whether s may be part of a row's key or operation ID.
 //
-// Failure guarded against: the table service refuses a key that is not UTF-8,
-// each time, and a caller who is told that the service doesn't answer would
-// come back forever. It is told here that the request is at fault.
+// Failure guarded against: the table service always refuses a key that is not
+// UTF-8, and a caller who gets the answer that the service does not respond
+// would retry forever. The answer must state that the request is invalid.
 func isText(s string) bool {
 	return utf8.ValidString(s) && !strings.Contains(s, "\x00")
 }
 
-// begin counts a request in progress, unless a planned stop has begun.
+// begin counts a request in progress unless a planned stop has begun.
 func (e *Entry) begin() (end func(), refused *structs.Refusal) {
 	if e.requests.begin() {
 		return e.requests.end, nil
@@ -178,7 +179,7 @@
 		Detail: fmt.Sprintf(format, args...), Step: step}
 }
 
-// readBody reads the whole body, bounded.
+// readBody reads the whole body, up to MaxBody.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *structs.Refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.config.MaxBody))
 	var large *http.MaxBytesError
@@ -192,7 +193,7 @@
 	return body, nil
 }
 
-// decode reads a JSON body strictly into v.
+// decode decodes a JSON body into v and refuses unknown fields.
 func (e *Entry) decode(w http.ResponseWriter, r *http.Request, v any) *structs.Refusal {
 	body, refused := e.readBody(w, r)
 	if refused != nil {
@@ -203,15 +204,15 @@
 	if err := decoder.Decode(v); err != nil {
 		return badRequest("http.decode", "the body is not the JSON that is wanted here: %v", err)
 	}
-	// More would overlook a closing bracket that is too many.
+	// More would overlook a surplus closing bracket.
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return badRequest("http.decode", "the body holds more than one JSON value")
 	}
 	return nil
 }
 
-// withDeadline gives the request its deadline: Request-Timeout, or the
-// contract's latency target.
+// withDeadline sets the request's deadline: Request-Timeout, or the contract's
+// latency target.
 func withDeadline(r *http.Request, c structs.Contract) (context.Context, context.CancelFunc, *structs.Refusal) {
 	timeout := c.LatencyTarget.Std()
 	if given := r.Header.Get(headerTimeout); given != "" {
@@ -233,7 +234,7 @@
 	return key, nil
 }
 
-// operationID reads the operator's name for a change, or makes one.
+// operationID returns the operator's identifier of a change, or a new one.
 func operationID(r *http.Request) (string, *structs.Refusal) {
 	id := r.Header.Get(headerOperation)
 	if len(id) > maxKey || !isText(id) {
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -32,17 +32,17 @@
 	testMaxBody = 2000
 )
 
-// site is one entry on a table in memory, with two customers, a job of each
-// and one service that is not idempotent.
-type site struct {
+// testEntry is one entry on a table in memory, with two customers and one
+// service that is not idempotent.
+type testEntry struct {
 	t     *testing.T
 	entry *Entry
 	table *memory.Table
 	mux   http.Handler
 }
 
-func newSite(t *testing.T, ctx context.Context) *site {
-	s := &site{t: t, table: memory.NewTable()}
+func newTestEntry(t *testing.T, ctx context.Context) *testEntry {
+	s := &testEntry{t: t, table: memory.NewTable()}
 	s.entry = New(Config{ID: "e1", Address: "e1", OperatorKeyHashes: []string{keys.Hash(operatorKey)}, MaxBody: testMaxBody}, Deps{
 		Table: s.table, Objects: memory.NewObjects(), Peers: wire.NewClient([]byte("secret"), nil, nil),
 		Events: events.New("e1", 100), Log: zerolog.Nop(),
@@ -64,7 +64,7 @@
 	return fmt.Sprintf(`{"latency_target": "1s", "batch_queue": 9, "share": %g, "key_hashes": [%q]}`, share, keys.Hash(key))
 }
 
-func (s *site) do(method, path, key, body string, headers ...string) *httptest.ResponseRecorder {
+func (s *testEntry) do(method, path, key, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
@@ -78,7 +78,7 @@
 	return w
 }
 
-func (s *site) must(method, path, key, body string, status int) []byte {
+func (s *testEntry) must(method, path, key, body string, status int) []byte {
 	s.t.Helper()
 	w := s.do(method, path, key, body)
 	if w.Code != status {
@@ -88,7 +88,7 @@
 }
 
 // submit returns the path of a new job.
-func (s *site) submit(key string) string {
+func (s *testEntry) submit(key string) string {
 	var job api.Job
 	if err := json.Unmarshal(s.must(http.MethodPost, "/v1/jobs", key, `{"kind": "assay", "declared": {"slots": 1}}`, http.StatusAccepted), &job); err != nil {
 		s.t.Fatal(err)
@@ -96,9 +96,9 @@
 	return "/v1/jobs/" + string(job.ID)
 }
 
-// rows returns the whole table. Leases are renewed all the time, so only their
-// keys are compared.
-func (s *site) rows() map[string]infra.Row {
+// rows returns the whole table. Of rows that are renewed all the time it
+// returns only the keys.
+func (s *testEntry) rows() map[string]infra.Row {
 	all := make(map[string]infra.Row)
 	list, err := s.table.Scan(s.t.Context(), "", "", 10_000)
 	if err != nil {
@@ -247,19 +247,19 @@
 	return list
 }
 
-// A caller or an operator sends what is wrong in one way. The answer is a
-// problem document that names the cause and proves that nothing ran, and no
-// row has changed by it, at once or in the seconds after.
-func TestBadInputIsRefusedAndLeavesNothing(t *testing.T) {
+// Each request is wrong in one way. The answer must be a problem document that
+// names the cause and proves that nothing ran, and no row may change by the
+// request, at once or in the seconds after it.
+func TestBadInputIsRefusedAndChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		s := newSite(t, ctx)
+		s := newTestEntry(t, ctx)
 		own, foreign := s.submit(kowhaiKey), s.submit(graniteKey)
 		time.Sleep(5 * time.Second)
 		var all []badCase
-		for _, some := range [][]badCase{accessCases(), lookupCases(foreign), bodyCases(), headerCases(own)} {
-			all = append(all, some...)
+		for _, group := range [][]badCase{accessCases(), lookupCases(foreign), bodyCases(), headerCases(own)} {
+			all = append(all, group...)
 		}
 		first := s.rows()
 		for _, c := range all {
@@ -273,7 +273,7 @@
 		}
 		time.Sleep(time.Minute)
 		if diff := cmp.Diff(first, s.rows()); diff != "" {
-			t.Errorf("rows changed in the end:\n%s", diff)
+			t.Errorf("rows changed by the end:\n%s", diff)
 		}
 		if n := s.entry.urgent.Records().Pending.Load(); n != 0 {
 			t.Errorf("%d records are still being written", n)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -5,12 +5,11 @@
 	"sync"
 )
 
-// inflight counts requests in progress and closes to new ones.
+// inflight counts requests in progress and can be closed to new ones.
 //
-// Failure guarded against: a request that slips in between the decision to
-// stop and the wait for those in progress would be cut off. Counting and
-// closing are steps under one lock, so a request is either waited for or
-// refused.
+// Failure guarded against: a request that arrives between the decision to stop
+// and the wait for those in progress would be cut off. Counting and closing are
+// steps under one lock, so a request is either waited for or refused.
 type inflight struct {
 	mu     sync.Mutex
 	n      int
@@ -18,7 +17,7 @@
 	idle   chan struct{}
 }
 
-// begin counts a request in, or reports false once closed.
+// begin counts a new request, or returns false once closed.
 func (f *inflight) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +28,7 @@
 	return true
 }
 
-// end counts a request out.
+// end counts the end of a request.
 func (f *inflight) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,8 +38,8 @@
 	}
 }
 
-// close refuses new requests; wait may be called afterwards. It may be called
-// once.
+// close refuses new requests; wait may be called afterwards. close may be
+// called only once.
 func (f *inflight) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +57,7 @@
 	return f.closed
 }
 
-// wait returns when no request is in progress any more, or with ctx's error.
+// wait returns nil once no request is in progress, or ctx's error.
 func (f *inflight) wait(ctx context.Context) error {
 	select {
 	case <-f.idle:
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -11,8 +11,8 @@
 	"persimmonrock.example/wire"
 )
 
-// placer joins the pure decisions to the queue shards. One lock serves all
-// shards of this entry, since they place on the same instances.
+// placer connects the decisions of package decide to the queue shards. One lock
+// serves all shards of this entry, since they place on the same instances.
 type placer struct {
 	model     *model.Shared
 	contracts batch.Contracts
@@ -48,16 +48,17 @@
 		need, _ := p.sizes.Estimate(j.Customer, j.Spec.Kind, j.Spec.Declared, j.Spec.Runtime.Std())
 		w := decide.Waiting{Job: j.ID, Customer: j.Customer, Kind: j.Spec.Kind, Need: need, Order: j.Submitted}
 		if j.Failures > 0 {
-			// The last run failed there; elsewhere tells worker from job.
+			// The last run failed on that instance; a run on another one shows
+			// whether the worker or the job is at fault.
 			w.Avoid = j.Instance
 		}
 		view.Queue = append(view.Queue, w)
 	}
 	p.model.With(func(m *decide.Interference) {
 		placed, holds := p.planner.PlaceBatch(&view, m, s.Max)
-		for _, one := range placed {
-			out = append(out, batch.Placement{Job: one.Job, Instance: one.Instance, Borrowed: true})
-			p.placed(now, one)
+		for _, placement := range placed {
+			out = append(out, batch.Placement{Job: placement.Job, Instance: placement.Instance, Borrowed: true})
+			p.recordProbe(now, placement)
 		}
 		for id, hold := range holds {
 			out = append(out, batch.Placement{Job: id, Reason: hold.Reason})
@@ -66,11 +67,11 @@
 	return out
 }
 
-// placed notes a placement on an instance in quarantine as its probe.
-func (p *placer) placed(now time.Duration, one decide.Placement) {
-	if quarantined, _, _ := p.health.Worker(now, one.Instance); quarantined {
-		p.health.Probing(now, one.Instance)
-		p.probes[one.Instance] = one.Job
+// recordProbe records a placement on an instance in quarantine as its probe.
+func (p *placer) recordProbe(now time.Duration, placement decide.Placement) {
+	if quarantined, _, _ := p.health.Worker(now, placement.Instance); quarantined {
+		p.health.Probing(now, placement.Instance)
+		p.probes[placement.Instance] = placement.Job
 	}
 }
 
@@ -89,15 +90,15 @@
 // probe reports whether the instance is in quarantine and may be sent a probe.
 //
 // Failure guarded against: a probe runs for longer than the pause between
-// probes, and a worker that fails what it starts is given a second job, and a
-// third, each of which loses a run. The guard holds because the last probe's
-// end has to be heard first. An end that is never heard, because the claim
-// failed or another entry recorded it, counts as heard once the pause is over
-// and the agent runs no batch task.
+// probes, and a worker that fails all tasks is sent a second job and a third,
+// each of which loses a run. Therefore the end of the last probe must be
+// reported first. An end that is never reported, because the claim failed or
+// another entry recorded it, counts as reported once the pause has passed and
+// the agent runs no batch task.
 func (p *placer) probe(now time.Duration, a batch.AgentView) (quarantined, probe bool) {
 	quarantined, due, _ := p.health.Worker(now, a.Instance)
-	out := p.probes[a.Instance] != ""
-	return quarantined, due && (!out || len(a.Load.Batch) == 0)
+	pending := p.probes[a.Instance] != ""
+	return quarantined, due && (!pending || len(a.Load.Batch) == 0)
 }
 
 func heldSlots(held map[structs.Customer]int) map[structs.Customer]structs.Resources {
@@ -120,16 +121,16 @@
 	case wire.EndDone:
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, true)
 	case wire.EndFailed, wire.EndLost:
-		// A kind that crashes its workers never ends failed.
+		// A kind that crashes its workers never ends with EndFailed.
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, false)
 	}
 	p.learnSize(e)
 }
 
-// learnSize learns from a run to its end. A run that was stopped before shows
-// only what it used until then: that counts where it is above what is expected
-// already. A run that resumed from a checkpoint did a part of the job, so its
-// run time says nothing of the whole.
+// learnSize learns from the end of a run. A run that was stopped early shows
+// only its use until then, which counts only if it is above the expected use. A
+// run that resumed from a checkpoint did a part of the job, so its run time is
+// not that of the whole job.
 func (p *placer) learnSize(e batch.End) {
 	customer, spec := e.Job.Customer, e.Job.Spec
 	if e.End == wire.EndDone {
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -12,7 +12,7 @@
 	"persimmonrock.example/wire"
 )
 
-// oneContract gives kowhai everything.
+// oneContract gives the whole share to kowhai.
 type oneContract struct{}
 
 func (oneContract) Contract(structs.Customer) (structs.Contract, bool) {
@@ -24,7 +24,7 @@
 	return structs.Config{Revision: 1, Contracts: map[structs.Customer]structs.Contract{"kowhai": one}}
 }
 
-// fleet is the view of instances i0 to i3 and a queue of n jobs.
+// fleet returns a snapshot of instances i0 to i3 and a queue of n jobs.
 func fleet(n int) batch.Snapshot {
 	s := batch.Snapshot{Max: 64}
 	total := structs.Resources{Slots: 64, MilliCores: 64000, MemoryBytes: 1 << 36}
@@ -46,8 +46,8 @@
 	}}
 }
 
-// broken returns a placer that has put i0 in quarantine.
-func broken(t *testing.T) *placer {
+// quarantinedPlacer returns a placer with i0 in quarantine.
+func quarantinedPlacer(t *testing.T) *placer {
 	p := newPlacer(model.New(), oneContract{})
 	for i := range 20 {
 		for k, id := range []structs.InstanceID{"i0", "i1", "i2", "i3"} {
@@ -59,76 +59,75 @@
 		}
 	}
 	if sent := probesOf(p, fleet(200)); len(sent) != 0 {
-		t.Fatalf("jobs %v go to a worker in quarantine", sent)
+		t.Fatalf("jobs %v sent to a worker in quarantine", sent)
 	}
 	return p
 }
 
-// probesOf places the snapshot and returns the jobs that go to i0.
+// probesOf places the snapshot and returns the jobs that are sent to i0.
 func probesOf(p *placer, s batch.Snapshot) (sent []structs.JobID) {
-	for _, one := range p.Place(s) {
-		if one.Instance == "i0" {
-			sent = append(sent, one.Job)
+	for _, placement := range p.Place(s) {
+		if placement.Instance == "i0" {
+			sent = append(sent, placement.Job)
 		}
 	}
 	return sent
 }
 
-// A customer's wave of jobs fails on a worker with a full disk, again and
-// again. The worker is in quarantine; when its probe is due it is given as many
-// jobs as it has slots, or a second one while a long probe still runs. Each
-// costs the customer a run.
+// Jobs fail on a worker with a full disk, which is in quarantine. When its
+// probe is due, the worker must get one job, not as many as it has slots, and
+// no second job while a long probe still runs: each would cost the customer a
+// run.
 func TestWorkerInQuarantineGetsOneTaskAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := broken(t)
+		p := quarantinedPlacer(t)
 		time.Sleep(time.Minute)
 		sent := probesOf(p, fleet(200))
 		if len(sent) != 1 {
-			t.Fatalf("%d jobs go to a worker in quarantine at once, want 1", len(sent))
+			t.Fatalf("%d jobs sent to a worker in quarantine at once, want 1", len(sent))
 		}
 		running := fleet(200)
 		running.Agents[0].Load.Batch = []wire.BatchLoad{{Customer: "kowhai", Kind: "claims", Running: 1}}
 		for range 24 {
 			time.Sleep(5 * time.Minute)
 			if more := probesOf(p, running); len(more) != 0 {
-				t.Fatalf("jobs %v follow while the probe %v runs", more, sent)
+				t.Fatalf("jobs %v sent while the probe %v runs", more, sent)
 			}
 		}
 		p.Ended(batch.End{Job: structs.Job{ID: "other", Customer: "kowhai"}, Instance: "i0", End: wire.EndCancelled})
 		if more := probesOf(p, running); len(more) != 0 {
-			t.Fatalf("jobs %v follow at the end of another job", more)
+			t.Fatalf("jobs %v sent after the end of another job", more)
 		}
 		done := waitingJob(0)
 		done.ID = sent[0]
 		p.Ended(batch.End{Job: done, Instance: "i0", End: wire.EndDone})
 		if next := probesOf(p, running); len(next) != 1 {
-			t.Errorf("%d jobs follow the probe that succeeded, want 1", len(next))
+			t.Errorf("%d jobs sent after the probe succeeded, want 1", len(next))
 		}
 	})
 }
 
-// A repaired worker stays idle for ever: the claim of its probe failed, so that
-// no end is ever reported.
-func TestProbeWhoseEndIsNeverHeardIsRepeated(t *testing.T) {
+// If the claim of a probe failed, its end is never reported. The probe must
+// then be repeated; otherwise a repaired worker stays idle for ever.
+func TestProbeWithoutReportedEndIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := broken(t)
+		p := quarantinedPlacer(t)
 		time.Sleep(time.Minute)
 		for range 3 {
 			if sent := probesOf(p, fleet(200)); len(sent) != 1 {
 				t.Fatalf("%d probes, want 1", len(sent))
 			}
 			if sent := probesOf(p, fleet(200)); len(sent) != 0 {
-				t.Fatalf("%v follow at once", sent)
+				t.Fatalf("jobs %v sent directly after the probe", sent)
 			}
 			time.Sleep(time.Hour)
 		}
 	})
 }
 
-// An operator sees jobs that run for minutes reckoned with the hour that they
-// declare. Run times of whole runs are learnt; parts of runs would make them
-// too short, and so would sizes of runs that were stopped early.
-func TestSizesAreLearntFromWholeRuns(t *testing.T) {
+// Run times are learnt from complete runs and replace the declared ones.
+// Partial runs must not be counted, as they make run times and sizes too small.
+func TestSizesAreLearntFromCompleteRuns(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	end := func(e wire.TaskEnd, checkpoint string, ran time.Duration, memory int64) {
 		j := waitingJob(0)
@@ -147,31 +146,31 @@
 		end(wire.EndDone, "checkpoint", time.Second, 1<<30)
 	}
 	if memory, ran := expected(); ran != time.Hour || memory < 1<<30 {
-		t.Errorf("parts of runs: %s, %d bytes expected", ran, memory)
+		t.Errorf("after partial runs: estimate %s, %d bytes", ran, memory)
 	}
 	for range 10 {
 		end(wire.EndDone, "", 5*time.Minute, 1<<30)
 	}
 	if _, ran := expected(); ran != 5*time.Minute {
-		t.Errorf("whole runs of 5 minutes: %s expected", ran)
+		t.Errorf("after complete runs of 5 minutes: estimate %s", ran)
 	}
 	for range 40 {
 		end(wire.EndEvicted, "", time.Second, 1<<33)
 	}
 	if memory, _ := expected(); memory < 1<<33 {
-		t.Errorf("runs that were stopped at 8 GB: %d bytes expected", memory)
+		t.Errorf("after runs stopped at 8 GB: estimate %d bytes", memory)
 	}
 }
 
-// Failure guarded against: a kind of job that crashes its workers is started for ever.
-func TestKindThatCrashesItsWorkersIsParked(t *testing.T) {
+// Guards against starting a kind of job that crashes its workers for ever.
+func TestKindThatCrashesWorkersIsParked(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	for i := range 4 {
 		p.Ended(batch.End{Job: waitingJob(100 + i), Instance: structs.InstanceID(fmt.Sprint("i", i)), End: wire.EndLost})
 	}
-	for _, one := range p.Place(fleet(8)) {
-		if one.Instance != "" {
-			t.Errorf("job %s of a kind that has crashed four workers goes to %s", one.Job, one.Instance)
+	for _, placement := range p.Place(fleet(8)) {
+		if placement.Instance != "" {
+			t.Errorf("job %s of a kind that has crashed four workers is sent to %s", placement.Job, placement.Instance)
 		}
 	}
 }
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/wire"
 )
 
-// rpcServer is what the entry serves to agents and other entries.
+// rpcServer is the entry's service for agents and other entries.
 type rpcServer struct{ *Entry }
 
 // RPC returns the entry's net/rpc service.
@@ -24,13 +24,13 @@
 	reply.Next = s.directory.Hello(whole)
 	s.learnt.Hello(time.Since(s.started), &whole)
 	reply.Entries = s.directory.EntriesIfChanged(r.Entries)
-	reply.Config, reply.Change = s.newer(r.Revision, r.Want)
+	reply.Config, reply.Change = s.newerConfig(r.Revision, r.Want)
 	return nil
 }
 
-// newer returns the configuration in force, in the wanted form, if it is above
-// revision r, and takes note if r is above it.
-func (e *Entry) newer(r structs.Revision, want wire.ConfigWant) (*structs.Config, *structs.ConfigChange) {
+// newerConfig returns the configuration in force, in the requested form, if it
+// is above revision r, and records r if r is above it.
+func (e *Entry) newerConfig(r structs.Revision, want wire.ConfigWant) (*structs.Config, *structs.ConfigChange) {
 	if e.contracts.RecordRevision(r) {
 		e.contracts.ConfirmSoon()
 		return nil, nil
@@ -65,7 +65,7 @@
 
 // Config implements wire.EntryAPI.
 func (s rpcServer) Config(r wire.ConfigRequest, reply *wire.ConfigReply) error {
-	reply.Config, reply.Change = s.newer(r.Revision, r.Want)
+	reply.Config, reply.Change = s.newerConfig(r.Revision, r.Want)
 	reply.Revision = s.contracts.Config().Revision
 	return nil
 }
@@ -76,10 +76,11 @@
 	return nil
 }
 
-// announceTimeout bounds telling other entries of an accepted change.
+// announceTimeout bounds the notification of other entries of an accepted
+// change.
 const announceTimeout = time.Second
 
-// announce tells the other entries, without keeping the operator waiting.
+// announce notifies the other entries without delaying the operator's request.
 func (e *Entry) announce(r structs.Revision) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
--- a/entry/vars.go
+++ b/entry/vars.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Vars is the entry's counters for /debug/vars.
+// Vars holds the entry's counters for /debug/vars.
 type Vars struct {
 	UptimeSeconds float64 `json:"uptime_seconds"`
 	Draining      bool    `json:"draining"`
@@ -58,7 +58,7 @@
 	Batch any `json:"batch"`
 }
 
-// Vars returns the counters now. docs/OPERATIONS.md says what each means.
+// Vars returns the current counters. docs/OPERATIONS.md describes them.
 func (e *Entry) Vars() any {
 	var v Vars
 	v.UptimeSeconds = time.Since(e.started).Seconds()
