--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -28,14 +28,13 @@
 	Contract *structs.Contract
 	// IfMatch is the revision of the contract on which the change is based.
 	IfMatch structs.Revision
-	// Operation identifies the intended change; a repeat has the same
-	// identifier. It must not be empty, and two different changes must not
-	// share one.
+	// Operation identifies the intended change; a repeat has the same one. It
+	// must not be empty, and two changes must not share one.
 	Operation string
 }
 
-// errRaced reports that another change was accepted in between and that the
-// same change may be retried on the current state.
+// errRaced reports that another change came in between and that the same change
+// may be retried on the current state.
 var errRaced = errors.New("contracts: raced with another change")
 
 // Apply makes the change and returns the revision that accepted it. Of two
@@ -124,7 +123,7 @@
 // Failure guarded against: two operators assign one key to two customers
 // through two entries at once; its holder would be either customer, by chance.
 // The contracts compared are those of the revision that the change is
-// conditional on, so no other change can be accepted in between.
+// conditional on, so no other change can come in between.
 func (s *Store) checkKeys(ctx context.Context, c Change, at structs.Revision) error {
 	if c.Contract == nil || len(c.Contract.KeyHashes) == 0 {
 		return nil
@@ -154,8 +153,8 @@
 	return slices.ContainsFunc(a, func(h string) bool { return slices.Contains(b, h) })
 }
 
-// asUnavailable converts the error of a read whose outcome is unknown: a read
-// that failed has changed nothing.
+// asUnavailable converts an unknown outcome of a read: a failed read has
+// changed nothing.
 func asUnavailable(err error) error {
 	if errors.Is(err, infra.ErrUnknown) || errors.Is(err, context.DeadlineExceeded) {
 		return infra.ErrUnavailable
@@ -163,8 +162,8 @@
 	return err
 }
 
-// precondition compares revisions, which are never reused, instead of row
-// versions, which start again when a deleted contract is recreated.
+// precondition compares revisions, which never repeat, and not row versions,
+// which restart when a deleted contract is recreated.
 func precondition(c Change, current structs.Contract, version uint64) *structs.Refusal {
 	exists := version != 0
 	switch {
--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -42,9 +42,9 @@
 	return r
 }
 
-// Two operators read the same contract and each sends a change. One change must
-// be accepted, and the other refused with the contract's new revision, as both
-// are conditional on the revision that was read.
+// Two operators read the same contract and each sends a change. One must be
+// accepted, and the other refused with the contract's new revision, as both are
+// conditional on the revision that was read.
 func TestTwoOperatorsRace(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -62,7 +62,7 @@
 
 // A change is accepted, its answer is lost, and the operator repeats it through
 // another entry after a third operator's change. The repeat must return the
-// first result and change nothing, as the write took effect although its caller
+// first result and change nothing: the write took effect although its caller
 // saw a time-out.
 func TestRepeatAfterLostAnswerHasOneResult(t *testing.T) {
 	table := memory.NewTable()
@@ -86,9 +86,9 @@
 
 // A change takes effect, its answer is lost, and before the entry repeats it
 // another operator's change is accepted at another entry. The first operator
-// must get the revision of the change, not an unknown outcome, and the second
-// change must stay in force. The second change has rewritten rows of the first,
-// so a repeat of the write alone can't show its outcome.
+// must get the revision of the change, and the second change must stay in
+// force. It has rewritten rows of the first, so the write alone can't show its
+// outcome.
 func TestSupersededChangeIsDecided(t *testing.T) {
 	for name, customer := range map[string]string{"same customer": "kowhai", "another customer": "granite-notch"} {
 		t.Run(name, func(t *testing.T) {
@@ -120,8 +120,7 @@
 
 // Two operators assign one key to two customers through two entries, the second
 // of which has not received the first contract. The second must be refused with
-// nothing changed. The failure occurs if the entry compares keys with its own
-// older view.
+// nothing changed, even if its entry's own view is older.
 func TestKeyBelongsToOneCustomer(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -136,9 +135,8 @@
 	}
 }
 
-// A process is paused for a minute while three changes are accepted. The first
-// request after the pause may arrive before the next poll; it must be served
-// under the third change.
+// A process is paused while three changes are accepted. The first request after
+// the pause may come before the next poll; it must see the third change.
 func TestPausedProcessConfirmsBeforeItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
@@ -169,8 +167,8 @@
 }
 
 // An entry is started while the table service is down. It must refuse callers
-// with proof that nothing ran until another entry provides its configuration. A
-// process that is known to be behind must refuse them, too.
+// with proof that nothing ran until another entry sends its configuration, and
+// so must a process that is known to be behind.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
@@ -195,9 +193,9 @@
 }
 
 // A message with an older configuration arrives after a newer one is in force,
-// and a recreated contract is changed by an operator who read it before the
-// deletion. Neither may revert the accepted configuration. Messages overtake
-// each other, and row versions start again after a delete.
+// or a recreated contract is changed by an operator who read it before the
+// deletion. Neither may revert what was accepted. Messages overtake each other,
+// and row versions restart after a delete.
 func TestOlderConfigurationIsRefused(t *testing.T) {
 	n := newNode(memory.NewTable(), nil, 1)
 	old := mustApply(t, n, change("kowhai", 0.1, NoContract, "0"))
@@ -213,8 +211,8 @@
 }
 
 // With several entries and operators and all faults of the store at once, no
-// view's revision may decrease, every acknowledged change must be contained in
-// every view, and all views must agree within seconds of the end of the faults.
+// view's revision may decrease, every acknowledged change must be in every
+// view's history, and all views must agree within seconds once the faults end.
 func TestRandomisedChangesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) { runRandomised(t, rt) })
--- a/entry/contracts/operations.go
+++ b/entry/contracts/operations.go
@@ -26,9 +26,8 @@
 	Recent []configtable.Operation `json:"recent"`
 }
 
-// readOperations returns the accepted operations and the version of their row.
-// The result includes operations that an earlier release keeps in the revision
-// row.
+// readOperations returns the accepted operations, with those that an earlier
+// release keeps in the revision row, and the version of their row.
 func (s *Store) readOperations(ctx context.Context, revision configtable.RevisionRow) (operationsRow, uint64, error) {
 	row, err := s.table.Get(ctx, structs.OperationsKey)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -46,8 +45,7 @@
 	return value, row.Version, nil
 }
 
-// find returns the revision that accepted the operation of c, or 0 if it was
-// not accepted.
+// find returns the revision that accepted the operation of c, or 0.
 func (o operationsRow) find(c Change) structs.Revision {
 	for _, op := range o.Recent {
 		if op.ID == c.Operation && op.Customer == c.Customer {
--- a/entry/contracts/since.go
+++ b/entry/contracts/since.go
@@ -7,19 +7,17 @@
 )
 
 // maxRevisions is the number of recent revisions from which a view can compute
-// a change; a holder of any other revision gets the whole configuration.
+// a change; a holder of another one gets the whole configuration.
 const maxRevisions = 64
 
 // installedRevision is one revision that a view had in force.
 type installedRevision struct {
 	revision structs.Revision
-	// removed are the customers whose contract this view held in the preceding
-	// revision and no longer holds in this one.
+	// removed lists customers with a contract in the preceding revision only.
 	removed []structs.Customer
 }
 
-// revisions are the last revisions that a view had in force, the current one
-// last.
+// revisions are the last revisions that a view had in force, latest last.
 type revisions []installedRevision
 
 // with appends next, which replaces before.
@@ -37,13 +35,12 @@
 }
 
 // Since returns the change from revision r to the configuration in force, or
-// nil if r is in force or the change can't be computed.
+// nil if there is none or it can't be computed.
 //
 // Failure guarded against: a contract was created at r and removed again
-// between two reads of this process, so that the process never read it; a
-// change from r would not name the contract, and its holder would keep it for
-// good. Therefore only revisions that were in force here are accepted: their
-// contracts are known.
+// between two reads of this process, which never saw it; a change from r would
+// not name it, and its holder would keep it for good. So only revisions that
+// were in force here are accepted: their contracts are known.
 func (v *View) Since(r structs.Revision) *structs.ConfigChange {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/entry/contracts/store.go
+++ b/entry/contracts/store.go
@@ -36,9 +36,9 @@
 type Options struct {
 	// Poll is the pause between two reads of the revision row.
 	Poll time.Duration
-	// Stale is the time after the end of the last confirmation for which the
-	// view may still be served. It must be above Poll plus the time-out of one
-	// attempt, so that only a paused process exceeds it.
+	// Stale is how long after the end of the last confirmation the view may
+	// still be served. It is above Poll plus the time-out of one attempt, so
+	// that only a paused process exceeds it.
 	Stale time.Duration
 }
 
@@ -51,7 +51,7 @@
 	log    zerolog.Logger
 	opts   Options
 
-	// confirming holds one token, so that one confirmation runs at a time.
+	// confirming holds one token: one confirmation runs at a time.
 	confirming chan struct{}
 	wake       chan struct{}
 
@@ -166,8 +166,7 @@
 	}
 }
 
-// refresh reads the newer configuration from the table service, if any, and
-// installs it.
+// refresh installs what is newer in the table service.
 func (s *Store) refresh(ctx context.Context) error {
 	s.Reads.Add(1)
 	held := s.Config()
--- a/entry/contracts/view.go
+++ b/entry/contracts/view.go
@@ -22,11 +22,10 @@
 	mu sync.Mutex
 	// highestKnown is the highest revision known to this process.
 	highestKnown structs.Revision
-	// attempted is the time at which the last confirmation ended, with or
-	// without success.
+	// attempted is the end of the last confirmation, successful or not.
 	attempted time.Time
 	// confirmed is the time at which the table service last confirmed that
-	// current is the newest.
+	// current is newest.
 	confirmed time.Time
 	revisions revisions
 
@@ -55,9 +54,8 @@
 	return contract, ok
 }
 
-// ByKey returns the contract that the caller's key belongs to. The key is
-// hashed before any look-up, so that response times reveal nothing about the
-// key.
+// ByKey returns the contract of the caller's key. The key is hashed before any
+// look-up, so that response times reveal nothing about the key.
 func (v *View) ByKey(key string) (structs.Contract, bool) {
 	s := v.current.Load()
 	if s == nil || key == "" {
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -1,8 +1,7 @@
 // Package directory holds an entry's state of agents and other entries.
 //
 // Agents register by heartbeats; there is no list of backend servers anywhere.
-// The directory's state is only an estimate: the agent's own ledger decides,
-// and may refuse.
+// The directory is an estimate: the agent's own ledger decides, and may refuse.
 package directory
 
 import (
@@ -24,17 +23,15 @@
 	// MaxHeartbeat bounds the age of an idle agent's load.
 	MaxHeartbeat = 3 * time.Minute
 	// overdueHeartbeats is the number of missed heartbeats after which an agent
-	// is excluded as long as others are available: it may be paused, and a call
-	// to it would wait until its deadline without an answer.
+	// is excluded while others are available: it may be paused, and a call to
+	// it would wait for its deadline without an answer.
 	overdueHeartbeats = 2
-	// missedHeartbeats is the number of missed heartbeats after which an agent
-	// is removed.
+	// missedHeartbeats is the number of missed heartbeats until removal.
 	missedHeartbeats = 3
-	// suspectTime is the time for which an agent that could not be reached is
-	// excluded, unless a heartbeat or load of it arrives sooner.
+	// suspectTime is how long an agent that could not be reached is excluded,
+	// unless a message of it arrives sooner.
 	suspectTime = 2 * time.Second
-	// serviceRetention is the time for which a service stays known after the
-	// removal of its last agent.
+	// serviceRetention is how long a service stays known without agents.
 	serviceRetention = time.Hour
 )
 
@@ -58,7 +55,7 @@
 	// Outstanding counts calls of this entry that the agent has not answered.
 	Outstanding int
 	// Suspect agents could not be reached recently or are unresponsive; Overdue
-	// agents have missed heartbeats.
+	// ones have missed heartbeats.
 	Suspect, Overdue bool
 }
 
@@ -66,14 +63,14 @@
 type record struct {
 	mu    sync.Mutex
 	agent Agent
-	// lastHello is the last heartbeat, from which parts that the next heartbeat
-	// omits are restored. Answers may have brought newer loads since.
+	// lastHello is the last heartbeat, which completes the next one where that
+	// omits parts. Answers may have brought newer loads since.
 	lastHello    wire.HelloRequest
 	lastContact  time.Time
 	interval     time.Duration
 	suspectUntil time.Time
-	// unresponsive is set while the agent leaves calls unanswered and sends
-	// nothing else; any message of the agent clears it.
+	// unresponsive is set while the agent leaves calls unanswered; any message
+	// of the agent clears it.
 	unresponsive bool
 }
 
@@ -90,21 +87,20 @@
 	mu       sync.RWMutex
 	agents   map[structs.InstanceID]*record
 	services map[structs.Service][]*record
-	// withdrawn holds the time at which the last agent of a service was
-	// removed.
+	// withdrawn holds the time of the removal of a service's last agent.
 	withdrawn map[structs.Service]time.Time
 	seeds     []string
 	entries   map[string]bool
 
-	// Stale counts loads that arrived out of order and were dropped, Lost the
-	// agents removed for lack of contact, HeartbeatCount the heartbeats.
+	// Stale counts loads that were dropped as out of order, Lost the agents
+	// removed for lack of contact, HeartbeatCount the heartbeats.
 	Stale          atomic.Int64
 	Lost           atomic.Int64
 	HeartbeatCount atomic.Int64
 }
 
-// New returns an empty directory of the entry at address self; seeds are the
-// addresses of other entries from the settings.
+// New returns an empty directory of the entry at address self; seeds are other
+// entries' addresses from the settings.
 func New(self string, seeds []string, peers wire.Dialer, events structs.Recorder, log zerolog.Logger) *Directory {
 	d := &Directory{
 		minInterval: MinHeartbeat,
@@ -118,12 +114,12 @@
 	return d
 }
 
-// SetPace sets the heartbeat interval for few agents. It must be called before
-// the first heartbeat.
+// SetPace sets the heartbeat interval for few agents. It is called before the
+// first heartbeat.
 func (d *Directory) SetPace(minInterval time.Duration) { d.minInterval = minInterval }
 
 // Hello records an agent's complete heartbeat and returns the time until the
-// next one is due.
+// next.
 func (d *Directory) Hello(r wire.HelloRequest) time.Duration {
 	d.HeartbeatCount.Add(1)
 	rec := d.recordOf(r.Load.Instance)
@@ -139,8 +135,7 @@
 	rec.suspectUntil = time.Time{}
 	rec.unresponsive = false
 	if r.Load.Process != rec.agent.Load.Process {
-		// A heartbeat comes from the process itself, so a new process starts a
-		// new sequence.
+		// A heartbeat is the process's own: a new process restarts the count.
 		rec.agent.Load.Process = r.Load.Process
 		rec.agent.Load.Sequence = 0
 	}
@@ -222,8 +217,8 @@
 	d.services = services
 }
 
-// recordWithdrawn records the services that are no longer offered and deletes
-// expired ones.
+// recordWithdrawn records services that lost their last agent and deletes
+// expired records.
 func (d *Directory) recordWithdrawn(next map[structs.Service][]*record) {
 	now := time.Now()
 	for s := range d.services {
@@ -251,9 +246,8 @@
 // agent has offered for serviceRetention.
 //
 // Failure guarded against: all agents of a service are removed for lack of
-// contact, and callers get the answer that the service does not exist, which is
-// no reason to retry. The service stays known for serviceRetention, without
-// agents.
+// contact, and callers are refused because the service does not exist, which is
+// no reason to retry.
 func (d *Directory) Service(s structs.Service) (agents []Agent, known bool) {
 	now := time.Now()
 	d.mu.RLock()
@@ -306,7 +300,7 @@
 	return a
 }
 
-// Begin counts a call in flight to id; the returned function ends the call.
+// Begin counts a call in flight to id; the returned function ends it.
 func (d *Directory) Begin(id structs.InstanceID) (end func()) {
 	rec := d.recordOf(id)
 	rec.addOutstanding(1)
@@ -333,8 +327,8 @@
 	return a.Age, known
 }
 
-// SetSilent excludes an agent that does not answer until a message of it
-// arrives or the call is made with false. It does not restore a removed agent.
+// SetSilent excludes an agent that does not answer, until a message of it
+// arrives or unresponsive is false. It does not restore a removed agent.
 func (d *Directory) SetSilent(id structs.InstanceID, unresponsive bool) {
 	d.mu.RLock()
 	rec := d.agents[id]
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -19,8 +19,8 @@
 	return New("e0", []string{"10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001", "10.0.0.4:7001"}, nil, structs.NoEvents{}, zerolog.Nop())
 }
 
-// heartbeat is a heartbeat of process p of an instance that runs two services
-// and 24 batch tasks of eight customers.
+// heartbeat returns a heartbeat of process p of an instance that runs two
+// services and 24 batch tasks of eight customers.
 func heartbeat(instance, p string, sequence uint64) wire.HelloRequest {
 	load := wire.Load{Instance: structs.InstanceID(instance), Process: p, Incarnation: 3, Sequence: sequence,
 		Free: structs.Resources{Slots: 9, MilliCores: 3000, MemoryBytes: 1 << 33}, Total: structs.Resources{Slots: 64, MilliCores: 64000, MemoryBytes: 1 << 37}}
@@ -33,10 +33,9 @@
 	return wire.HelloRequest{Address: "10.1.2.3:7002", Zone: "north-1", Load: load, Revision: 9, Lease: 3}
 }
 
-// Answers of an agent may overtake each other, and an answer of an ended agent
-// process may arrive after its successor's first heartbeat. The entry must keep
-// the newest state; otherwise it would send calls to slots that no longer
-// exist.
+// Answers of an agent may overtake each other, and one of an ended process may
+// arrive after its successor's first heartbeat. The entry must keep the newest
+// state; otherwise it sends calls to slots that no longer exist.
 func TestLoadThatWasOvertakenIsDropped(t *testing.T) {
 	d := newDirectory()
 	d.Hello(heartbeat("i1", "first", 1))
@@ -67,9 +66,9 @@
 	return a
 }
 
-// An agent that sends nothing for more than three of its heartbeats is removed
-// and counted once, unless a call to it is still in flight. Its services get no
-// more calls, and the next heartbeat adds it again.
+// An agent that sends nothing for more than three heartbeats is removed and
+// counted once, unless a call to it is in flight. Its services get no more
+// calls, and the next heartbeat adds it again.
 func TestUnresponsiveAgentIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory()
@@ -131,8 +130,7 @@
 	withMeasurement
 )
 
-// omitKept omits from r the parts that the entry has kept from the heartbeat
-// before.
+// omitKept omits from r what the entry has kept of the heartbeat before.
 func omitKept(r wire.HelloRequest, omitted omission) wire.HelloRequest {
 	kept := r.Sums()
 	if omitted < withoutAll {
@@ -233,9 +231,9 @@
 	}
 }
 
-// Callers that are sent to an agent that is paused with its connections open
-// wait until their deadlines without an answer. After two missed heartbeats the
-// agent must be excluded; one answer includes it again.
+// Callers that are sent to a paused agent with open connections wait for their
+// deadlines in vain. After two missed heartbeats the agent must be excluded;
+// one answer includes it again.
 func TestOverdueAgentIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New("e:1", nil, nil, structs.NoEvents{}, zerolog.Nop())
@@ -253,10 +251,10 @@
 	})
 }
 
-// An agent omits from its heartbeats the parts that the entry has kept. After a
-// restart of the entry, or if an answer to a call has changed the tasks
-// meanwhile, the entry must request a part whose contents it does not hold, and
-// must not use an old list of tasks as the current one.
+// An agent omits from its heartbeats what the entry has kept. If the entry has
+// restarted, or an answer has changed the tasks meanwhile, the entry must
+// request a part whose contents it does not hold, and must not use an old list
+// of tasks.
 func TestOmittedPartsAreRestoredOnlyFromSameContents(t *testing.T) {
 	d := newDirectory()
 	first := heartbeat("i1", "p", 8)
@@ -289,8 +287,7 @@
 	running(3)
 	hello(d, other, true)
 	running(5)
-	// A heartbeat of a new agent process is never completed with parts of its
-	// predecessor.
+	// A new process's heartbeat is never completed from its predecessor's.
 	hello(d, omitKept(heartbeat("i1", "successor", 8), withoutAll), false)
 	hello(newDirectory(), omitKept(other, withoutBatchAndServices), false)
 }
--- a/entry/directory/entries.go
+++ b/entry/directory/entries.go
@@ -60,7 +60,7 @@
 }
 
 // NewerConfig requests a configuration above held from all other entries in
-// parallel and returns the newest one that arrives within ctx, or nil.
+// parallel and returns the newest that arrives within ctx, or nil.
 func (d *Directory) NewerConfig(ctx context.Context, held structs.Config) *structs.Config {
 	var (
 		mu     sync.Mutex
@@ -86,8 +86,7 @@
 }
 
 // Announce notifies all other entries that revision r has been accepted, so
-// that they need not wait for their next poll. Errors are ignored, as the poll
-// follows.
+// that they need not wait for their next poll, which makes errors harmless.
 func (d *Directory) Announce(ctx context.Context, r structs.Revision) {
 	var wait sync.WaitGroup
 	for _, address := range d.others() {
@@ -105,8 +104,7 @@
 	Err      error
 }
 
-// AskRevisions requests the revisions of all other entries. The result is in
-// address order.
+// AskRevisions requests all other entries' revisions, in address order.
 func (d *Directory) AskRevisions(ctx context.Context, own structs.Revision) []EntryRevision {
 	others := d.others()
 	out := make([]EntryRevision, len(others))
@@ -121,8 +119,8 @@
 	return out
 }
 
-// EventsFrom collects the time lines of every known process. missing names the
-// processes that can't be reached.
+// EventsFrom collects the time lines of all known processes; missing names
+// those that can't be reached.
 func (d *Directory) EventsFrom(ctx context.Context, r wire.EventsRequest) (lines [][]structs.Event, missing []string) {
 	var (
 		mu   sync.Mutex
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -22,25 +22,23 @@
 	memberPrefix        = "entry/"
 	memberRenewInterval = 5 * time.Second
 	memberTimeout       = 2 * time.Second
-	// memberExpiry is the time for which a row must stay unchanged, as read by
-	// this process, before its entry no longer counts as alive.
+	// memberExpiry is how long a row must stay unchanged, as read by this
+	// process, until its entry no longer counts as alive.
 	memberExpiry   = 4 * memberRenewInterval
 	memberPageSize = 200
-	// memberDeleteAfter is the number of expiry periods after which the row is
-	// deleted.
+	// memberDeleteAfter is the number of expiry periods until deletion.
 	memberDeleteAfter = 30
 )
 
-// memberRow is the row of one entry. It only serves to spread shards and to
-// find addresses; it grants no rights.
+// memberRow is the row of one entry. It is only a hint for spreading shards and
+// for finding addresses; it grants no rights.
 type memberRow struct {
 	Entry   structs.EntryID `json:"entry"`
 	Address string          `json:"address"`
 	Counter uint64          `json:"counter"`
 }
 
-// observedRow is the latest version of a row and the time at which it was first
-// read.
+// observedRow is the latest version of a row and the time of its first read.
 type observedRow struct {
 	row     memberRow
 	version uint64
@@ -134,8 +132,8 @@
 	m.dir.SetEntries(addresses)
 }
 
-// deleteExpired deletes rows that have not changed for a long time. The delete
-// is conditional, so the row of an entry that was only slow is never deleted.
+// deleteExpired deletes rows that have not changed for long. The delete is
+// conditional, so an entry that was only slow is never deleted.
 func (m *Members) deleteExpired(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	var expired []infra.Cond
@@ -151,8 +149,7 @@
 	}
 }
 
-// Alive returns the IDs of the entries that count as alive, including this one,
-// in order.
+// Alive returns the entries that count as alive, this one included, in order.
 func (m *Members) Alive() []structs.EntryID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/directory/pace.go
+++ b/entry/directory/pace.go
@@ -11,19 +11,19 @@
 // Bytes of heartbeats.
 const (
 	// HeartbeatBytes is the size of one complete heartbeat and its answer on
-	// the wire, with tasks of eight customers and five entries. It is the
-	// estimate before the first heartbeat; TestHeartbeatsStayWithinTheBudget
-	// checks it.
+	// the wire, with tasks of eight customers and five entries
+	// (TestHeartbeatsStayWithinTheBudget checks it). It is the estimate before
+	// the first heartbeat.
 	HeartbeatBytes = 560
-	// HeartbeatBudget bounds the heartbeat traffic of an entry in bytes per
-	// second, out of a node's 4,000; the table service uses the rest.
+	// HeartbeatBudget bounds an entry's heartbeat traffic in bytes per second,
+	// out of a node's 4,000; the table service uses the rest.
 	HeartbeatBudget = 850
-	// A heartbeat that omits all that it can has baseBytes, the sender's part
-	// senderBytes. A service, and a pair of customer and kind, have the length
-	// of their names and serviceBytes or pairBytes.
+	// baseBytes is the size of a heartbeat that omits all it can, senderBytes
+	// that of the sender's data. A service adds its name and serviceBytes, a
+	// pair of customer and kind their names and pairBytes.
 	baseBytes, senderBytes, serviceBytes, pairBytes = 140, 60, 12, 8
-	// A measurement has the length of its service's name and sampleBytes, and
-	// each of its kinds the length of its name and kindBytes.
+	// A measurement adds its service's name and sampleBytes, each of its kinds
+	// the name and kindBytes.
 	sampleBytes, kindBytes = 30, 6
 	// entryListBytes is the size of the list of five entries in an answer.
 	entryListBytes = 60
@@ -79,8 +79,9 @@
 	return n
 }
 
-// heartbeatInterval grows with the number of agents and the size of their
-// heartbeats, so that the traffic of an entry stays within HeartbeatBudget.
+// heartbeatInterval returns an interval that grows with the number of agents
+// and the size of their heartbeats, so that the traffic of an entry stays
+// within HeartbeatBudget.
 func (d *Directory) heartbeatInterval() time.Duration {
 	d.mu.RLock()
 	n := len(d.agents)
@@ -94,16 +95,15 @@
 
 // jittered returns a random duration within a quarter of d.
 //
-// Failure guarded against: an entry is restarted, all agents connect to it
-// within a few seconds, and from then on their heartbeats arrive all at once,
-// minutes apart, so that the entry's processor and link alternate between idle
-// and overloaded.
+// Failure guarded against: an entry is restarted, all agents connect within a
+// few seconds, and from then on their heartbeats arrive all at once, minutes
+// apart; the entry's processor and link are idle and overloaded by turns.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
 
-// Restore completes a heartbeat that omits parts that this entry has kept; ok
-// is false if the entry does not hold them.
+// Restore completes a heartbeat that omits what this entry has kept; ok is
+// false if the entry does not hold it.
 func (d *Directory) Restore(r wire.HelloRequest) (whole wire.HelloRequest, ok bool) {
 	d.sizes.add(estimatedBytes(r))
 	if r.Omitted == (wire.HelloSums{}) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
 // Package entry assembles one entry process: the HTTP interface of callers and
-// operators, the urgent path, the queue shards that the entry owns, and the RPC
-// service for agents and other entries.
+// operators, the urgent path, the queue shards it owns, and the RPC service for
+// agents and other entries.
 package entry
 
 import (
@@ -166,7 +166,7 @@
 }
 
 // ownsCustomer reports whether this entry owns the customer's queue shard and
-// is therefore responsible for the customer's records.
+// is responsible for the customer's records.
 func (e *Entry) ownsCustomer(c structs.Customer) bool {
 	return e.batch.Owner(structs.ShardOf(c)) == e.config.Address
 }
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// refusalPeriod is the time for which a planned stop continues to answer before
-// its sockets may be closed.
+// refusalPeriod is how long a planned stop continues to answer before its
+// sockets may be closed.
 //
 // Failure guarded against: a caller sends its next request on a connection that
 // was kept open, just as the server closes it; the caller sees a reset. During
--- a/entry/http.go
+++ b/entry/http.go
@@ -77,8 +77,7 @@
 
 type operatorHandler func(w http.ResponseWriter, r *http.Request) *structs.Refusal
 
-// asCustomer checks the state of the entry and the caller's key before it calls
-// h.
+// asCustomer checks the entry's state and the caller's key before h.
 func (e *Entry) asCustomer(h customerHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		end, refused := e.begin()
@@ -106,8 +105,8 @@
 	})
 }
 
-// asOperator checks the operator's key before it calls h. Operators are also
-// served during a planned stop, so that they can follow it.
+// asOperator checks the operator's key before h. Operators are served during a
+// planned stop, too, so that they can follow it.
 func (e *Entry) asOperator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := keys.Bearer(r)
@@ -141,8 +140,8 @@
 // isText reports whether s may be part of a row's key or operation ID.
 //
 // Failure guarded against: the table service always refuses a key that is not
-// UTF-8, and a caller who gets the answer that the service does not respond
-// would retry forever. The answer must state that the request is invalid.
+// UTF-8, and a caller who is told that the service does not respond would retry
+// forever. The refusal must state that the request is invalid.
 func isText(s string) bool {
 	return utf8.ValidString(s) && !strings.Contains(s, "\x00")
 }
--- a/entry/intake/clock.go
+++ b/entry/intake/clock.go
@@ -19,8 +19,7 @@
 // NewStoreClock returns a clock that reads the local one through now.
 func NewStoreClock(now func() time.Duration) *StoreClock { return &StoreClock{now: now} }
 
-// Set records the store's clock from an answer that has just arrived. It
-// ignores a stamp without a time.
+// Set records the store's clock from an answer that has just arrived.
 func (c *StoreClock) Set(at rowstore.Stamp) {
 	if at.Now == 0 {
 		return
--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -17,17 +17,15 @@
 )
 
 const (
-	// configWait bounds the time for which the store holds the feed back, and
-	// so the time for which a silent connection goes unnoticed. A change must
-	// be in force within 2 s.
+	// configWait bounds how long the store holds the feed back, and so how long
+	// a silent connection goes unnoticed. A change must be in force within 2 s.
 	configWait = 500 * time.Millisecond
-	// feedIdleTimeout is the time beyond the wait of a feed after which a feed
-	// without any received data is abandoned and the rows themselves are
-	// listed: a feed brings each change of the meantime, a list only the latest
-	// one.
+	// feedIdleTimeout ends a feed that receives nothing for this long beyond
+	// its wait. The rows themselves are listed then: a feed brings each change
+	// of the meantime, a list only the latest.
 	feedIdleTimeout = 400 * time.Millisecond
-	// configLateAfter is the duration of a read after which the feed is
-	// reported as lost and the answer no longer sets the store's clock.
+	// configLateAfter is the duration of a read after which the feed is logged
+	// as lost and the answer no longer sets the store's clock.
 	configLateAfter = 1300 * time.Millisecond
 	// configTimeout bounds a read, which is then started anew.
 	configTimeout = 20 * time.Second
@@ -41,10 +39,9 @@
 	// part of the same table.
 	Key   rowstore.Key
 	Parse func([]byte) (*workload.Config, error)
-	// Drained returns the data centre that is drained for as long as the row
-	// exists. ok is false for a row of another kind, and err is set for the row
-	// of a drain that names no data centre. Drained is nil if there are no such
-	// rows.
+	// Drained returns the data centre that is drained while the row exists. ok
+	// is false for a row of another kind, and err is set for the row of a drain
+	// that names no data centre. Drained is nil if there are no such rows.
 	Drained func(rowstore.Key) (dataCentre string, ok bool, err error)
 }
 
@@ -56,9 +53,8 @@
 	log     zerolog.Logger
 	current atomic.Pointer[workload.Config]
 	drains  atomic.Pointer[workload.Drains]
-	// lastAnswer is the time of the store's last answer, confirmed the latest
-	// time as of which the rows are known to be current. Both are on now's
-	// clock.
+	// lastAnswer is the time of the store's last answer, confirmed the time as
+	// of which the rows are known. Both are on now's clock.
 	lastAnswer, confirmed atomic.Int64
 	// lost is set once the loss of the feed has been logged.
 	lost  atomic.Bool
@@ -68,12 +64,11 @@
 	Counters FollowerCounters
 }
 
-// FollowerCounters count the reads of the operator's rows that were started and
-// that failed, and the bytes of the configurations.
+// FollowerCounters count the started and failed reads of the operator's rows,
+// and the bytes of the configurations.
 type FollowerCounters struct {
 	Reads, Failed, Bytes atomic.Int64
-	// ReadTime is the duration of a read that succeeded, including the feed's
-	// wait.
+	// ReadTime is the duration of a successful read with the feed's wait.
 	ReadTime histogram.Latency
 }
 
@@ -128,7 +123,7 @@
 			f.reportLost(ctx, err)
 			f.Counters.Failed.Add(1)
 			f.log.Info().Err(err).Bool("feed", listed).Dur("took", f.now()-asked).Msg("configuration not read")
-			// After any fault of the feed the rows themselves are listed, as
+			// After any fault of the feed the rows themselves are listed:
 			// changes may have been made while the feed was silent.
 			listed = listed && !errors.Is(err, rowstore.ErrCompacted) && !errors.Is(err, rowstore.ErrUnknown)
 			wait.For(ctx, configRetry)
@@ -169,7 +164,7 @@
 
 var errLate = errors.New("no answer yet")
 
-// reportLost logs the loss of the feed, once until the feed is regained.
+// reportLost logs the loss of the feed once, until the feed is regained.
 func (f *Follower) reportLost(ctx context.Context, err error) {
 	if ctx.Err() == nil && !f.lost.Swap(true) {
 		f.log.Warn().Err(err).Msg("configuration feed lost")
@@ -177,8 +172,8 @@
 }
 
 // recordAnswer records an answer of the store. A list, or a feed with changes,
-// may hold the state of the time of its request; a feed without changes has
-// waited until its end.
+// may hold the state at the time of the request; a feed without changes
+// confirms the state at the end of its wait.
 func (f *Follower) recordAnswer(asked time.Duration, feed, changes bool) {
 	now := f.now()
 	f.lastAnswer.Store(int64(now))
@@ -188,10 +183,9 @@
 	f.confirmed.Store(int64(asked))
 }
 
-// applyDrains applies the changes of the drains, or replaces all drains by
-// those of a list. A list counts as newer even if it changes nothing here:
-// agents may have received a drain from another process, and that drain may
-// have ended since.
+// applyDrains applies the changes of the drains, or replaces all drains by a
+// list. A list counts as newer even if it changes nothing here: agents may have
+// received a drain, ended since, from another process.
 func (f *Follower) applyDrains(rows []rowstore.Row, at rowstore.Stamp, changes bool) {
 	if f.source.Drained == nil {
 		return
@@ -230,8 +224,8 @@
 	f.log.Info().Strs("data_centres", next.Names()).Uint64("version", next.Version).Msg("drained data centres")
 }
 
-// applyConfig puts a configuration into force. took is the duration of the read
-// that brought it.
+// applyConfig puts a configuration into force; took is the duration of its
+// read.
 func (f *Follower) applyConfig(row rowstore.Row, took time.Duration) {
 	f.Counters.Bytes.Add(int64(len(row.Value)))
 	c, err := f.source.Parse(row.Value)
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -23,8 +23,8 @@
 const (
 	// writePause is the pause before a write is repeated.
 	writePause = 60 * time.Millisecond
-	// refusedRetryTime is the time for which a write that the store refuses is
-	// repeated before the client is refused: a refusal must come at once.
+	// refusedRetryTime bounds the retries of a write that the store refuses:
+	// the client's refusal must come at once.
 	refusedRetryTime = 250 * time.Millisecond
 	// retryAfter is the time after which a refused client may retry. Outages of
 	// the store last seconds, and a client waits three.
@@ -34,13 +34,13 @@
 	// noteTimeout bounds the notification of the scheduler of a stored job; the
 	// scheduler finds jobs whose notification was lost in the store's feed.
 	noteTimeout = 500 * time.Millisecond
-	// unavailableAfter is the time after the store's last answer, received
-	// directly or through another entry, after which the store counts as
-	// unavailable. The feed of the configuration answers every half second, and
-	// within 0.9 s from a slow store.
+	// unavailableAfter is the time since an answer of the store, direct or
+	// through another entry, after which the store counts as unavailable. The
+	// configuration feed answers every half second, and within 0.9 s from a
+	// slow store.
 	unavailableAfter = 1400 * time.Millisecond
 	// unavailableCheckInterval is the time between two checks of the store's
-	// availability while a call to it is in progress.
+	// availability during a call.
 	unavailableCheckInterval = 100 * time.Millisecond
 )
 
@@ -92,8 +92,7 @@
 // a write would only keep its caller waiting.
 func (s *Service) storeUnavailable() bool { return s.config.AnswerAge() > unavailableAfter }
 
-// Queue finds the queue of a call. It also returns the rest of the path and the
-// largest body that is accepted.
+// Queue finds the queue of a call, the rest of the path and the body limit.
 func (s *Service) Queue(host, path string) (workload.Queue, string, int64, error) {
 	c := s.config.Current()
 	if c == nil {
@@ -106,14 +105,13 @@
 	return q, rest, c.MaxBody, nil
 }
 
-// Submit stores j and returns nil once the store has it. Submissions with the
-// same identifier are one job, however often and wherever they are made.
+// Submit stores j and returns nil once the store has it. Repeated submissions
+// of an identifier, at any entry, are one job.
 func (s *Service) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	begun := time.Now()
 	if s.storeUnavailable() {
 		// Nothing is written, so the refusal is certain, and the client may try
-		// another entry at once instead of waiting here until its deadline for
-		// an unknown outcome.
+		// another entry at once instead of waiting here for an unknown outcome.
 		s.Counters.Refused.Add(1)
 		s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Dur("heard", s.config.AnswerAge()).Msg("job refused: the store is away")
 		return &workload.UnavailableError{RetryAfter: retryAfter, Cause: rowstore.ErrUnavailable}
@@ -151,9 +149,9 @@
 	return 0
 }
 
-// write applies a write whose condition is the absence of its row. It repeats
-// the write until its outcome is known: a write without an answer may take
-// effect seconds later, and only a repeat under the same condition settles it.
+// write applies a write whose condition is the absence of its row, and repeats
+// it until its outcome is known: a write without an answer may take effect
+// seconds later, and only a repeat under the same condition settles it.
 func (s *Service) write(ctx context.Context, t rowstore.Txn) outcome {
 	begun := time.Now()
 	uncertain := false
@@ -176,7 +174,7 @@
 }
 
 // writeOnce makes one attempt. It returns rowstore.ErrUnavailable only if the
-// attempt certainly had no effect.
+// attempt had no effect.
 func (s *Service) writeOnce(ctx context.Context, t rowstore.Txn) (outcome, error) {
 	ctx, stop := s.untilStoreUnavailable(ctx)
 	defer stop()
@@ -199,8 +197,8 @@
 //
 // Failure guarded against: the store stops answering, and calls accepted just
 // before keep their clients waiting until their deadlines, while later calls
-// are refused at once. Ending them when the store counts as unavailable lets
-// their clients retry.
+// are refused at once. When the store counts as unavailable, they end, too, and
+// their clients can retry.
 func (s *Service) untilStoreUnavailable(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -256,8 +254,8 @@
 	return reply, err == nil && reply.Leading
 }
 
-// readState reads a job's state from the store. Only a read of the store proves
-// that a job does not exist.
+// readState reads a job's state from the store. Only the store proves that a
+// job does not exist.
 func (s *Service) readState(ctx context.Context, id workload.JobID) (workload.State, error) {
 	s.Counters.StateReads.Add(1)
 	exists, cancelled, err := s.exists(ctx, id)
@@ -312,8 +310,7 @@
 	}
 }
 
-// pauseRetry pauses before a repeated read and reports whether ctx is still
-// active.
+// pauseRetry pauses before a repeated read and reports whether ctx still runs.
 func (s *Service) pauseRetry(ctx context.Context) bool {
 	wait.For(ctx, writePause)
 	return ctx.Err() == nil
@@ -383,7 +380,7 @@
 	// notStored: not written, and never will be.
 	notStored outcome = iota
 	stored
-	// undecided: may have been written, or may be written later.
+	// undecided: may have been written, or may be later.
 	undecided
 )
 
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -48,8 +48,8 @@
 		need, _ := p.sizes.Estimate(j.Customer, j.Spec.Kind, j.Spec.Declared, j.Spec.Runtime.Std())
 		w := decide.Waiting{Job: j.ID, Customer: j.Customer, Kind: j.Spec.Kind, Need: need, Order: j.Submitted}
 		if j.Failures > 0 {
-			// The last run failed on that instance; a run on another one shows
-			// whether the worker or the job is at fault.
+			// The last run failed there; a run elsewhere shows whether the
+			// worker or the job is at fault.
 			w.Avoid = j.Instance
 		}
 		view.Queue = append(view.Queue, w)
@@ -90,11 +90,11 @@
 // probe reports whether the instance is in quarantine and may be sent a probe.
 //
 // Failure guarded against: a probe runs for longer than the pause between
-// probes, and a worker that fails all tasks is sent a second job and a third,
-// each of which loses a run. Therefore the end of the last probe must be
-// reported first. An end that is never reported, because the claim failed or
-// another entry recorded it, counts as reported once the pause has passed and
-// the agent runs no batch task.
+// probes, and a worker that fails what it starts is sent a second job and a
+// third, each of which loses a run. So the last probe's end must be reported
+// first. An end that is never reported, because the claim failed or another
+// entry recorded it, counts as reported once the pause is over and the agent
+// runs no batch task.
 func (p *placer) probe(now time.Duration, a batch.AgentView) (quarantined, probe bool) {
 	quarantined, due, _ := p.health.Worker(now, a.Instance)
 	pending := p.probes[a.Instance] != ""
@@ -128,9 +128,9 @@
 }
 
 // learnSize learns from the end of a run. A run that was stopped early shows
-// only its use until then, which counts only if it is above the expected use. A
-// run that resumed from a checkpoint did a part of the job, so its run time is
-// not that of the whole job.
+// only its use until then, which counts if it is above the expected use. A run
+// that resumed from a checkpoint did a part of the job, so its run time is not
+// that of the whole.
 func (p *placer) learnSize(e batch.End) {
 	customer, spec := e.Job.Customer, e.Job.Spec
 	if e.End == wire.EndDone {
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -75,9 +75,8 @@
 }
 
 // Jobs fail on a worker with a full disk, which is in quarantine. When its
-// probe is due, the worker must get one job, not as many as it has slots, and
-// no second job while a long probe still runs: each would cost the customer a
-// run.
+// probe is due, the worker must get one job, and no second one while a long
+// probe still runs: each would cost the customer a run.
 func TestWorkerInQuarantineGetsOneTaskAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := quarantinedPlacer(t)
--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -13,22 +13,21 @@
 
 const (
 	// hedgeDelay is the time without any sign of an answer after which another
-	// attempt is started in parallel with the pending ones.
+	// attempt is started in parallel.
 	hedgeDelay = 600 * time.Millisecond
-	// checkEvery is the number of hedge delays between two checks of the direct
-	// path.
+	// checkEvery is the number of hedge delays per check of the direct path.
 	checkEvery = 4
 	// maxAttempts bounds the pending attempts of one read.
 	maxAttempts = 3
 )
 
-// errNoResponse reports that the direct path gave no sign of an answer in time.
+// errNoResponse reports a direct path without a sign of an answer in time.
 var errNoResponse = errors.New("store gave no sign of an answer")
 
 // plan describes the attempts of a read.
 type plan struct {
-	// answerTimeout is the time without a sign of an answer after which the
-	// second attempt is started; further ones follow after hedgeDelay each.
+	// answerTimeout is the time without a sign of an answer until the second
+	// attempt; further ones follow after hedgeDelay each.
 	answerTimeout time.Duration
 	// feed marks a read that waits for changes.
 	feed bool
@@ -50,8 +49,7 @@
 	// open holds the pending attempts, oldest first.
 	open    []*attempt
 	started int
-	// idlePeriods counts the hedge delays that passed without a sign of an
-	// answer.
+	// idlePeriods counts the periods without a sign of an answer.
 	idlePeriods int
 	// peersOnly signals that only other entries get answers.
 	peersOnly chan struct{}
@@ -109,8 +107,9 @@
 	}
 }
 
-// hedge starts another attempt after a time without a sign of an answer, and at
-// times checks the direct path. A feed's first such time leads only to a check.
+// hedge starts another attempt after a period without a sign of an answer. For
+// feeds and directFirst reads it checks the direct path in each checkEvery-th
+// period. A feed's first period only leads to the check.
 func (r *race) hedge(ctx context.Context) {
 	if (r.plan.feed || r.plan.directFirst) && r.idlePeriods%checkEvery == 0 {
 		go r.checkDirect(context.WithoutCancel(ctx))
@@ -121,7 +120,7 @@
 	r.idlePeriods++
 }
 
-// checkDirect finds out whether the store fails to answer this machine only.
+// checkDirect checks whether the store fails to answer this machine only.
 func (r *race) checkDirect(ctx context.Context) {
 	found := r.relay.compare(ctx)
 	if found != directAnswers {
@@ -137,7 +136,7 @@
 }
 
 // handleResult records the result of an attempt and reports whether it is
-// usable. If the first attempt fails, another one is started at once.
+// usable. If the first attempt fails, it starts another one at once.
 func (r *race) handleResult(ctx context.Context, a attemptResult) bool {
 	i := slices.Index(r.open, a.attempt)
 	if i < 0 {
@@ -156,9 +155,8 @@
 	return false
 }
 
-// cancelOthers cancels all attempts except a, whose answer has begun to arrive:
-// they would only use a part of the link's bandwidth. It reports whether a is
-// pending.
+// cancelOthers cancels all attempts except a, whose answer is arriving: they
+// would only use a part of the link. It reports whether a is pending.
 func (r *race) cancelOthers(a *attempt) bool {
 	if !slices.Contains(r.open, a) {
 		return false
@@ -173,7 +171,7 @@
 }
 
 // startAttempt starts another attempt. If too many are pending, it cancels the
-// youngest one: a slow store answers the oldest one next.
+// youngest: a slow store answers the oldest one next.
 func (r *race) startAttempt(ctx context.Context, indirect bool) {
 	if len(r.open) == maxAttempts {
 		r.open[maxAttempts-1].cancel()
@@ -200,8 +198,8 @@
 	}()
 }
 
-// path returns a call of the direct path, or of another entry if indirect is
-// set and an entry is available.
+// path returns a direct call, or one through another entry if indirect is set
+// and an entry is available.
 func (r *race) path(ctx context.Context, indirect bool) func() answer {
 	r.indirect = indirect
 	if indirect {
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -8,26 +8,25 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Reader reads the store by the path that answers first. An attempt that has
-// shown no sign of an answer is not cancelled; another attempt, by another
-// path, is started in parallel with it. The first sign of an answer ends the
-// others.
+// Reader reads the store by the path that answers first. An attempt without a
+// sign of an answer is not cancelled; another one, by another path, is started
+// in parallel. The first sign of an answer ends the others.
 //
-// A time-out for a whole read, after which the read is started anew, would let
-// no read complete while the store is slow or the answer is large for the link.
+// A time-out for the whole read would let no read complete while the store is
+// slow or the answer large for the link.
 type Reader struct {
 	relay *Store
 	// direct reads from the store directly.
 	direct rowstore.Reader
-	// directFirst is the option of that name for its reads.
+	// directFirst is the plan's option for its reads.
 	directFirst bool
 }
 
 var _ rowstore.Reader = (*Reader)(nil)
 
-// Reader returns a reader that uses direct, which may have longer time-outs,
-// for its direct path. Its answers are large, so other entries are asked only
-// if the direct path fails or does not answer while theirs does.
+// Reader returns a reader with the given direct path, which may have longer
+// time-outs. Its answers are large, so other entries are asked only if the
+// direct path fails or does not answer while theirs does.
 func (s *Store) Reader(direct rowstore.Reader) *Reader {
 	return &Reader{relay: s, direct: direct, directFirst: true}
 }
@@ -53,7 +52,7 @@
 }
 
 // Feed implements rowstore.Reader. All attempts together wait for changes no
-// longer than a single one does.
+// longer than a single one.
 //
 // A feed answers after its wait at the latest, and one is always pending, so it
 // is the first call to time out when the store stops answering this machine.
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -19,28 +19,26 @@
 
 const (
 	// callTimeout bounds a transaction through another entry, and readTimeout a
-	// read, in addition to its own wait: another path is tried in parallel
-	// before that.
+	// read beyond its own wait: another path is tried in parallel before that.
 	callTimeout = 900 * time.Millisecond
 	readTimeout = 3 * time.Second
-	// minAnswerTimeout and maxAnswerTimeout bound the time for which a feed's
-	// answer is awaited beyond its wait, which follows the durations of earlier
-	// reads. The slowest store that the users describe takes 0.3 s for a read.
+	// minAnswerTimeout and maxAnswerTimeout bound a feed's time-out beyond its
+	// wait. The time-out is estimated from earlier reads. The slowest store
+	// that the users describe takes 0.3 s for a read.
 	minAnswerTimeout = 100 * time.Millisecond
 	maxAnswerTimeout = 800 * time.Millisecond
 	// probeInterval is the time between two probes of the direct path while it
-	// is lost. Probes run in parallel with the calls: a machine that is cut off
-	// from the store detects it only by a time-out, which would delay the
-	// calls.
+	// is lost. They run beside the calls: a machine that is cut off from the
+	// store detects it only by a time-out, which would delay calls.
 	probeInterval = 300 * time.Millisecond
-	// avoidTime is the time for which an entry that could not help is not
-	// asked; it doubles with each consecutive failure, up to maxAvoidTime.
+	// avoidTime is how long an entry that could not help is avoided; it doubles
+	// with each consecutive failure, up to maxAvoidTime.
 	avoidTime    = time.Second
 	maxAvoidTime = 8 * time.Second
 	// listInterval is the time between two reads of the list of entries. The
-	// first reads follow each other sooner: entries that start together are
-	// missing from each other's first lists, and an entry that is cut off from
-	// the store at that time could not ask any other.
+	// first reads follow sooner: entries that start together miss each other in
+	// their first lists, and one that is cut off from the store then could ask
+	// no other.
 	listInterval      = 5 * time.Second
 	firstListInterval = 500 * time.Millisecond
 	// listRetry is the pause after a read of the list that failed.
@@ -58,7 +56,7 @@
 	Address string `json:"a"`
 }
 
-// Store is a rowstore.Store that falls back to calls through other entries.
+// Store is a rowstore.Store that falls back to other entries.
 type Store struct {
 	direct     rowstore.Store
 	log        zerolog.Logger
@@ -67,8 +65,8 @@
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// lost is closed when the direct path has failed. It is nil until a probe
-	// finds that the path works again.
+	// lost is closed when the direct path has failed, and nil until a probe
+	// succeeds.
 	lost chan struct{}
 	// reads estimates the duration of reads by the direct path.
 	reads rtt.Estimator
@@ -83,15 +81,14 @@
 
 type peer struct {
 	link *dispatch.Link
-	// avoidUntil is the time before which the entry is not asked, failures the
-	// number of its consecutive failures.
+	// avoidUntil ends the avoidance; failures counts failures in a row.
 	avoidUntil time.Time
 	failures   int
 }
 
 var _ rowstore.Store = (*Store)(nil)
 
-// New returns a store that uses direct first. address is this entry's own. link
+// New returns a store that uses direct first. address is this entry's own; link
 // opens the link to another entry.
 func New(direct rowstore.Store, address string, link func(address string) *dispatch.Link, log zerolog.Logger) *Store {
 	return &Store{direct: direct, ownAddress: address, log: log, link: link, peers: map[string]*peer{}, lost: make(chan struct{}), wake: make(chan struct{}, 1)}
@@ -100,8 +97,8 @@
 // Relayed returns the number of calls made through other entries.
 func (s *Store) Relayed() int64 { return s.relayed.Load() }
 
-// Run registers this entry under node and keeps the list of the other entries
-// up to date until ctx ends.
+// Run registers this entry under node and updates the list of the others until
+// ctx ends.
 func (s *Store) Run(ctx context.Context, node string) {
 	go s.probeLoop(ctx)
 	registered := false
@@ -211,8 +208,7 @@
 	s.reads.Observe(duration)
 }
 
-// answerTimeout returns the time for which a feed's answer is awaited beyond
-// its wait.
+// answerTimeout returns the time-out of a feed beyond its wait.
 func (s *Store) answerTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/relay/ways.go
+++ b/entry/relay/ways.go
@@ -15,8 +15,7 @@
 type comparison uint8
 
 const (
-	// directAnswers: the direct path answers about as soon as another entry
-	// does.
+	// directAnswers: the direct path answers about as soon as another entry.
 	directAnswers comparison = iota
 	// onlyPeerAnswered: another entry got an answer and this one did not.
 	onlyPeerAnswered
@@ -24,9 +23,8 @@
 	noneAnswers
 )
 
-// compare asks the store directly and through another entry. A store that is
-// slow for all entries is not lost, and making its calls twice would only add
-// to its load.
+// compare asks the store directly and through another entry: a store that is
+// slow for all is not lost, and making calls twice would only add to its load.
 func (s *Store) compare(ctx context.Context) comparison {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -93,9 +91,8 @@
 	})
 }
 
-// callError maps the error of a call through another entry:
-// rowstore.ErrUnavailable if the call was never sent, rowstore.ErrUnknown if it
-// may have been carried out.
+// callError distinguishes a call that was never sent, ErrUnavailable, from one
+// that may have been carried out, ErrUnknown.
 func callError(err error) error {
 	if errors.Is(err, dispatch.ErrNotSent) {
 		return rowstore.ErrUnavailable
@@ -104,13 +101,13 @@
 }
 
 // storeUnavailable reports whether err means that the store could not be used,
-// in contrast to an error that the store returned.
+// in contrast to an answer of the store.
 func storeUnavailable(err error) bool {
 	return errors.Is(err, rowstore.ErrUnavailable) || errors.Is(err, rowstore.ErrUnknown)
 }
 
 // applyWithFallback makes a transaction directly and then through another
-// entry; while the direct path is lost, through up to two other entries. A
+// entry; while the direct path is lost, through two other entries. A
 // transaction that is tried twice carries conditions, so that at most one
 // attempt takes effect and the other returns a conflict.
 func (s *Store) applyWithFallback(ctx context.Context, direct func() answer, peerCall func(*dispatch.Link) answer) answer {
@@ -139,8 +136,8 @@
 	return combine(first, second())
 }
 
-// combine returns the answer of two attempts of which the first one failed. If
-// both failed and the first one may still take effect, the outcome is unknown.
+// combine returns the answer of two attempts of which the first failed. If both
+// failed and the first may still take effect, the outcome is unknown.
 func combine(first, second answer) answer {
 	if storeUnavailable(second.err) && errors.Is(first.err, rowstore.ErrUnknown) {
 		return first
@@ -154,7 +151,7 @@
 // Failure guarded against: the store stops answering this machine. A pending
 // call would wait for its whole time-out, 1.5 s, before it takes another path;
 // the scheduler would place nothing meanwhile, and clients' short jobs would
-// end late. Therefore the first call that times out notifies the others.
+// end late. So the first call that times out notifies the others.
 func directUntilLost(ctx context.Context, direct, viaPeer func() answer, lost <-chan struct{}) answer {
 	answers := make(chan answer, 2)
 	go func() { answers <- direct() }()
@@ -222,16 +219,15 @@
 	}
 }
 
-// lostSignal returns a channel that is closed when the direct path is lost, or
-// nil while it is lost.
+// lostSignal is closed when the direct path is lost, and nil while it is.
 func (s *Store) lostSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lost
 }
 
-// callPeer makes a call through another entry. A call that ctx has ended does
-// not count as a failure of that entry.
+// callPeer makes a call through another entry. A call ended by ctx is no
+// failure of that entry.
 func (s *Store) callPeer(ctx context.Context, p *peer, call func(*dispatch.Link) answer) answer {
 	s.relayed.Add(1)
 	a := call(p.link)
@@ -250,9 +246,9 @@
 	return a
 }
 
-// chooseAnyPeer is like choosePeer, but if all entries are to be avoided, it
-// returns the one whose avoidance ends first: in a slow store all calls fail,
-// and the store may be fast again.
+// chooseAnyPeer is choosePeer, but if all entries are avoided, it returns the
+// one whose avoidance ends first: in a slow store all calls fail, and the store
+// may be fast again.
 func (s *Store) chooseAnyPeer(except *peer) *peer {
 	if p := s.choosePeer(except); p != nil {
 		return p
@@ -268,8 +264,8 @@
 	return first
 }
 
-// choosePeer returns an entry other than except that is not to be avoided, by
-// preference the one that helped last, or nil if there is none.
+// choosePeer returns an entry that is not avoided, by preference the one that
+// helped last, or nil.
 func (s *Store) choosePeer(except *peer) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -76,8 +76,7 @@
 	return nil
 }
 
-// announceTimeout bounds the notification of other entries of an accepted
-// change.
+// announceTimeout bounds the notification of other entries of a change.
 const announceTimeout = time.Second
 
 // announce notifies the other entries without delaying the operator's request.
