--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// A process is paused while three changes are accepted. The first request after
-// the pause may come before the next poll; it must see the third change.
+// A process is paused for a minute while three changes are accepted. Its first
+// request afterwards, ahead of the next poll, must see the third change.
 func TestPausedProcessConfirmsBeforeItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
