--- a/structs/configchange.go
+++ b/structs/configchange.go
@@ -2,23 +2,23 @@
 
 import "maps"
 
-// ConfigChange leads from one accepted configuration to a later one. It is
-// applied whole, and only to a configuration of revision From.
+// ConfigChange is the difference between two accepted configurations. It is
+// applied as a whole, and only to a configuration of revision From.
 type ConfigChange struct {
 	From     Revision `json:"from"`
 	Revision Revision `json:"revision"`
-	// Contracts are those that are new or changed since From.
+	// Contracts holds the contracts that are new or changed since From.
 	Contracts []Contract `json:"contracts,omitempty"`
 	Removed   []Customer `json:"removed,omitempty"`
 }
 
-// With returns the configuration that d leads to from c; c stays as it is.
-// ok is false if d doesn't start at c's revision or doesn't lead above it.
+// With returns c with d applied; c is not modified. ok is false if d.From is
+// not c's revision or d.Revision is not above it.
 //
-// Failure guarded against: a change that was made for another revision, or
-// that was overtaken, is applied; it would show as a contract that is missing
-// or that reverts, under a revision that says otherwise. Each change names the
-// one revision that it fits.
+// Failure guarded against: a change made for another revision, or superseded
+// meanwhile, is applied, and a contract is missing or reverted although the
+// revision number says otherwise. So each change names the revision it applies
+// to.
 func (c Config) With(d ConfigChange) (next Config, ok bool) {
 	if d.From != c.Revision || d.Revision <= c.Revision {
 		return c, false
--- a/structs/contract.go
+++ b/structs/contract.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that reads and writes as a Go duration string
-// ("250ms") in JSON.
+// Duration is a time.Duration encoded in JSON as a Go string ("250ms").
 type Duration time.Duration
 
 // MarshalJSON writes the duration as a quoted Go duration string.
@@ -17,7 +16,7 @@
 }
 
 // UnmarshalJSON reads a quoted Go duration string; a bare number is refused
-// because its unit would be a guess.
+// because its unit is ambiguous.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -34,26 +33,26 @@
 // Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Contract is what one customer is entitled to. Every limit the customer
-// meets follows from it.
+// Contract states the entitlement of one customer. Every limit on the customer
+// derives from it.
 type Contract struct {
 	Customer Customer `json:"customer"`
-	// LatencyTarget is how quickly the customer's urgent calls must answer.
-	// It is the default deadline of a call that names none.
+	// LatencyTarget is the time within which the customer's urgent calls must
+	// be answered, and the deadline of a call that sets none.
 	LatencyTarget Duration `json:"latency_target"`
-	// BatchQueue is the greatest number of unfinished batch jobs.
+	// BatchQueue is the maximum number of unfinished batch jobs.
 	BatchQueue int `json:"batch_queue"`
-	// Share is the part of all slots that the customer may hold, above 0 to 1.
+	// Share is the fraction of all slots that the customer may hold, in (0, 1].
 	Share float64 `json:"share"`
-	// KeyHashes are the hex SHA-256 hashes of the keys that are valid now.
-	// Two at once allow a rotation without a gap.
+	// KeyHashes are the hex SHA-256 hashes of the currently valid keys. Two at
+	// a time allow a key rotation without interruption.
 	KeyHashes []string `json:"key_hashes"`
 	// Revision is the configuration revision that accepted this contract; it
 	// is set by the system and ignored on input.
 	Revision Revision `json:"revision,omitempty"`
 }
 
-// Limits that a contract must keep to.
+// Limits on the fields of a contract.
 const (
 	MaxLatencyTarget = time.Hour
 	MaxBatchQueue    = 1_000_000
@@ -61,7 +60,7 @@
 	KeyHashLength    = 64
 )
 
-// Validate returns the first rule that the contract breaks, or nil.
+// Validate returns an error for the first invalid field, or nil.
 func (c Contract) Validate() error {
 	switch {
 	case c.Customer == "":
@@ -95,8 +94,8 @@
 	return true
 }
 
-// Config is one accepted configuration: every contract at one revision.
-// A process that holds a revision never goes back to a lower one.
+// Config is one accepted configuration: all contracts at one revision. A
+// process never replaces its configuration by one of a lower revision.
 type Config struct {
 	Revision  Revision              `json:"revision"`
 	Contracts map[Customer]Contract `json:"contracts"`
--- a/structs/doc.go
+++ b/structs/doc.go
@@ -1,8 +1,8 @@
-// Package structs holds the nouns that every part of persimmonrock shares:
-// identifiers, contracts, jobs, refusals and events. It has no behaviour
-// beyond validation and encoding, and it imports nothing but the standard
-// library, so that each other package can depend on it.
+// Package structs defines the types that all parts of persimmonrock share:
+// identifiers, contracts, jobs, refusals and events. It has no behaviour beyond
+// validation and encoding, and imports only the standard library, so that every
+// other package can import it.
 //
-// Units: durations are time.Duration in memory and Go duration strings in
-// JSON; memory is in bytes; processor time is in thousandths of a core.
+// Units: durations are time.Duration in memory and Go duration strings in JSON;
+// memory is in bytes; processor time is in thousandths of a core.
 package structs
--- a/structs/event.go
+++ b/structs/event.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Step names the point in a request's or job's life that an event marks.
+// Step names the stage of a request or job that an event marks.
 type Step string
 
 // Event is one entry of a process's time line.
 type Event struct {
-	// Logical is a Lamport clock: it orders events across processes.
+	// Logical is a Lamport timestamp: it orders events across processes.
 	Logical uint64 `json:"logical"`
-	// Wall is for people only; it never orders anything.
+	// Wall is for display only; it is never used to order events.
 	Wall     time.Time `json:"wall"`
 	Process  string    `json:"process"`
 	Step     Step      `json:"step"`
@@ -21,14 +21,14 @@
 	Detail   string    `json:"detail,omitempty"`
 }
 
-// Recorder takes events; it fills Logical, Wall and Process itself and must
-// not block.
+// Recorder records events. Record sets Logical, Wall and Process and never
+// blocks.
 type Recorder interface {
 	Record(Event)
 }
 
-// NoEvents is a Recorder that drops everything.
+// NoEvents is a Recorder that discards all events.
 type NoEvents struct{}
 
-// Record drops e.
+// Record discards e.
 func (NoEvents) Record(Event) {}
--- a/structs/ids.go
+++ b/structs/ids.go
@@ -1,6 +1,6 @@
 package structs
 
-// Customer names the holder of one contract.
+// Customer names the party to one contract.
 type Customer string
 
 // Service names a latency-critical service that backend servers offer.
@@ -15,10 +15,10 @@
 // EntryID names one entry process.
 type EntryID string
 
-// DataCentre names the zone a process or instance stands in.
+// DataCentre names the data centre in which a process or instance runs.
 type DataCentre string
 
-// RequestID names one attempt-independent urgent call.
+// RequestID names one urgent call, whatever the number of its attempts.
 type RequestID string
 
 // JobID names one batch job. It is chosen once, before the first write.
@@ -27,21 +27,21 @@
 // Revision orders accepted configurations; a higher one is always newer.
 type Revision uint64
 
-// RetentionEpoch counts periods of retention since the deployment began. Rows
-// that may be deleted some day carry the one in which they were written; 0
-// stands for a row whose writer did not know it.
+// RetentionEpoch counts retention periods since the start of the deployment. A
+// row subject to deletion carries the epoch in which it was written, or 0 if
+// its writer did not know the epoch.
 type RetentionEpoch uint64
 
-// Epoch is a fencing token: a holder with a lower epoch has lost its right.
+// Epoch is a fencing token: the holder of a lower epoch may no longer write.
 type Epoch uint64
 
-// Incarnation counts the agents that an instance has had. It comes from the
-// instance's lease row (batch) or its backend server (urgent calls), never
-// from a clock.
+// Incarnation numbers the successive agents of an instance. It comes from the
+// instance's lease row (batch) or its backend server (urgent calls), never from
+// a clock.
 type Incarnation uint64
 
-// ShardCount is the number of queue shards. It is fixed for the life of a
-// deployment, since job rows are keyed by shard.
+// ShardCount is the number of queue shards. A deployment can't change it, since
+// job rows are keyed by shard.
 const ShardCount = 16
 
 // ShardID is the number of one queue shard, 0 to ShardCount-1.
--- a/structs/job.go
+++ b/structs/job.go
@@ -1,6 +1,6 @@
 package structs
 
-// JobState is the place of a batch job in its life.
+// JobState is the state of a batch job.
 type JobState string
 
 // The states of a job. Done, Failed, Cancelled and Parked are final, except
@@ -14,12 +14,12 @@
 	JobParked    JobState = "parked"
 )
 
-// Final reports whether a job in state s never runs again.
+// Final reports whether a job in state s never runs again unless released.
 func (s JobState) Final() bool {
 	return s == JobDone || s == JobFailed || s == JobCancelled || s == JobParked
 }
 
-// Resources is an amount of each thing that an instance can run out of.
+// Resources is an amount of each limited resource of an instance.
 type Resources struct {
 	Slots        int   `json:"slots"`
 	MilliCores   int   `json:"milli_cores,omitempty"`
@@ -28,14 +28,14 @@
 	Connections  int   `json:"connections,omitempty"`
 }
 
-// JobSpec is what a customer submits.
+// JobSpec describes a job as the customer submits it.
 type JobSpec struct {
 	Kind Kind `json:"kind"`
 	// Declared is the size that the customer states; it may be far off.
 	Declared Resources `json:"declared"`
-	// Runtime is the customer's estimate; zero when unknown.
+	// Runtime is the customer's estimate; zero if unknown.
 	Runtime Duration `json:"runtime,omitempty"`
-	// Payload is handed to the task unread.
+	// Payload is passed to the task uninterpreted.
 	Payload []byte `json:"payload,omitempty"`
 }
 
@@ -48,7 +48,7 @@
 	Shard    ShardID  `json:"shard"`
 	Spec     JobSpec  `json:"spec"`
 	State    JobState `json:"state"`
-	// Epoch is raised by each claim. A result that carries another epoch is
+	// Epoch increases with each claim. A result that carries another epoch is
 	// refused, which fences off a holder that lost its lease.
 	Epoch Epoch `json:"epoch"`
 	// Instance and Incarnation name the agent lease that covers a running task.
@@ -58,16 +58,16 @@
 	Checkpoint string `json:"checkpoint,omitempty"`
 	// Result is the object key of the result of a done job.
 	Result string `json:"result,omitempty"`
-	// Reason says why the job waits, failed or is parked, for people.
+	// Reason explains to people why the job waits, failed or is parked.
 	Reason string `json:"reason,omitempty"`
-	// Evictions counts how often the task was stopped before its end.
+	// Evictions counts the claims that were evicted, cancelled or lost.
 	Evictions int `json:"evictions,omitempty"`
 	// Failures counts runs that ended in an error of the task itself.
 	Failures int `json:"failures,omitempty"`
-	// CancelRequested is set while a running task is being stopped for good.
+	// CancelRequested is set while a cancelled job's task is being stopped.
 	CancelRequested bool `json:"cancel_requested,omitempty"`
-	// Submitted orders jobs within one customer; the owner assigns it.
+	// Submitted orders jobs within one customer; the shard's owner assigns it.
 	Submitted uint64 `json:"submitted,omitempty"`
-	// Ended is the period in which the job became final, 0 if not noted yet.
+	// Ended is the epoch in which the job became final, 0 if not recorded yet.
 	Ended RetentionEpoch `json:"ended,omitempty"`
 }
--- a/structs/keys.go
+++ b/structs/keys.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Prefixes of the table service's keys.
+// Prefixes of the table service's keys, and its fixed keys.
 const (
 	JobPrefix        = "job/"
 	ShardPrefix      = "shard/"
@@ -34,7 +34,7 @@
 	return CallPrefix + string(c) + "/" + idempotencyKey
 }
 
-// RetentionKey is the table key of the count of periods for one sort of rows.
+// RetentionKey is the table key of the retention epoch for one sort of rows.
 func RetentionKey(sort string) string { return RetentionPrefix + sort }
 
 // ResultKey is the object key of a task's result. The epoch is part of it, so
--- a/structs/lease.go
+++ b/structs/lease.go
@@ -1,6 +1,6 @@
 package structs
 
-// LeaseState is what a lease row says of its holder.
+// LeaseState is the state of a lease row.
 type LeaseState string
 
 // The states of an agent's lease. Fenced and Released both prove that no task
@@ -11,24 +11,24 @@
 	LeaseFenced   LeaseState = "fenced"
 )
 
-// AgentLease is the row under AgentLeaseKey: one row covers every batch task
-// of the instance. The holder raises Counter at each renewal. An observer
-// never compares clocks: it counts from when it saw Counter change.
+// AgentLease is the row under AgentLeaseKey: one row covers every batch task of
+// the instance. The holder increments Counter at each renewal. An observer
+// never compares clocks: it measures the time since it saw Counter change.
 type AgentLease struct {
 	Instance    InstanceID  `json:"instance"`
 	Incarnation Incarnation `json:"incarnation"`
 	Counter     uint64      `json:"counter"`
 	State       LeaseState  `json:"state"`
-	// Length is the time after a renewal was sent at which the holder has
-	// stopped all its tasks. Observers wait for it and a margin.
+	// Length is the time after the sending of a renewal by which the holder has
+	// stopped all its tasks. Observers wait for Length and a margin.
 	Length  Duration   `json:"length"`
 	Address string     `json:"address"`
 	Zone    DataCentre `json:"data_centre"`
 }
 
-// ShardLease is the row under ShardKey. Each write of the shard is
-// conditional on this row's version, so a holder that was replaced can't
-// write, whatever it believes.
+// ShardLease is the row under ShardKey. Each write of the shard is conditional
+// on this row's version, so a replaced holder can't write, even if it believes
+// that it still holds the lease.
 type ShardLease struct {
 	Shard   ShardID  `json:"shard"`
 	Owner   EntryID  `json:"owner"`
--- a/structs/refusal.go
+++ b/structs/refusal.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Outcome says what is known of a request that did not get its answer.
+// Outcome states whether a request that got no answer may have run.
 type Outcome string
 
-// NotRun is a proof: the request has not started and never will. Unknown
-// claims nothing.
+// NotRun guarantees that the request has not started and never will. Unknown
+// guarantees nothing.
 const (
 	NotRun  Outcome = "not_run"
 	Unknown Outcome = "unknown"
@@ -51,16 +51,16 @@
 	RefusedUnsupportedKind RefusalType = "unsupported-kind"
 )
 
-// Refusal is the typed final answer to a request that gets no result. It
-// travels over net/rpc as a value and to callers as an RFC 9457 document.
+// Refusal is the typed final answer to a request that gets no result. Processes
+// send it over net/rpc as a value; callers receive it as an RFC 9457 document.
 type Refusal struct {
 	Type    RefusalType
 	Status  int
 	Outcome Outcome
 	Detail  string
-	// RetryAfter is when coming back helps; zero when it doesn't.
+	// RetryAfter is the time after which a retry may succeed; 0 if none can.
 	RetryAfter time.Duration
-	// Step and Peer say where it arose.
+	// Step and Peer name the refused operation and the process concerned.
 	Step string
 	Peer string
 }
