--- a/structs/api/api.go
+++ b/structs/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the JSON documents of the callers' and operators' HTTP
-// interface, as entries write them and the commands read them.
+// Package api defines the JSON documents of the HTTP interface for callers and
+// operators, as entries write them and the commands read them.
 package api
 
 import (
@@ -8,8 +8,8 @@
 	"persimmonrock.example/structs"
 )
 
-// JobRequest is a job to submit. Payload is any JSON value; the task gets its
-// bytes.
+// JobRequest is a job to submit. Payload is any JSON value; the task receives
+// its bytes.
 type JobRequest struct {
 	Kind     structs.Kind      `json:"kind"`
 	Declared structs.Resources `json:"declared"`
@@ -17,7 +17,7 @@
 	Payload  json.RawMessage   `json:"payload,omitempty"`
 }
 
-// Job is a job as its customer sees it.
+// Job is the customer's view of a job.
 type Job struct {
 	ID        structs.JobID      `json:"id"`
 	Customer  structs.Customer   `json:"customer"`
@@ -30,7 +30,7 @@
 	Epoch     structs.Epoch      `json:"epoch"`
 }
 
-// JobOf returns what the customer sees of j.
+// JobOf returns the customer's view of j.
 func JobOf(j structs.Job) Job {
 	return Job{
 		ID: j.ID, Customer: j.Customer, Kind: j.Spec.Kind, State: j.State, Reason: j.Reason,
@@ -43,25 +43,26 @@
 	Jobs []Job `json:"jobs"`
 }
 
-// Contracts is every contract at one revision.
+// Contracts lists all contracts at one revision.
 type Contracts struct {
 	Revision  structs.Revision   `json:"revision"`
 	Contracts []structs.Contract `json:"contracts"`
 }
 
-// Process says which configuration one process has.
+// Process reports which configuration one process has.
 type Process struct {
 	Process  string           `json:"process"`
 	Kind     string           `json:"kind"`
 	Address  string           `json:"address"`
 	Revision structs.Revision `json:"revision"`
-	// Age is how old the knowledge is; entries are asked anew.
+	// Age is the time since an agent reported; entries are queried on each
+	// request and have 0.
 	Age structs.Duration `json:"age"`
 	// Unknown is set when the process did not answer.
 	Unknown bool `json:"unknown,omitempty"`
 }
 
-// Config says which revision is in force where.
+// Config reports the revision in force and the revision of each process.
 type Config struct {
 	Revision  structs.Revision `json:"revision"`
 	Processes []Process        `json:"processes"`
@@ -83,7 +84,7 @@
 	Backends []Backend `json:"backends"`
 }
 
-// Instance is one instance as an entry knows it.
+// Instance is one instance as known to an entry.
 type Instance struct {
 	Instance structs.InstanceID `json:"instance"`
 	Zone     structs.DataCentre `json:"data_centre"`
@@ -92,7 +93,7 @@
 	Suspect  bool               `json:"suspect"`
 	Free     structs.Resources  `json:"free"`
 	Total    structs.Resources  `json:"total"`
-	// Urgent and Batch count what runs now.
+	// Urgent and Batch count the running calls and tasks.
 	Urgent   int              `json:"urgent"`
 	Batch    int              `json:"batch"`
 	Revision structs.Revision `json:"revision"`
@@ -104,9 +105,9 @@
 	Instances []Instance `json:"instances"`
 }
 
-// TimeLine is the merged events of all processes that could be reached.
+// TimeLine holds the merged events of all processes that could be reached.
 type TimeLine struct {
 	Events []structs.Event `json:"events"`
-	// Missing are the processes that did not answer.
+	// Missing lists the processes that did not answer.
 	Missing []string `json:"missing,omitempty"`
 }
