--- a/structs/workload/check.go
+++ b/structs/workload/check.go
@@ -2,11 +2,10 @@
 
 import "fmt"
 
-// Limits of a job that is handed in. They keep one job's rows within a row
-// of the store and a plan within a fraction of a second.
+// Limits on a submitted job. They keep each of its rows below the store's row
+// size and the planning time at a fraction of a second.
 const (
-	// MaxPayload is the longest payload, in bytes, that the users' pages
-	// allow.
+	// MaxPayload is the greatest documented length of a payload, in bytes.
 	MaxPayload = 4000
 	maxSteps   = 200
 	maxTasks   = 5000
@@ -31,7 +30,7 @@
 	return true
 }
 
-// Check returns an *InvalidError that names the first fault of a job.
+// Check returns an *InvalidError for the first fault of a job.
 func (j *Job) Check() error {
 	if !ValidJobID(string(j.ID)) {
 		return &InvalidError{fmt.Sprintf("job identifier %.40q is not 16 hexadecimal digits", string(j.ID))}
--- a/structs/workload/config.go
+++ b/structs/workload/config.go
@@ -13,26 +13,26 @@
 	Prefix string `json:"-"`
 	// Service is the service whose workers run the tasks.
 	Service string `json:"s"`
-	// Priority 0 comes first.
+	// Priority orders queues; 0 is served first.
 	Priority int `json:"p,omitempty"`
-	// MaxAttempts is the number of failed runs of a task that fail its job.
+	// MaxAttempts is the number of failed runs of a task that fails its job.
 	MaxAttempts int `json:"a,omitempty"`
-	// Stretch and TargetLatency give the objective: Stretch times the
-	// longest chain of work, and TargetLatency more.
+	// Stretch and TargetLatency define the objective: Stretch times the longest
+	// chain of work, plus TargetLatency.
 	Stretch       float64       `json:"x,omitempty"`
 	TargetLatency time.Duration `json:"t,omitempty"`
 	// Timeout bounds a client's call; 0 is no bound.
 	Timeout time.Duration `json:"-"`
-	// Advised queues only run on workers that the policy service names.
+	// Advised queues use only workers that the policy service names.
 	Advised bool `json:"v,omitempty"`
 }
 
 // Service is one service of a configuration.
 type Service struct {
 	Name string
-	// Guards says that its workers refuse what does not fit.
+	// Guards says that the service's workers refuse tasks that do not fit.
 	Guards bool
-	// HealthPath is where a worker of the service tells its health.
+	// HealthPath is the path at which the service's workers report health.
 	HealthPath string
 }
 
--- a/structs/workload/drains.go
+++ b/structs/workload/drains.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Drains are the data centres that the operator has drained: nothing more may
-// start there until the drain is taken back. What is shared is never changed.
+// Drains lists the data centres that the operator has drained: nothing may
+// start there until the drain is cancelled. A shared Drains is never modified.
 type Drains struct {
-	// Version is the store's as of which this was read. Of two readings the
-	// one with the higher version is newer.
+	// Version is the store's version at the read. Of two reads the one with the
+	// higher version is newer.
 	Version     uint64
 	DataCentres map[string]bool
 }
@@ -17,5 +17,5 @@
 // Covers reports whether the data centre is drained.
 func (d Drains) Covers(dataCentre string) bool { return d.DataCentres[dataCentre] }
 
-// Names lists the data centres in order.
+// Names returns the names of the data centres, sorted.
 func (d Drains) Names() []string { return slices.Sorted(maps.Keys(d.DataCentres)) }
--- a/structs/workload/errors.go
+++ b/structs/workload/errors.go
@@ -14,12 +14,12 @@
 	ErrNoQueue = errors.New("no such queue")
 	// ErrNoJob says that the store was read and has no such job.
 	ErrNoJob = errors.New("no such job")
-	// ErrUndecided says that a write may or may not take effect; the caller
-	// has to ask again with the same identifier.
+	// ErrUndecided says that a write may or may not take effect; the caller has
+	// to retry with the same identifier.
 	ErrUndecided = errors.New("outcome not known")
 )
 
-// UnavailableError says that the call had no effect and when to come back.
+// UnavailableError says that the call had no effect and when to retry.
 type UnavailableError struct {
 	RetryAfter time.Duration
 	Cause      error
@@ -29,7 +29,7 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// InvalidError says what is wrong with a request.
+// InvalidError describes a fault of a request.
 type InvalidError struct{ Detail string }
 
 func (e *InvalidError) Error() string { return "invalid: " + e.Detail }
--- a/structs/workload/job.go
+++ b/structs/workload/job.go
@@ -1,5 +1,5 @@
-// Package workload holds the nouns of jobs made of steps: what a client hands
-// in, what runs where, and how a run ends.
+// Package workload defines the types of jobs made of steps: what a client
+// submits, the workers and runs, and the ends of runs.
 package workload
 
 import "time"
@@ -7,7 +7,7 @@
 // JobID is the identifier that the client chose for its job.
 type JobID string
 
-// Resources is an amount of what a worker offers or a task takes.
+// Resources is an amount that a worker offers or a task uses.
 type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int `json:"c,omitempty"`
@@ -27,7 +27,7 @@
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, GPU: r.GPU - o.GPU}
 }
 
-// Fits reports whether r has room in free.
+// Fits reports whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.GPU <= free.GPU
 }
@@ -36,13 +36,13 @@
 type Step struct {
 	Count int       `json:"n"`
 	Need  Resources `json:"r"`
-	// Estimate is the client's rough guess of a task's run time.
+	// Estimate is the client's rough estimate of a task's run time.
 	Estimate time.Duration `json:"e,omitempty"`
 	// After lists earlier steps whose tasks must all be done first.
 	After []int `json:"a,omitempty"`
 	// Checkpointing tasks save their progress and resume from it.
 	Checkpointing bool `json:"k,omitempty"`
-	// Gang tasks only work together: one run number, all present at once.
+	// Gang tasks work only together, all with one run number and at once.
 	Gang bool `json:"g,omitempty"`
 	// Coupled tasks slow down when they span racks.
 	Coupled bool `json:"t,omitempty"`
@@ -50,26 +50,25 @@
 	Label string `json:"l,omitempty"`
 	// DataRack is the rack that holds the step's data, if any.
 	DataRack string `json:"d,omitempty"`
-	// Spread is the most tasks of the step on one worker; 0 is no limit.
+	// Spread is the maximum number of the step's tasks per worker; 0 is no
+	// limit.
 	Spread int `json:"s,omitempty"`
 	// Copies allows several runs of one task at a time.
 	Copies bool `json:"y,omitempty"`
-	// Lasting tasks run until the job is cancelled and restart however they
-	// end.
+	// Lasting tasks run until the job is cancelled; any end restarts them.
 	Lasting bool `json:"o,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"i,omitempty"`
-	// TailTarget is the bound of a lasting task's tail latency; 0 is none.
+	// TailTarget is the bound on a lasting task's tail latency; 0 is none.
 	TailTarget time.Duration `json:"x,omitempty"`
-	// Fills tasks take processor time that others leave unused; their CPU is
-	// not counted against the worker.
+	// Fills marks filling tasks: they use processor time that other tasks leave
+	// unused, and their CPU is not counted against the worker.
 	Fills bool `json:"f,omitempty"`
-	// MayMiss is the number of lasting tasks that orders may take away at
-	// the same time.
+	// MayMiss is the number of lasting tasks that orders may stop at a time.
 	MayMiss int `json:"z,omitempty"`
 }
 
-// Reserved is what one task takes of a worker's counted room.
+// Reserved returns the part of a worker's counted capacity that one task uses.
 func (s Step) Reserved() Resources {
 	if s.Fills {
 		return Resources{Memory: s.Need.Memory, GPU: s.Need.GPU}
@@ -79,8 +78,7 @@
 
 // Repeat describes a job whose steps run several times.
 type Repeat struct {
-	// Count is the number of occurrences; 0 means a job that runs once, at
-	// once.
+	// Count is the number of occurrences; 0 means one immediate run.
 	Count int `json:"n,omitempty"`
 	// First is the due time of occurrence 0, in milliseconds since 1970.
 	First int64 `json:"f,omitempty"`
@@ -88,25 +86,25 @@
 	Interval int64 `json:"i,omitempty"`
 }
 
-// Due is the time before which occurrence k may not start.
+// Due returns the time before which occurrence k may not start.
 func (r Repeat) Due(k int) time.Time {
 	return time.UnixMilli(r.First + int64(k)*r.Interval)
 }
 
-// Job is an accepted job as it is stored. It never changes.
+// Job is an accepted job as it is stored. It is immutable.
 type Job struct {
 	ID JobID `json:"id"`
 	// Queue is the queue as configured when the job was accepted.
 	Queue Queue `json:"q"`
-	// Payload is handed to each task as it is.
+	// Payload is passed to each task unchanged.
 	Payload string `json:"p"`
 	Steps   []Step `json:"s"`
 	Repeat  Repeat `json:"r,omitzero"`
-	// Accepted is on the store's clock, in milliseconds.
+	// Accepted is the time of acceptance by the store's clock, in milliseconds.
 	Accepted int64 `json:"at"`
 }
 
-// Occurrences is the number of times that the steps run.
+// Occurrences returns the number of times that the steps run.
 func (j Job) Occurrences() int {
 	if j.Repeat.Count > 0 {
 		return j.Repeat.Count
--- a/structs/workload/task.go
+++ b/structs/workload/task.go
@@ -15,7 +15,7 @@
 	Index      int
 }
 
-// String gives the task's name, JOB.OCCURRENCE.STEP.INDEX.
+// String returns the task's name, JOB.OCCURRENCE.STEP.INDEX.
 func (t TaskID) String() string {
 	return string(t.Job) + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
@@ -23,7 +23,7 @@
 // taskNameParts is the number of parts of a task's name.
 const taskNameParts = 4
 
-// ParseTaskID reads what String gives.
+// ParseTaskID parses a name that String returned.
 func ParseTaskID(s string) (TaskID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != taskNameParts {
@@ -33,25 +33,25 @@
 	for i := range numbers {
 		n, err := strconv.Atoi(parts[i+1])
 		if err != nil || n < 0 {
-			return TaskID{}, fmt.Errorf("task name %q: part %d is no number", s, i+1)
+			return TaskID{}, fmt.Errorf("task name %q: part %d is not a number", s, i+1)
 		}
 		numbers[i] = n
 	}
 	return TaskID{Job: JobID(parts[0]), Occurrence: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
 }
 
-// RunID names one start of a task. Run numbers of a task start at 1 and rise.
+// RunID names one start of a task. A task's run numbers increase from 1.
 type RunID struct {
 	Task TaskID
 	Run  int
 }
 
-// String gives the run for logs.
+// String returns the run's name for logs.
 func (r RunID) String() string {
 	return r.Task.String() + "#" + strconv.Itoa(r.Run)
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind string
 
 // The ways in which a run ends.
@@ -64,23 +64,22 @@
 	EndAlone   EndKind = "alone"
 )
 
-// End is one end that a worker lists.
+// End is the end of one run, as its worker lists it.
 type End struct {
-	// Number counts the ends of one life of a worker, from 1.
+	// Number counts the ends of one incarnation of a worker, from 1.
 	Number uint64
 	Run    RunID
 	Kind   EndKind
-	// Checkpoint is what the run saved; empty if nothing.
+	// Checkpoint identifies the progress that the run saved; empty if none.
 	Checkpoint string
-	// Worked is how long the run worked, counted as if at full speed; 0 if it
-	// is not known.
+	// Worked is the run's working time, converted to full speed; 0 if unknown.
 	Worked time.Duration
 }
 
-// WorkerID names one life of the worker beside an agent.
+// WorkerID names one incarnation of the worker beside an agent.
 type WorkerID string
 
-// Worker is what a worker says of itself.
+// Worker describes a worker as it reports itself.
 type Worker struct {
 	ID         WorkerID  `json:"i"`
 	Service    string    `json:"s"`
@@ -91,7 +90,7 @@
 }
 
 // HasLabel reports whether the worker carries the label; each worker carries
-// the empty one.
+// the empty label.
 func (w Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
