--- a/wire/agent.go
+++ b/wire/agent.go
@@ -6,7 +6,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Header is one HTTP header field that matters to the caller.
+// Header is one forwarded HTTP header field.
 type Header struct {
 	Name  string
 	Value string
@@ -20,26 +20,25 @@
 	Service  structs.Service
 	Headers  []Header
 	Body     []byte
-	// Budget is the time that the caller will still wait.
+	// Budget is the time for which the caller will still wait.
 	Budget time.Duration
-	// Revision is the configuration the entry decided under.
+	// Revision is the configuration under which the entry decided.
 	Revision structs.Revision
 }
 
-// CallReply is the whole answer of a backend server, or the refusal.
+// CallReply is the complete answer of a backend server, or a refusal.
 type CallReply struct {
-	// Request repeats the request's ID; an entry drops a reply whose ID is
-	// not the one it asked for.
+	// Request repeats the request's ID; an entry drops a reply with another ID.
 	Request structs.RequestID
 	Status  int
 	Headers []Header
 	Body    []byte
 	Refused *structs.Refusal
-	// Load rides on every answer, so that no idle report is needed.
+	// Load is part of every reply, so that no separate report is needed.
 	Load Load
 }
 
-// Load is an agent's own view of its instance, exact when it was taken.
+// Load is an agent's report on its instance, exact when it was taken.
 type Load struct {
 	Instance structs.InstanceID
 	// Process is a random name that the agent process chose at its start.
@@ -73,8 +72,8 @@
 	Running  int
 }
 
-// CancelRequest tells an agent that the caller of an urgent call has left.
-// It never frees the slot: only the backend server's answer does.
+// CancelRequest notifies an agent that the caller of an urgent call no longer
+// waits. It never frees the slot: only the backend server's answer does.
 type CancelRequest struct {
 	Request structs.RequestID
 }
@@ -82,21 +81,21 @@
 // Empty is a message without content.
 type Empty struct{}
 
-// StartRequest hands claimed tasks to an agent.
+// StartRequest sends claimed tasks to an agent.
 type StartRequest struct {
 	Tasks []TaskGrant
 }
 
-// TaskGrant is one claimed task: the job row already says that Incarnation of
-// this instance runs it at Epoch.
+// TaskGrant is one claimed task: the job row already records that Incarnation
+// of this instance runs it at Epoch.
 type TaskGrant struct {
 	Job         structs.JobID
 	Shard       structs.ShardID
 	Epoch       structs.Epoch
 	Incarnation structs.Incarnation
-	// Instance is the one that the claim names. An agent of another instance,
-	// which may have been given the address since, refuses the grant; an empty
-	// one is not checked.
+	// Instance is the instance that the claim names. An agent of another
+	// instance, to which the address may have been reassigned since, refuses
+	// the grant; an empty Instance is not checked.
 	Instance   structs.InstanceID
 	Customer   structs.Customer
 	Spec       structs.JobSpec
@@ -109,7 +108,7 @@
 	Load    Load
 }
 
-// StopReason says why a task is stopped before its end.
+// StopReason is the reason for stopping a task before its end.
 type StopReason string
 
 // The reasons for stopping a task.
@@ -126,7 +125,7 @@
 	Epoch structs.Epoch
 }
 
-// StopRequest asks an agent to stop tasks. The end of each is told by a
+// StopRequest asks an agent to stop tasks. The end of each is reported by a
 // TaskReport, never by this call's reply.
 type StopRequest struct {
 	Tasks  []TaskRef
@@ -135,9 +134,9 @@
 
 // DrainRequest starts a planned stop of the instance, or of one service on it.
 type DrainRequest struct {
-	// Service names the one service to retire; "" stands for the instance.
+	// Service names the one service to retire; "" means the whole instance.
 	Service structs.Service
-	// Cancel takes an instance back into use.
+	// Cancel ends the drain and returns the instance to service.
 	Cancel bool
 }
 
@@ -154,7 +153,7 @@
 	Events []structs.Event
 }
 
-// AgentAPI is what an agent serves under the net/rpc name "Agent".
+// AgentAPI is the API that an agent serves under the net/rpc name "Agent".
 type AgentAPI interface {
 	Call(CallRequest, *CallReply) error
 	Cancel(CancelRequest, *Empty) error
--- a/wire/client.go
+++ b/wire/client.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// dialTimeout bounds one connection attempt; a caller may give up sooner.
+// dialTimeout bounds one connection attempt; a caller may stop waiting sooner.
 const dialTimeout = 2 * time.Second
 
 // Client is the Dialer over TCP. It keeps one connection for each address.
@@ -24,8 +24,8 @@
 	links map[string]*link
 }
 
-// NewClient returns a Dialer that proves itself with secret. A nil tlsConfig
-// means plain TCP. count may be nil.
+// NewClient returns a Dialer that authenticates itself with secret. A nil
+// tlsConfig means plain TCP. count may be nil.
 func NewClient(secret []byte, tlsConfig *tls.Config, count *ByteCount) *Client {
 	if count == nil {
 		count = &ByteCount{}
@@ -46,12 +46,12 @@
 // Entry implements Dialer.
 func (c *Client) Entry(address string) EntryPeer { return entryPeer{c.link(address)} }
 
-// Close cuts all connections; calls in flight fail as sent.
+// Close closes all connections; calls in flight fail with Sent set.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range c.links {
-		l.cut()
+		l.disconnect()
 	}
 	c.links = make(map[string]*link)
 }
@@ -72,36 +72,36 @@
 	client  *Client
 	address string
 
-	mu      sync.Mutex
-	conn    net.Conn
-	rpc     *rpc.Client
-	dialing *dialing
+	mu          sync.Mutex
+	conn        net.Conn
+	rpc         *rpc.Client
+	dialAttempt *dialAttempt
 }
 
-// dialing is one attempt to connect that any number of callers wait for.
-type dialing struct {
+// dialAttempt is one attempt to connect; any number of callers wait for it.
+type dialAttempt struct {
 	done chan struct{}
 	rpc  *rpc.Client
 	err  error
 }
 
-// connect returns the live client of the link, dialling if there is none.
+// connect returns the link's open client, dialling if there is none.
 //
-// Failure guarded against: a peer that hangs accepts connections, since its
-// kernel does, and then says nothing. Every caller would wait for the
-// handshake's time-out, whatever its own deadline. So the attempt runs by
-// itself, once for all callers, and each waits no longer than its context.
+// Failure guarded against: a peer that hangs still accepts connections, since
+// its kernel does, but never answers. Every caller would wait for the
+// handshake's time-out, whatever its own deadline. So the attempt runs
+// separately, once for all callers, and each waits no longer than its context.
 func (l *link) connect(ctx context.Context) (*rpc.Client, error) {
 	l.mu.Lock()
 	if l.rpc != nil {
 		defer l.mu.Unlock()
 		return l.rpc, nil
 	}
-	if l.dialing == nil {
-		l.dialing = &dialing{done: make(chan struct{})}
-		go l.dial(l.dialing)
+	if l.dialAttempt == nil {
+		l.dialAttempt = &dialAttempt{done: make(chan struct{})}
+		go l.dial(l.dialAttempt)
 	}
-	d := l.dialing
+	d := l.dialAttempt
 	l.mu.Unlock()
 	select {
 	case <-d.done:
@@ -111,16 +111,16 @@
 	}
 }
 
-// dial connects and tells the waiting callers. A link that was cut meanwhile
-// drops the new connection.
-func (l *link) dial(d *dialing) {
+// dial connects and wakes the waiting callers. If the link was disconnected
+// meanwhile, it closes the new connection.
+func (l *link) dial(d *dialAttempt) {
 	conn, err := l.open()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer close(d.done)
-	current := l.dialing == d
+	current := l.dialAttempt == d
 	if current {
-		l.dialing = nil
+		l.dialAttempt = nil
 	}
 	switch {
 	case err != nil:
@@ -145,16 +145,16 @@
 		conn = tls.Client(conn, l.client.tls)
 	}
 	conn = l.client.bytes.wrap(conn)
-	if err := greetClient(conn, l.client.secret); err != nil {
+	if err := clientHandshake(conn, l.client.secret); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// drop forgets a failed client. It closes the connection and never calls
-// rpc.Client.Close: that would end calls in flight with ErrShutdown, which
-// must stay the proof that a call was not sent.
+// drop removes a failed client from the link. It closes the connection and
+// never calls rpc.Client.Close: that would end calls in flight with
+// ErrShutdown, which must remain proof that a call was not sent.
 func (l *link) drop(failed *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +166,7 @@
 	l.rpc = nil
 }
 
-func (l *link) cut() {
+func (l *link) disconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -174,12 +174,12 @@
 	}
 	l.conn = nil
 	l.rpc = nil
-	l.dialing = nil
+	l.dialAttempt = nil
 }
 
-// call runs one RPC. The reply is only touched again by the caller when the
-// error is nil, since a late answer may still be written into it; args must
-// not be changed afterwards, since they may still be on their way.
+// call runs one RPC. The caller may read reply only if the error is nil, since
+// a late answer may still be written into it; args must not be changed
+// afterwards, since they may not have been sent yet.
 func (l *link) call(ctx context.Context, method string, args, reply any) error {
 	for attempt := 0; ; attempt++ {
 		c, err := l.connect(ctx)
@@ -190,8 +190,8 @@
 			return &PeerError{Step: method, Peer: l.address, Err: err}
 		}
 		done := make(chan *rpc.Call, 1)
-		// Go itself writes, and a peer that reads no more blocks the write
-		// beyond the caller's deadline.
+		// Go itself writes the request, and a peer that no longer reads blocks
+		// the write beyond the caller's deadline.
 		go c.Go(method, args, reply, done)
 		select {
 		case <-ctx.Done():
@@ -203,13 +203,13 @@
 			return nil
 		}
 		if errors.Is(err, rpc.ErrShutdown) && attempt == 0 {
-			// The connection had died before this call: nothing was sent, so
-			// one fresh connection is tried.
+			// The connection failed before this call: nothing was sent, so the
+			// call is retried on one new connection.
 			l.drop(c)
 			continue
 		}
-		var refused rpc.ServerError
-		if !errors.As(err, &refused) {
+		var serverErr rpc.ServerError
+		if !errors.As(err, &serverErr) {
 			l.drop(c)
 		}
 		return &PeerError{Step: method, Peer: l.address, Sent: !errors.Is(err, rpc.ErrShutdown), Err: err}
@@ -219,8 +219,8 @@
 func invoke[Q, R any](ctx context.Context, l *link, method string, request Q) (R, error) {
 	reply := new(R)
 	if err := l.call(ctx, method, request, reply); err != nil {
-		var none R
-		return none, err
+		var zero R
+		return zero, err
 	}
 	return *reply, nil
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -12,7 +12,7 @@
 type Clock interface {
 	// Now returns the logical time of the latest event.
 	Now() uint64
-	// Observe moves the clock to at least the given time.
+	// Observe advances the clock to at least the given time.
 	Observe(logical uint64)
 }
 
@@ -22,9 +22,9 @@
 
 func (noClock) Observe(uint64) {}
 
-// requestHeader and responseHeader are net/rpc's headers with the sender's
-// logical time, so that every message between two processes orders their
-// events, whatever the message is.
+// requestHeader and responseHeader are net/rpc's headers plus the sender's
+// logical time, so that every message between two processes, whatever its
+// content, orders their events.
 type requestHeader struct {
 	ServiceMethod string
 	Seq           uint64
@@ -38,8 +38,8 @@
 	Clock         uint64
 }
 
-// codec is the gob stream of one connection. It implements both
-// rpc.ClientCodec and rpc.ServerCodec, which never use one at the same time.
+// codec is the gob stream of one connection. It implements both rpc.ClientCodec
+// and rpc.ServerCodec; each connection uses only one of them.
 type codec struct {
 	conn  io.ReadWriteCloser
 	in    *gob.Decoder
@@ -69,9 +69,9 @@
 	return c.write(responseHeader{ServiceMethod: r.ServiceMethod, Seq: r.Seq, Error: r.Error, Clock: c.clock.Now()}, body)
 }
 
-// write sends one message. After a failure the stream is in an unknown state,
-// so the connection is closed, and the other side does not wait for an answer
-// that can't come.
+// write sends one message. After a failure the state of the stream is unknown,
+// so write closes the connection, and the other side does not wait for an
+// answer that can't come.
 func (c *codec) write(header, body any) error {
 	err := c.out.Encode(header)
 	if err == nil {
@@ -114,5 +114,5 @@
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *codec) ReadResponseBody(body any) error { return c.in.Decode(body) }
 
-// Close implements both codecs.
+// Close implements rpc.ClientCodec and rpc.ServerCodec.
 func (c *codec) Close() error { return c.conn.Close() }
--- a/wire/cut_test.go
+++ b/wire/cut_test.go
@@ -17,32 +17,32 @@
 	"pgregory.net/rapid"
 )
 
-// cutter stands between a client and an agent and closes the connection after
-// a number of the client's bytes beyond the handshake.
-type cutter struct {
+// cuttingProxy relays between a client and an agent and closes the connection
+// after a number of the client's bytes beyond the handshake.
+type cuttingProxy struct {
 	net.Listener
 	target string
-	// after counts down; below zero nothing is cut.
-	after atomic.Int64
-	// passed counts request bytes that reached the agent.
-	passed atomic.Int64
+	// remaining counts down to the cut; a negative value disables the cut.
+	remaining atomic.Int64
+	// forwarded counts request bytes that reached the agent.
+	forwarded atomic.Int64
 }
 
-func newCutter(t testing.TB, target string) *cutter {
-	c := &cutter{Listener: listenLocal(t), target: target}
+func newCuttingProxy(t testing.TB, target string) *cuttingProxy {
+	c := &cuttingProxy{Listener: listenLocal(t), target: target}
 	go func() {
 		for {
 			conn, err := c.Accept()
 			if err != nil {
 				return
 			}
-			go c.relay(conn)
+			go c.forward(conn)
 		}
 	}()
 	return c
 }
 
-func (c *cutter) relay(client net.Conn) {
+func (c *cuttingProxy) forward(client net.Conn) {
 	defer client.Close()
 	agent, err := net.Dial("tcp", c.target)
 	if err != nil {
@@ -53,26 +53,25 @@
 		io.Copy(client, agent)
 		client.Close()
 	}()
-	greeting := make([]byte, 64)
-	if _, err := io.ReadFull(client, greeting); err != nil {
+	handshake := make([]byte, 64)
+	if _, err := io.ReadFull(client, handshake); err != nil {
 		return
 	}
-	agent.Write(greeting)
-	one := make([]byte, 1)
-	for c.after.Add(-1) != -1 {
-		if _, err := client.Read(one); err != nil {
+	agent.Write(handshake)
+	b := make([]byte, 1)
+	for c.remaining.Add(-1) != -1 {
+		if _, err := client.Read(b); err != nil {
 			return
 		}
-		c.passed.Add(1)
-		agent.Write(one)
+		c.forwarded.Add(1)
+		agent.Write(b)
 	}
 }
 
-// The connection to the agent is cut before, in the middle of and after the
-// sending of a call, at any byte. If the client says "not sent" for a call
-// that reached the agent, an entry would send a claim lodgement to a second
-// agent, and it would be lodged twice.
-func TestNotSentIsOnlySaidOfCallsThatNeverRan(t *testing.T) {
+// The connection to the agent is cut before, during and after the sending of a
+// call, at any byte. If a call that reached the agent failed as "not sent", an
+// entry would retry it at a second agent, and a submission would run twice.
+func TestNotSentCallsNeverRan(t *testing.T) {
 	size := int64(len(validFrame(t)))
 	var notSent, sent, answered int
 	rapid.Check(t, func(rt *rapid.T) {
@@ -80,31 +79,31 @@
 		s, l := startAgent(t, a)
 		defer s.Close()
 		defer l.Close()
-		cut := newCutter(t, l.Addr().String())
-		defer cut.Close()
+		proxy := newCuttingProxy(t, l.Addr().String())
+		defer proxy.Close()
 		c := NewClient([]byte(testSecret), nil, nil)
 		defer c.Close()
 		for range rapid.IntRange(1, 4).Draw(rt, "calls") {
-			cut.after.Store(rapid.Int64Range(-1, size+50).Draw(rt, "cut after"))
-			ran, passed := a.calls.Load(), cut.passed.Load()
+			proxy.remaining.Store(rapid.Int64Range(-1, size+50).Draw(rt, "cut after"))
+			ran, forwarded := a.calls.Load(), proxy.forwarded.Load()
 			ctx, cancel := context.WithTimeout(context.Background(), testBound)
-			_, err := c.Agent(cut.Addr().String()).Call(ctx, CallRequest{Request: "r", Body: []byte("body")})
+			_, err := c.Agent(proxy.Addr().String()).Call(ctx, CallRequest{Request: "r", Body: []byte("body")})
 			cancel()
-			var failed *PeerError
+			var peerErr *PeerError
 			switch {
 			case err == nil:
 				answered++
 				if a.calls.Load() != ran+1 {
 					rt.Fatalf("an answered call ran %d times", a.calls.Load()-ran)
 				}
-			case !errors.As(err, &failed):
+			case !errors.As(err, &peerErr):
 				rt.Fatalf("got %v", err)
-			case failed.Sent:
+			case peerErr.Sent:
 				sent++
 			default:
 				notSent++
-				if a.calls.Load() != ran || cut.passed.Load() != passed {
-					rt.Fatalf("not sent, but %d bytes and %d calls arrived", cut.passed.Load()-passed, a.calls.Load()-ran)
+				if a.calls.Load() != ran || proxy.forwarded.Load() != forwarded {
+					rt.Fatalf("not sent, but %d bytes and %d calls arrived", proxy.forwarded.Load()-forwarded, a.calls.Load()-ran)
 				}
 			}
 		}
@@ -114,7 +113,7 @@
 
 // An agent was restarted while the connection to it was idle. The next call
 // must go out on a new connection, once, and not fail as if it might have run.
-func TestIdleConnectionThatDiedIsReplaced(t *testing.T) {
+func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	a := &countingAgent{}
 	s, l := startAgent(t, a)
 	c := NewClient([]byte(testSecret), nil, nil)
@@ -130,7 +129,7 @@
 		}
 		s.mu.Unlock()
 		link := c.link(l.Addr().String())
-		eventually(t, "the client has noticed", func() bool {
+		eventually(t, "the client has detected the closed connection", func() bool {
 			probe := <-link.rpc.Go("Agent.Load", Empty{}, &Load{}, nil).Done
 			return errors.Is(probe.Error, rpc.ErrShutdown)
 		})
@@ -141,11 +140,11 @@
 }
 
 // An agent's machine hangs: its kernel accepts connections, but the agent
-// neither greets nor reads. Callers with 50 ms left must get their refusal in
-// time, each of them, and know that nothing was sent. Without care each would
-// wait for the handshake's time-out of seconds, one behind the other.
-func TestFrozenPeerDoesNotHoldCallersBeyondTheirDeadline(t *testing.T) {
-	frozen := listenLocal(t)
+// neither handshakes nor reads. Each caller with 50 ms left must be refused in
+// time as not sent, instead of waiting for the handshake's time-out of seconds,
+// one after the other.
+func TestHungPeerDoesNotDelayCallersBeyondDeadline(t *testing.T) {
+	hung := listenLocal(t)
 	c := NewClient([]byte(testSecret), nil, nil)
 	defer c.Close()
 	start := time.Now()
@@ -154,30 +153,30 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 			defer cancel()
-			_, err := c.Agent(frozen.Addr().String()).Call(ctx, CallRequest{})
+			_, err := c.Agent(hung.Addr().String()).Call(ctx, CallRequest{})
 			results <- err
 		}()
 	}
 	for range 8 {
 		err := <-results
-		var failed *PeerError
-		if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, context.DeadlineExceeded) {
+		var peerErr *PeerError
+		if !errors.As(err, &peerErr) || peerErr.Sent || !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("callers were held for %s", took)
+		t.Errorf("callers were blocked for %s", took)
 	}
 }
 
-// The same, with the connection made before the agent hung and bodies that
-// fill the sockets' buffers, so that even writing blocks.
-func TestPeerThatReadsNoMoreDoesNotHoldCallers(t *testing.T) {
+// As above, but the connection exists before the agent hangs, and the bodies
+// fill the sockets' buffers, so that writing blocks, too.
+func TestNonReadingPeerDoesNotDelayCallers(t *testing.T) {
 	l := listenLocal(t)
 	go func() {
 		conn, err := l.Accept()
 		if err == nil {
-			greetServer(conn, [][]byte{[]byte(testSecret)})
+			serverHandshake(conn, [][]byte{[]byte(testSecret)})
 			<-t.Context().Done()
 			conn.Close()
 		}
@@ -195,13 +194,13 @@
 		}
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("callers were held for %s", took)
+		t.Errorf("callers were blocked for %s", took)
 	}
 }
 
-// The peer hangs for good while a message is being written to it. The write
-// must fail within a bound and close the connection, or whatever waits behind
-// it would never learn of it.
+// The peer hangs permanently while a message is written to it. The write must
+// fail within a bound and close the connection; else later messages wait
+// forever.
 func TestStalledWriteClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -218,9 +217,9 @@
 	})
 }
 
-// A planned stop begins while the server sends its part of a handshake, which
-// afterwards takes the deadlines off the connection. The stop must not wait
-// for that idle connection until its bound and then cut others.
+// Shutdown is called while the server sends its part of a handshake, whose end
+// removes the deadlines from the connection. Shutdown must not wait for this
+// idle connection until its bound and then close others.
 func TestShutdownDuringAHandshake(t *testing.T) {
 	s, _ := startAgent(t, &countingAgent{})
 	client, server := net.Pipe()
@@ -234,14 +233,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testBound/2)
 	defer cancel()
 	go func() { ended <- s.Shutdown(ctx) }()
-	eventually(t, "the stop has begun", func() bool {
+	eventually(t, "the shutdown has begun", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.closing
 	})
 	io.ReadFull(client, make([]byte, sha256.Size))
 	if err := <-ended; err != nil {
-		t.Errorf("the stop ended with %v", err)
+		t.Errorf("the shutdown returned %v", err)
 	}
 }
 
@@ -258,32 +257,31 @@
 	<-a.entered
 	ended := make(chan error)
 	go func() { ended <- s.Shutdown(context.Background()) }()
-	eventually(t, "the stop has begun", func() bool {
+	eventually(t, "the shutdown has begun", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.closing
 	})
 	close(a.release)
 	if err := <-answered; err != nil {
-		t.Errorf("the call was cut: %v", err)
+		t.Errorf("the call failed: %v", err)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// tick is a clock that moves at each look, as if an event came before each
-// message.
-type tick struct{ now atomic.Uint64 }
+// steppingClock advances at each read, as if an event preceded each message.
+type steppingClock struct{ now atomic.Uint64 }
 
-func (c *tick) Now() uint64 { return c.now.Add(1) }
+func (c *steppingClock) Now() uint64 { return c.now.Add(1) }
 
-func (c *tick) Observe(logical uint64) { c.now.Store(max(logical, c.now.Load())) }
+func (c *steppingClock) Observe(logical uint64) { c.now.Store(max(logical, c.now.Load())) }
 
-// Two processes record what they did for one call. The time line must show the
-// agent's part between the entry's, so the clocks ride on request and reply.
-func TestClocksRideOnEveryMessage(t *testing.T) {
-	entry, agent := &tick{}, &tick{}
+// Two processes record events of one call. The time line must show the agent's
+// events between the entry's, so request and reply carry the clocks.
+func TestMessagesCarryLogicalClocks(t *testing.T) {
+	entry, agent := &steppingClock{}, &steppingClock{}
 	entry.now.Store(40)
 	s := NewServer([]byte(testSecret), nil).WithClock(agent)
 	s.ServeAgent(&countingAgent{})
--- a/wire/entry.go
+++ b/wire/entry.go
@@ -11,14 +11,14 @@
 	Address string
 	Zone    structs.DataCentre
 	Load    Load
-	// Omitted names the parts of this message that are left out because the
-	// entry has kept them from an earlier one.
+	// Omitted identifies the parts that are left out of this message because
+	// the entry has kept them from an earlier one.
 	Omitted HelloSums
 	// Entries is the EntriesSum of the list that this entry sent last.
 	Entries uint64
 	// Revision is the configuration that the agent holds.
 	Revision structs.Revision
-	// Want is which configuration the answer shall bring.
+	// Want is the form in which the agent wants a newer configuration.
 	Want ConfigWant
 	// Lease is the incarnation of the agent's batch lease, 0 without one.
 	Lease structs.Incarnation
@@ -27,8 +27,8 @@
 	Samples []Sample
 }
 
-// Sample is one measurement of a service on the agent's instance and what ran
-// beside it in the measured window; decide.Sample says what each value means.
+// Sample is one measurement of a service on the agent's instance and the tasks
+// beside it in the measured window; decide.Sample defines the values.
 type Sample struct {
 	Service     structs.Service
 	Band        uint8
@@ -43,57 +43,58 @@
 	Count float64
 }
 
-// HelloReply paces the agent and brings it newer configuration.
+// HelloReply schedules the next heartbeat and carries newer configuration.
 type HelloReply struct {
-	// Next is when the agent shall report again. The entry stretches it with
-	// the number of agents, to stay within its traffic budget.
+	// Next is the time until the agent's next heartbeat. The entry increases it
+	// with the number of agents, to stay within its traffic budget.
 	Next time.Duration
-	// Entries are the addresses of all entries that this one knows; none if
-	// the list is the one that the agent has from it.
+	// Entries are the addresses of all entries that this entry knows; empty if
+	// the agent already has this list from it.
 	Entries []string
-	// Kept says that the load was taken in and that its parts may be omitted
-	// from the next heartbeats. Without it, a heartbeat that omitted a part is
-	// sent again as a whole: the entry doesn't know the part, or is of an
-	// earlier release, which never says so.
+	// Kept says that the entry has stored the load and that its parts may be
+	// omitted from the next heartbeats. Without it, the agent sends a heartbeat
+	// that omitted a part again as a whole: the entry lacks the part or is of
+	// an earlier release, which never sets Kept.
 	Kept bool
-	// Config or Change is set when the agent's configuration is older, as its
-	// Want says.
+	// Config or Change is set, as the agent's Want selects, when the agent's
+	// configuration is older.
 	Config *structs.Config
 	Change *structs.ConfigChange
 }
 
-// ConfigWant says in which form a process takes a newer configuration.
+// ConfigWant is the form in which a process wants a newer configuration.
 type ConfigWant uint8
 
-// The forms. A process of an earlier release sends none of them and gets the
-// whole.
+// The forms. A process of an earlier release sends none of them and receives
+// the whole configuration.
 const (
 	// WantWhole: the whole configuration.
 	WantWhole ConfigWant = iota
-	// WantChange: the change from the revision held, or the whole where the
-	// answering entry can't tell the change.
+	// WantChange: the change from the revision held, or the whole configuration
+	// if the answering entry can't determine the change.
 	WantChange
 	// WantOnlyChange: the change or nothing; the process reads the table
 	// service itself.
 	WantOnlyChange
 )
 
-// TaskEnd is how a claim of a task ended.
+// TaskEnd is the way in which a claim of a task ended.
 type TaskEnd string
 
-// The ends of a claim. NotStarted and Evicted put the job back in the queue.
+// The ends of a claim. All but Done put the job back in the queue, unless it
+// was cancelled or has failed too often.
 const (
 	EndDone       TaskEnd = "done"
 	EndFailed     TaskEnd = "failed"
 	EndEvicted    TaskEnd = "evicted"
 	EndCancelled  TaskEnd = "cancelled"
 	EndNotStarted TaskEnd = "not_started"
-	// EndLost: the worker no longer knows of the task, which may have crashed it.
+	// EndLost: the worker no longer has the task, which may have crashed it.
 	EndLost TaskEnd = "lost"
 )
 
-// TaskReport tells the shard's owner that a claim has ended and that the task
-// has provably stopped.
+// TaskReport notifies the shard's owner that a claim has ended and that the
+// task has provably stopped.
 type TaskReport struct {
 	Job        structs.JobID
 	Shard      structs.ShardID
@@ -102,14 +103,14 @@
 	Result     string
 	Checkpoint string
 	Error      string
-	// Used is the largest measured use of the task, for learning sizes.
+	// Used is the peak measured use of the task, for learning sizes.
 	Used structs.Resources
-	// Ran is how long this claim ran, for learning run times; 0 if unknown.
+	// Ran is the run time of this claim, for learning run times; 0 if unknown.
 	Ran time.Duration
 }
 
-// ReportRequest carries the ends that an agent still has to hand over. The
-// agent repeats each until it is acknowledged.
+// ReportRequest carries the ends that have not been acknowledged to the agent.
+// The agent repeats each until it is acknowledged.
 type ReportRequest struct {
 	Instance structs.InstanceID
 	Reports  []TaskReport
@@ -118,9 +119,8 @@
 	Load Load
 }
 
-// ReportReply acknowledges, by index, each report that is recorded in the
-// table service or that an epoch has made void. Reports of other entries'
-// shards are not acknowledged.
+// ReportReply acknowledges, by index, each report that is in the table service
+// or is void by its epoch, but none of other entries' shards.
 type ReportReply struct {
 	Settled []bool
 }
@@ -149,22 +149,22 @@
 	Refused Refusals
 }
 
-// ConfigRequest asks an entry for what is above the revision held, and tells
-// it of that revision.
+// ConfigRequest informs an entry of the revision that the sender holds and asks
+// for a newer configuration.
 type ConfigRequest struct {
 	Revision structs.Revision
 	Want     ConfigWant
 }
 
-// ConfigReply has Config or Change set when the asked entry's configuration is
-// newer.
+// ConfigReply has Config or Change set when the answering entry has a newer
+// configuration.
 type ConfigReply struct {
 	Revision structs.Revision
 	Config   *structs.Config
 	Change   *structs.ConfigChange
 }
 
-// Newer returns the configuration that the reply leads to from held, or nil.
+// Newer returns the newer configuration, with a change applied to held, or nil.
 func (r ConfigReply) Newer(held structs.Config) *structs.Config {
 	if r.Change == nil {
 		return r.Config
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// EntryAPI is what an entry serves under the net/rpc name "Entry".
+// EntryAPI is the API that an entry serves under the net/rpc name "Entry".
 type EntryAPI interface {
 	Hello(HelloRequest, *HelloReply) error
 	Report(ReportRequest, *ReportReply) error
@@ -193,7 +193,7 @@
 	Job      structs.JobID
 }
 
-// ReleaseJobReply is the job as it is now, or the refusal.
+// ReleaseJobReply is the current job, or the refusal.
 type ReleaseJobReply struct {
 	Job     structs.Job
 	Refused *structs.Refusal
--- a/wire/handshake.go
+++ b/wire/handshake.go
@@ -14,15 +14,15 @@
 const (
 	nonceSize        = 32
 	handshakeTimeout = 5 * time.Second
-	// MinSecret is the least length of the shared secret in bytes.
+	// MinSecret is the minimum length of the shared secret in bytes.
 	MinSecret = 16
 )
 
 // ErrPeerSecret says that the other side does not know the shared secret.
 var ErrPeerSecret = errors.New("wire: the peer does not know the shared secret")
 
-// proof is the HMAC-SHA-256 of both nonces under the shared secret. The role
-// is part of it, so that a proof can't be sent back to its maker.
+// proof is the HMAC-SHA-256 of both nonces under the shared secret. It covers
+// the role, so that a proof can't be reflected to its sender.
 func proof(secret []byte, role string, server, client []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte(role))
@@ -31,10 +31,9 @@
 	return m.Sum(nil)
 }
 
-// greetServer runs the server's side: it sends a nonce, checks the client's
-// proof and answers with its own, under the one of secrets that the client
-// knows.
-func greetServer(c net.Conn, secrets [][]byte) error {
+// serverHandshake runs the server's side: it sends a nonce, checks the client's
+// proof and answers with its own, under the secret that the client used.
+func serverHandshake(c net.Conn, secrets [][]byte) error {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
@@ -48,7 +47,7 @@
 		return err
 	}
 	client := answer[:nonceSize]
-	secret := proved(answer[nonceSize:], secrets, server, client)
+	secret := matchingSecret(answer[nonceSize:], secrets, server, client)
 	if secret == nil {
 		return ErrPeerSecret
 	}
@@ -58,8 +57,9 @@
 	return c.SetReadDeadline(time.Time{})
 }
 
-// proved returns the secret under which the client made its proof, or nil.
-func proved(got []byte, secrets [][]byte, server, client []byte) []byte {
+// matchingSecret returns the secret with which the client made its proof, or
+// nil.
+func matchingSecret(got []byte, secrets [][]byte, server, client []byte) []byte {
 	var found []byte
 	for _, secret := range secrets {
 		if hmac.Equal(got, proof(secret, "client", server, client)) {
@@ -69,8 +69,8 @@
 	return found
 }
 
-// greetClient runs the client's side of the handshake.
-func greetClient(c net.Conn, secret []byte) error {
+// clientHandshake runs the client's side of the handshake.
+func clientHandshake(c net.Conn, secret []byte) error {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
--- a/wire/intruder_test.go
+++ b/wire/intruder_test.go
@@ -18,19 +18,19 @@
 	"time"
 )
 
-// heapBound is the most that attacks may leave or hold in memory, in bytes.
+// heapBound is the maximum growth of the heap under attack, in bytes.
 const heapBound = 64 << 20
 
-// Somebody on the network reaches an agent's port and tries to have a call
-// run without the shared secret. Nothing may run, and the connection must end.
-func TestStrangersAreTurnedAway(t *testing.T) {
+// An unauthenticated host tries to run a call on an agent without the shared
+// secret. Nothing may run, and the connection must be closed.
+func TestUnauthenticatedConnectionsAreRejected(t *testing.T) {
 	a := &countingAgent{}
 	s, l := startAgent(t, a)
 	request := validFrame(t)
 	old := recordProof(t, l.Addr().String())
 	for _, c := range []struct {
-		name  string
-		greet func(nonce []byte) []byte
+		name   string
+		answer func(nonce []byte) []byte
 	}{
 		{"RPC without a handshake", func([]byte) []byte { return nil }},
 		{"zeros", func([]byte) []byte { return make([]byte, nonceSize+sha256.Size) }},
@@ -51,7 +51,7 @@
 		conn := dialRaw(t, l.Addr().String())
 		nonce := make([]byte, nonceSize)
 		io.ReadFull(conn, nonce)
-		conn.Write(append(c.greet(bytes.Clone(nonce)), request...))
+		conn.Write(append(c.answer(bytes.Clone(nonce)), request...))
 		conn.(*net.TCPConn).CloseWrite()
 		if rest, _ := io.ReadAll(conn); len(rest) > 0 {
 			t.Errorf("%s: got %d bytes", c.name, len(rest))
@@ -63,23 +63,23 @@
 	}
 }
 
-// A process with the wrong secret dials an agent, and a false agent waits for
-// callers: neither side may send a request.
+// A process with the wrong secret dials an agent, and a client dials a false
+// agent: neither may send a request.
 func TestBothSidesProveTheSecret(t *testing.T) {
 	a := &countingAgent{}
 	_, l := startAgent(t, a)
 	wrong := NewClient([]byte("not the secret at all"), nil, nil)
 	defer wrong.Close()
 	_, err := wrong.Agent(l.Addr().String()).Call(context.Background(), CallRequest{})
-	var failed *PeerError
-	if !errors.As(err, &failed) || failed.Sent || a.calls.Load() != 0 {
+	var peerErr *PeerError
+	if !errors.As(err, &peerErr) || peerErr.Sent || a.calls.Load() != 0 {
 		t.Errorf("got %v after %d calls", err, a.calls.Load())
 	}
 	impostor := listenLocal(t)
 	go func() {
 		c, err := impostor.Accept()
 		if err == nil {
-			greetServer(c, [][]byte{[]byte("a guess of the secret")})
+			serverHandshake(c, [][]byte{[]byte("a guess of the secret")})
 			c.Write(make([]byte, sha256.Size))
 			c.Close()
 		}
@@ -87,29 +87,29 @@
 	right := NewClient([]byte(testSecret), nil, nil)
 	defer right.Close()
 	_, err = right.Agent(impostor.Addr().String()).Call(context.Background(), CallRequest{})
-	if !errors.Is(err, ErrPeerSecret) || !errors.As(err, &failed) || failed.Sent {
+	if !errors.Is(err, ErrPeerSecret) || !errors.As(err, &peerErr) || peerErr.Sent {
 		t.Errorf("got %v", err)
 	}
 }
 
-// 10,000 connections send broken frames, half of them after a good handshake.
-// The process must go on serving, and its memory must not grow.
-func TestMalformedFramesLeaveNothingBehind(t *testing.T) {
+// 10,000 connections send malformed frames, half of them after a valid
+// handshake. The process must continue to serve, and its memory must not grow.
+func TestMalformedFramesLeakNothing(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
 	random := mathrand.New(mathrand.NewPCG(3, 4))
 	frame := validFrame(t)
-	before := heap()
+	before := heapBytes()
 	frames := make(chan []byte)
 	var running sync.WaitGroup
 	for i := range 16 {
 		running.Go(func() {
 			for f := range frames {
-				throwFrame(t, l.Addr().String(), f, i%2 == 0)
+				sendFrame(t, l.Addr().String(), f, i%2 == 0)
 			}
 		})
 	}
 	for range 10_000 {
-		frames <- breakFrame(random, frame)
+		frames <- corruptFrame(random, frame)
 	}
 	close(frames)
 	running.Wait()
@@ -118,25 +118,25 @@
 		defer s.mu.Unlock()
 		return len(s.conns) == 0
 	})
-	if grown := heap() - before; grown > heapBound {
+	if grown := heapBytes() - before; grown > heapBound {
 		t.Errorf("the heap grew by %d bytes", grown)
 	}
 	c := NewClient([]byte(testSecret), nil, nil)
 	defer c.Close()
 	if _, err := c.Agent(l.Addr().String()).Call(context.Background(), CallRequest{}); err != nil {
-		t.Errorf("afterwards: %v", err)
+		t.Errorf("call after the malformed frames: %v", err)
 	}
 }
 
-func throwFrame(t *testing.T, address string, frame []byte, greet bool) {
+func sendFrame(t *testing.T, address string, frame []byte, authenticate bool) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	defer c.Close()
-	if greet {
-		if err := greetClient(c, []byte(testSecret)); err != nil {
+	if authenticate {
+		if err := clientHandshake(c, []byte(testSecret)); err != nil {
 			t.Error(err)
 			return
 		}
@@ -147,27 +147,27 @@
 	io.Copy(io.Discard, c)
 }
 
-// A peer that knows the secret, but is broken, announces messages of up to
-// gigabytes and sends no more. Each may take one step of encoding/gob's
-// reader in advance, 10 MiB, and not what it announced.
-func TestHugeLengthsTakeOneStepOfMemory(t *testing.T) {
+// A faulty peer that knows the secret announces huge messages and sends no
+// more. Each may allocate one step of encoding/gob's reader in advance, 10 MiB,
+// but not the announced length.
+func TestHugeLengthsDoNotExhaustMemory(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
-	before := heap()
-	var held []net.Conn
+	before := heapBytes()
+	var conns []net.Conn
 	for bits := 16; bits < 64; bits++ {
-		c := dialGreeted(t, l.Addr().String())
+		c := dialAuthenticated(t, l.Addr().String())
 		length := binary.BigEndian.AppendUint64([]byte{0xf8}, 1<<bits)
 		c.Write(append(length, make([]byte, 1000)...))
-		held = append(held, c)
+		conns = append(conns, c)
 	}
-	eventually(t, "the server has read them", func() bool { return s.bytes.In.Load() >= int64(len(held))*1009 })
+	eventually(t, "the server has read them", func() bool { return s.bytes.In.Load() >= int64(len(conns))*1009 })
 	const step = 10 << 20
-	if grown := heap() - before; grown > int64(len(held))*step {
+	if grown := heapBytes() - before; grown > int64(len(conns))*step {
 		t.Errorf("the heap grew by %d bytes", grown)
 	}
 }
 
-// failingListener has no file descriptor left at the first look.
+// failingListener reports at the first Accept that no file descriptor is left.
 type failingListener struct {
 	net.Listener
 	failed bool
@@ -181,10 +181,10 @@
 	return l.Listener.Accept()
 }
 
-// Strangers take all file descriptors for a moment, and then open connections
-// on which they say nothing. Peers must be served again afterwards, and
-// strangers beyond a bound be turned away at once.
-func TestFloodDoesNotEndServing(t *testing.T) {
+// Unauthenticated hosts exhaust the file descriptors for a moment, and then
+// open connections without sending. Peers must be served again afterwards, and
+// connections beyond the limit must be closed at once.
+func TestConnectionFloodDoesNotEndServing(t *testing.T) {
 	s := NewServer([]byte(testSecret), nil)
 	s.ServeAgent(&countingAgent{})
 	l := &failingListener{Listener: listenLocal(t)}
@@ -193,25 +193,25 @@
 	c := NewClient([]byte(testSecret), nil, nil)
 	defer c.Close()
 	if _, err := c.Agent(l.Addr().String()).Call(context.Background(), CallRequest{}); err != nil {
-		t.Fatalf("after a passing failure to accept: %v", err)
+		t.Fatalf("after a temporary failure to accept: %v", err)
 	}
 	if s.AcceptFailed.Load() != 1 {
 		t.Errorf("counted %d", s.AcceptFailed.Load())
 	}
-	s.greeting.Store(maxGreeting)
+	s.handshakes.Store(maxHandshakes)
 	if rest, err := io.ReadAll(dialRaw(t, l.Addr().String())); len(rest) > 0 || err != nil {
-		t.Errorf("a stranger too many got %d bytes, %v", len(rest), err)
+		t.Errorf("a connection beyond the limit got %d bytes, %v", len(rest), err)
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// validFrame is what a client sends for one call after its handshake.
+// validFrame returns a client's bytes for one call after its handshake.
 func validFrame(t testing.TB) []byte {
 	t.Helper()
 	var sent bytes.Buffer
@@ -223,18 +223,18 @@
 	request := CallRequest{Request: "r", Headers: []Header{{"a", "b"}}, Body: []byte("body"), Budget: time.Second}
 	<-c.Go("Agent.Call", request, &CallReply{}, nil).Done
 	if sent.Len() == 0 {
-		// The client had noticed the end of its empty answer first.
+		// The client detected the end of its empty answer first.
 		return validFrame(t)
 	}
 	return sent.Bytes()
 }
 
-// recordProof returns what a true client sent in its handshake.
+// recordProof returns the bytes that a valid client sent in its handshake.
 func recordProof(t *testing.T, address string) []byte {
 	t.Helper()
 	conn := dialRaw(t, address)
 	recorded := &recorder{Conn: conn}
-	if err := greetClient(recorded, []byte(testSecret)); err != nil {
+	if err := clientHandshake(recorded, []byte(testSecret)); err != nil {
 		t.Fatal(err)
 	}
 	return recorded.sent
@@ -250,8 +250,8 @@
 	return r.Conn.Write(p)
 }
 
-// breakFrame changes, cuts or repeats parts of a frame.
-func breakFrame(random *mathrand.Rand, frame []byte) []byte {
+// corruptFrame changes, truncates or repeats parts of a frame.
+func corruptFrame(random *mathrand.Rand, frame []byte) []byte {
 	f := bytes.Clone(frame)
 	for range 1 + random.IntN(4) {
 		at := random.IntN(len(f))
@@ -269,7 +269,7 @@
 	return f
 }
 
-// FuzzGreeting wants that no bytes pass for the proof of the secret.
+// FuzzGreeting checks that no bytes pass as proof of the secret.
 func FuzzGreeting(f *testing.F) {
 	f.Add(make([]byte, nonceSize+sha256.Size))
 	f.Fuzz(func(t *testing.T, answer []byte) {
@@ -279,14 +279,14 @@
 			far.Write(answer)
 			far.Close()
 		}()
-		if err := greetServer(near, [][]byte{[]byte(testSecret)}); err == nil {
+		if err := serverHandshake(near, [][]byte{[]byte(testSecret)}); err == nil {
 			t.Errorf("%x passed", answer)
 		}
 		near.Close()
 	})
 }
 
-// FuzzFrames wants that no bytes of a greeted peer make the server panic.
+// FuzzFrames checks that no bytes of an authenticated peer cause a panic.
 func FuzzFrames(f *testing.F) {
 	f.Add(validFrame(f))
 	f.Fuzz(func(t *testing.T, frames []byte) {
--- a/wire/omit.go
+++ b/wire/omit.go
@@ -8,15 +8,15 @@
 	"persimmonrock.example/structs"
 )
 
-// HelloSums identify the parts of a heartbeat that rarely change by their
-// contents; 0 stands for an empty part.
+// HelloSums are hashes of a heartbeat's rarely changing parts; 0 stands for an
+// empty part.
 type HelloSums struct {
-	// Sender is of what stays as long as the agent process lives.
+	// Sender covers the values that are fixed for the agent process.
 	Sender          uint64
 	Services, Batch uint64
 }
 
-// Sums returns those of r.
+// Sums returns the hashes of r's parts.
 func (r HelloRequest) Sums() HelloSums {
 	return HelloSums{Sender: senderSum(r), Services: servicesSum(r.Load.Services), Batch: batchSum(r.Load.Batch)}
 }
@@ -56,7 +56,7 @@
 	return h.Sum64()
 }
 
-// EntriesSum identifies a list of entries' addresses.
+// EntriesSum returns the hash of a list of entry addresses.
 func EntriesSum(addresses []string) uint64 {
 	h := fnv.New64a()
 	for _, a := range addresses {
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// writeText writes s and its length, so that two lists never run together.
+// writeText writes the length of s and s, so that no two lists write the same.
 func writeText(w io.Writer, s string) {
 	writeNumbers(w, uint64(len(s)))
 	_, _ = io.WriteString(w, s)
@@ -104,13 +104,13 @@
 	return r
 }
 
-// Restore puts the omitted parts of r back from a heartbeat that was kept.
+// Restore fills in the omitted parts of r from a kept heartbeat.
 //
-// Failure guarded against: an entry that was restarted, or that has heard
-// something else meanwhile, takes an old or an empty part for the present one,
-// and places work on what is no longer free. A part is named by its contents,
-// not by when it was sent, so a kept one either is the one left out or doesn't
-// fit; then ok is false, and the agent sends the whole.
+// Failure guarded against: an entry that was restarted, or has received another
+// heartbeat meanwhile, uses an outdated or empty part as the current one and
+// places work on capacity that is no longer free. A part is identified by its
+// contents, not by its time of sending, so a kept part either is the omitted
+// one or does not match; then ok is false, and the agent sends the whole.
 func (r HelloRequest) Restore(kept HelloRequest) (whole HelloRequest, ok bool) {
 	sums := kept.Sums()
 	if r.Omitted.Sender != 0 {
@@ -122,9 +122,9 @@
 	if r.Omitted.Batch != 0 {
 		r.Load.Batch = kept.Load.Batch
 	}
-	ok = fits(r.Omitted.Sender, sums.Sender) && fits(r.Omitted.Services, sums.Services) && fits(r.Omitted.Batch, sums.Batch)
+	ok = matches(r.Omitted.Sender, sums.Sender) && matches(r.Omitted.Services, sums.Services) && matches(r.Omitted.Batch, sums.Batch)
 	r.Omitted = HelloSums{}
 	return r, ok
 }
 
-func fits(omitted, kept uint64) bool { return omitted == 0 || omitted == kept }
+func matches(omitted, kept uint64) bool { return omitted == 0 || omitted == kept }
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// AgentPeer is an agent as another process reaches it. Every method returns a
-// *PeerError when the exchange itself failed; a refusal by the agent is a
-// field of the reply.
+// AgentPeer is the remote interface of an agent. Every method returns a
+// *PeerError when the exchange itself failed; a refusal by the agent is a field
+// of the reply.
 type AgentPeer interface {
 	Call(ctx context.Context, r CallRequest) (CallReply, error)
 	Cancel(ctx context.Context, r CancelRequest) error
@@ -18,8 +18,8 @@
 	Events(ctx context.Context, r EventsRequest) (EventsReply, error)
 }
 
-// EntryPeer is an entry as another process reaches it, with the same errors
-// as AgentPeer.
+// EntryPeer is the remote interface of an entry, with the same errors as
+// AgentPeer.
 type EntryPeer interface {
 	Hello(ctx context.Context, r HelloRequest) (HelloReply, error)
 	Report(ctx context.Context, r ReportRequest) (ReportReply, error)
@@ -30,8 +30,8 @@
 	Events(ctx context.Context, r EventsRequest) (EventsReply, error)
 }
 
-// Dialer gives peers by address ("ip:port"). It never blocks; connections are
-// made at the first call and again after a failure.
+// Dialer returns peers by address ("ip:port"). It never blocks; a peer connects
+// at its first call and again after a failure.
 type Dialer interface {
 	Agent(address string) AgentPeer
 	Entry(address string) EntryPeer
@@ -42,8 +42,8 @@
 	// Step is the RPC method, Peer the address.
 	Step string
 	Peer string
-	// Sent is false only where it is proved that no byte of the request left
-	// this process, so that the request cannot have run.
+	// Sent is false only if provably no byte of the request left this process,
+	// so that the request cannot have run.
 	Sent bool
 	Err  error
 }
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -15,8 +15,8 @@
 // testBound is the longest time that a test waits for anything.
 const testBound = 10 * time.Second
 
-// countingAgent counts the calls that reach it. entered, if set, gets a value
-// when a call is in progress, which then waits for release.
+// countingAgent counts the calls that reach it. If entered is set, each call
+// sends a value to it and then waits for release.
 type countingAgent struct {
 	calls   atomic.Int64
 	entered chan struct{}
@@ -78,11 +78,11 @@
 	return c
 }
 
-// dialGreeted is a connection on which the handshake is done.
-func dialGreeted(t testing.TB, address string) net.Conn {
+// dialAuthenticated returns a connection after its handshake.
+func dialAuthenticated(t testing.TB, address string) net.Conn {
 	t.Helper()
 	c := dialRaw(t, address)
-	if err := greetClient(c, []byte(testSecret)); err != nil {
+	if err := clientHandshake(c, []byte(testSecret)); err != nil {
 		t.Fatal(err)
 	}
 	c.SetDeadline(time.Now().Add(testBound))
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -11,17 +11,17 @@
 // accepted.
 //
 // Failure guarded against: gob can't encode a nil element of a slice of
-// pointers. net/rpc then closes the connection instead of answering, which
-// shows as a request that was sent and lost, and cuts off every other call on
-// the connection. So the entries travel as values, an empty one for nil.
+// pointers. net/rpc then closes the connection instead of answering; the caller
+// takes the request for sent and lost, and every other call on the connection
+// fails. So the entries are sent as values, an empty one for nil.
 type Refusals []*structs.Refusal
 
 // GobEncode implements gob.GobEncoder.
 func (r Refusals) GobEncode() ([]byte, error) {
 	values := make([]structs.Refusal, len(r))
-	for i, one := range r {
-		if one != nil {
-			values[i] = *one
+	for i, refusal := range r {
+		if refusal != nil {
+			values[i] = *refusal
 		}
 	}
 	var b bytes.Buffer
--- a/wire/refusals_test.go
+++ b/wire/refusals_test.go
@@ -10,20 +10,20 @@
 	"persimmonrock.example/structs"
 )
 
-// starter answers every Start with one refusal among the admitted tasks.
-type starter struct{ AgentAPI }
+// refusingAgent answers every Start with one refusal among the admitted tasks.
+type refusingAgent struct{ AgentAPI }
 
-func (starter) Start(r StartRequest, reply *StartReply) error {
+func (refusingAgent) Start(r StartRequest, reply *StartReply) error {
 	reply.Refused = make(Refusals, len(r.Tasks))
 	reply.Refused[1] = &structs.Refusal{Type: structs.RefusedNoCapacity, Outcome: structs.NotRun, RetryAfter: time.Second}
 	return nil
 }
 
 // An entry starts three tasks; the agent admits two and refuses one. The entry
-// learns which, and the connection goes on. Before, the answer could not be
-// encoded: every start looked lost, its slots stayed reserved, and jobs waited
-// for ever beside free workers.
-func TestAnswerWithSomeRefusalsArrives(t *testing.T) {
+// must receive the refusal on a connection that stays open. A reply that can't
+// be encoded makes every start appear lost: its slots stay reserved, and jobs
+// wait forever beside free workers.
+func TestReplyWithSomeRefusalsArrives(t *testing.T) {
 	secret := []byte("0123456789abcdef")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	s := NewServer(secret, nil)
 	defer s.Close()
 	defer l.Close()
-	if err := s.ServeAgent(starter{}); err != nil {
+	if err := s.ServeAgent(refusingAgent{}); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = s.Serve(l, nil) }()
--- a/wire/server.go
+++ b/wire/server.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// stallTimeout is the longest time for one write to a peer.
+// stallTimeout is the time after which a write to a peer counts as stalled.
 const stallTimeout = 10 * time.Second
 
-// ByteCount counts what a process sends and receives on its own protocol.
+// ByteCount counts the bytes that a process exchanges with its peers.
 type ByteCount struct {
 	In, Out atomic.Int64
 }
@@ -25,8 +25,8 @@
 type countedConn struct {
 	net.Conn
 	count *ByteCount
-	// armed is when the write deadline was last moved, in nanoseconds.
-	armed atomic.Int64
+	// deadlineMoved is the time of the last deadline change, in nanoseconds.
+	deadlineMoved atomic.Int64
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
@@ -35,18 +35,18 @@
 	return n, err
 }
 
-// Write fails when the peer has not taken p within stallTimeout, or up to
-// twice as long, since the deadline is not moved at every write.
+// Write fails when the peer has not accepted p within stallTimeout, or up to
+// twice as long, since not every write moves the deadline.
 //
-// Failure guarded against: a peer that hangs reads no more, and the first
-// write that fills the sockets' buffers would block for good, with the
+// Failure guarded against: a peer that hangs no longer reads, and the first
+// write that fills the sockets' buffers would block forever, with the
 // connection's lock held and every later message behind it. A failed write
 // closes the connection, so that the reading side notices and the next call
-// goes out on a new one.
+// uses a new connection.
 func (c *countedConn) Write(p []byte) (int, error) {
 	now := time.Now()
-	if now.UnixNano()-c.armed.Load() > int64(stallTimeout) {
-		c.armed.Store(now.UnixNano())
+	if now.UnixNano()-c.deadlineMoved.Load() > int64(stallTimeout) {
+		c.deadlineMoved.Store(now.UnixNano())
 		c.Conn.SetWriteDeadline(now.Add(2 * stallTimeout))
 	}
 	n, err := c.Conn.Write(p)
@@ -58,11 +58,12 @@
 }
 
 const (
-	// maxGreeting bounds the connections of strangers: each may take its time
-	// over the handshake. All agents that come back at once stay well below.
-	maxGreeting = 2048
-	// acceptPause is the wait after a passing failure to accept.
-	acceptPause = 10 * time.Millisecond
+	// maxHandshakes bounds the unauthenticated connections, which may last
+	// until the handshake's time-out. All agents reconnecting at once stay well
+	// below.
+	maxHandshakes = 2048
+	// acceptRetryDelay is the delay after a temporary failure to accept.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
 // expired is a deadline in the past.
@@ -80,11 +81,11 @@
 	closing bool
 	wait    sync.WaitGroup
 
-	// greeting is the number of connections in their handshake.
-	greeting atomic.Int64
+	// handshakes is the number of connections in their handshake.
+	handshakes atomic.Int64
 
-	// Rejected counts connections that failed the handshake or came while too
-	// many were in it, AcceptFailed those that the system could not give out.
+	// Rejected counts connections that failed the handshake or arrived while
+	// too many were in it, AcceptFailed temporary failures to accept.
 	Rejected, AcceptFailed atomic.Int64
 }
 
@@ -103,8 +104,8 @@
 	return s
 }
 
-// AlsoAccept lets peers in that prove a second secret, while the secret is
-// being changed. It is called before Serve and returns s; nil changes nothing.
+// AlsoAccept admits peers that prove a second secret, while the secret is being
+// changed. It is called before Serve and returns s; nil changes nothing.
 func (s *Server) AlsoAccept(secret []byte) *Server {
 	if secret != nil {
 		s.secrets = append(s.secrets, secret)
@@ -112,8 +113,8 @@
 	return s
 }
 
-// agentService and entryService narrow what net/rpc sees to the declared API,
-// so that it does not complain about a receiver's other methods.
+// agentService and entryService expose only the declared API to net/rpc, which
+// would log a complaint about other methods of a receiver.
 type agentService struct{ AgentAPI }
 type entryService struct{ EntryAPI }
 
@@ -123,14 +124,14 @@
 // ServeEntry registers e under the name "Entry".
 func (s *Server) ServeEntry(e EntryAPI) error { return s.rpc.RegisterName("Entry", entryService{e}) }
 
-// transient reports whether accepting may work again by itself.
+// transient reports whether a later accept may succeed.
 //
 // Failure guarded against: somebody opens so many connections that the process
-// has no file descriptor left for a moment. Taken for the end of the listener,
-// that would leave the process deaf to its peers until it is restarted.
+// temporarily has no file descriptor left. Treated as the end of the listener,
+// this would leave the process unreachable for its peers until it is restarted.
 func transient(err error) bool {
-	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
-		if errors.Is(err, passing) {
+	for _, temporary := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
+		if errors.Is(err, temporary) {
 			return true
 		}
 	}
@@ -144,13 +145,13 @@
 		conn, err := l.Accept()
 		if transient(err) {
 			s.AcceptFailed.Add(1)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		if s.greeting.Load() >= maxGreeting {
+		if s.handshakes.Load() >= maxHandshakes {
 			s.Rejected.Add(1)
 			conn.Close()
 			continue
@@ -181,9 +182,9 @@
 	defer s.wait.Done()
 	defer s.remove(c)
 	counted := s.bytes.wrap(c)
-	s.greeting.Add(1)
-	err := greetServer(counted, s.secrets)
-	s.greeting.Add(-1)
+	s.handshakes.Add(1)
+	err := serverHandshake(counted, s.secrets)
+	s.handshakes.Add(-1)
 	if err != nil {
 		s.Rejected.Add(1)
 		c.Close()
@@ -193,11 +194,11 @@
 	s.rpc.ServeCodec(newCodec(counted, s.clock))
 }
 
-// expireIfClosing repeats what Shutdown does to each connection.
+// expireIfClosing repeats for c what Shutdown does to each connection.
 //
-// Failure guarded against: Shutdown comes while a handshake is in progress,
-// and the end of the handshake takes its deadline off again. The stop would
-// wait for this idle connection until its bound, and then cut calls off.
+// Failure guarded against: Shutdown is called during a handshake, whose end
+// removes the read deadline again. Shutdown would wait for this idle connection
+// until its context ends, and then close the connections of running calls.
 func (s *Server) expireIfClosing(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,9 +213,9 @@
 	delete(s.conns, c)
 }
 
-// Shutdown stops reading requests, lets the handlers that run write their
-// replies, and returns when all have, or with ctx's error. The caller makes
-// sure first that peers have been told to send no more.
+// Shutdown stops reading requests, lets running handlers write their replies,
+// and returns when all have finished, or with ctx's error. The caller first
+// ensures that peers were notified to send no more requests.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
@@ -238,7 +239,7 @@
 	}
 }
 
-// Close cuts every connection.
+// Close closes every connection.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
