--- a/wire/dispatch/agentrow.go
+++ b/wire/dispatch/agentrow.go
@@ -10,21 +10,21 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// AgentsTable holds one row an agent. The version of the row that a process
-// writes when it starts is its fencing token: higher than that of every
-// earlier process.
+// AgentsTable holds one row per agent. The version of the row that a process
+// writes at its start is its fencing token, higher than that of earlier
+// processes.
 const AgentsTable = "agents"
 
-// agentParts spreads the agents' rows. After a power loss all agents write
-// theirs at once, and none takes orders before its row is written: in one part
-// the last of 240 waits for two seconds.
+// agentParts is the number of parts that hold the agents' rows. After a power
+// loss all agents write theirs at once, and none accepts orders before its row
+// is written: with one part the last of 240 waits for two seconds.
 const agentParts = 32
 
-// agentPart names a part of the agents' rows. The letter keeps it apart from
-// the parts of other tables, whose transactions it would wait for.
+// agentPart names a part of the agents' rows. The letter separates it from the
+// parts of other tables, whose transactions would delay it.
 func agentPart(n int) string { return "a" + strconv.Itoa(n) }
 
-// AgentParts lists the parts of AgentsTable.
+// AgentParts returns the parts of AgentsTable.
 func AgentParts() []string {
 	parts := make([]string, agentParts)
 	for n := range parts {
@@ -33,31 +33,31 @@
 	return parts
 }
 
-// AgentKey addresses the row of an agent.
+// AgentKey returns the key of an agent's row.
 func AgentKey(node string) rowstore.Key {
 	return rowstore.Key{Table: AgentsTable, Part: agentPart(rowstore.Spread(node, agentParts)), Key: node}
 }
 
-// AgentRow is where an agent can be called.
+// AgentRow holds the address of an agent.
 type AgentRow struct {
 	Address string `json:"a"`
-	// Worker is the life of the worker that it found last. The next process
-	// of the agent looks for it at once instead of waiting for its report.
+	// Worker is the incarnation of the worker that the agent last found. The
+	// agent's next process contacts it without waiting for its report.
 	Worker workload.Worker `json:"w,omitzero"`
 }
 
-// Encode gives the value of the row.
+// Encode returns the value of the row.
 func (a AgentRow) Encode() ([]byte, error) {
 	text, err := json.Marshal(a)
-	return text, eris.Wrap(err, "agent row")
+	return text, eris.Wrap(err, "encode agent row")
 }
 
-// DecodeAgentRow reads the value of a row.
+// DecodeAgentRow decodes the value of a row.
 func DecodeAgentRow(r rowstore.Row) (AgentRow, error) {
 	var a AgentRow
 	if r.Version == 0 {
 		return a, nil
 	}
 	err := json.Unmarshal(r.Value, &a)
-	return a, eris.Wrapf(err, "agent row %s", r.Key.Key)
+	return a, eris.Wrapf(err, "decode agent row %s", r.Key.Key)
 }
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -15,22 +15,21 @@
 	// dialTimeout bounds a new connection; data centres of one region are
 	// a few milliseconds apart.
 	dialTimeout = 600 * time.Millisecond
-	// keepAlive finds a peer that is gone while nothing is sent.
+	// keepAlive is the interval of probes for dead peers on idle connections.
 	keepAlive = time.Second
-	// redialPause is how long a failed dial stands for the next calls, too.
-	redialPause = 60 * time.Millisecond
+	// redialDelay is the time for which later calls get a failed dial's error.
+	redialDelay = 60 * time.Millisecond
 )
 
-// ErrTimeout says that a call got no answer in its time; it may have been
-// carried out.
+// ErrTimeout says that a call was not answered in time; the peer may have run
+// it.
 var ErrTimeout = errors.New("no answer in time")
 
 // ErrNotSent says that there was no connection to send the call on.
 var ErrNotSent = errors.New("not sent")
 
-// Link is a connection to one peer that is made anew when it breaks. A call
-// without an answer in its time closes it: connections may go silent for
-// good while new ones work.
+// Link is a connection to one peer that is replaced when it breaks. A call that
+// times out closes it: a connection may stay unresponsive while new ones work.
 type Link struct {
 	address string
 	dial    func(ctx context.Context) (net.Conn, error)
@@ -40,9 +39,9 @@
 	attempt *attempt
 }
 
-// attempt is one dial, which all calls of that moment share. A call waits for
-// it no longer than for its own answer: with a peer that is gone, calls would
-// otherwise queue up behind one another's dials.
+// attempt is one dial, shared by all calls that need a connection during it. A
+// call waits for it no longer than for its own answer: calls to an unreachable
+// peer would otherwise queue up behind one another's dials.
 type attempt struct {
 	done   chan struct{}
 	client *rpc.Client
@@ -58,12 +57,12 @@
 	}}
 }
 
-// NewLinkOver returns a link whose connections dial makes.
+// NewLinkOver returns a link that connects by calling dial.
 func NewLinkOver(address string, dial func(ctx context.Context) (net.Conn, error)) *Link {
 	return &Link{address: address, dial: dial}
 }
 
-// Address is the peer's.
+// Address returns the peer's address.
 func (l *Link) Address() string { return l.address }
 
 // Close closes the connection; a later call dials anew.
@@ -105,10 +104,10 @@
 		return l.client, nil
 	}
 	a := l.attempt
-	if a == nil || a.over() && time.Since(a.ended) > redialPause {
+	if a == nil || a.finished() && time.Since(a.ended) > redialDelay {
 		a = &attempt{done: make(chan struct{})}
 		l.attempt = a
-		go l.run(a)
+		go l.runAttempt(a)
 	}
 	l.mu.Unlock()
 	select {
@@ -119,7 +118,7 @@
 	}
 }
 
-func (a *attempt) over() bool {
+func (a *attempt) finished() bool {
 	select {
 	case <-a.done:
 		return true
@@ -128,7 +127,7 @@
 	}
 }
 
-func (l *Link) run(a *attempt) {
+func (l *Link) runAttempt(a *attempt) {
 	conn, err := l.dial(context.Background())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,14 +142,14 @@
 	l.attempt = nil
 }
 
-// drop closes client if it is still the link's; nil closes any.
+// drop closes client if the link still uses it; nil closes any client.
 func (l *Link) drop(client *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client == nil || client != nil && l.client != client {
 		return
 	}
-	_ = l.client.Close() // it is broken or not wanted any more
+	_ = l.client.Close() // the client is broken or no longer needed
 	l.client = nil
 }
 
--- a/wire/dispatch/link_test.go
+++ b/wire/dispatch/link_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// The scheduler's machine is gone for good. Every entry goes on asking it for
-// states, and each question waits for a dial of its own while the others
-// queue up behind it. The entries' watch of the scheduler, which asks over
-// the same link, waits longer and longer, and nobody takes over.
-func TestCallsToAPeerThatIsGoneDoNotQueueUp(t *testing.T) {
+// The scheduler's machine is permanently unreachable. If each state request of
+// the entries dialled by itself behind the others, the entries' watch of the
+// scheduler, which uses the same link, would take longer and longer, and no
+// entry would take over.
+func TestCallsToUnreachablePeerDoNotQueueUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLink("peer")
 		l.dial = func(context.Context) (net.Conn, error) {
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -8,30 +8,29 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Claim shows which term of which scheduler speaks.
+// Claim identifies the scheduler's term in its calls to an agent.
 type Claim struct {
-	// Epoch of the scheduler's term; agents obey the highest that they saw.
+	// Epoch identifies the term; agents obey the highest epoch received.
 	Epoch uint64
-	// Process is the agent process that the scheduler last heard from.
+	// Process is the agent process that last answered the scheduler.
 	Process uint64
-	// Echo is that process's clock in its latest answer. The agent counts
-	// the grant from there, so that a call that was delayed on its way
-	// extends nothing.
+	// Echo is that process's clock in its latest answer. The agent counts the
+	// grant from there, so that a delayed call extends nothing.
 	Echo time.Duration
-	// Grant is how long after Echo the worker's lease may last.
+	// Grant is the time after Echo for which the worker's lease may last.
 	Grant time.Duration
 	// Drained says that nothing may start on the agent's worker, since its data
-	// centre is drained, as of DrainsVersion. The agent keeps what the highest
-	// version says; version 0 says nothing.
+	// centre is drained, as of DrainsVersion. The agent keeps the value of the
+	// highest version; version 0 carries no value.
 	Drained       bool
 	DrainsVersion uint64
 }
 
-// ReasonDrained is why a run is void whose data centre was drained before it
-// began.
+// ReasonDrained is the reason of a void run whose data centre was drained
+// before the run began.
 const ReasonDrained = "the data centre is drained"
 
-// StartOrder asks the agent for one run that the store has on record.
+// StartOrder orders the agent to start one run that the store has recorded.
 type StartOrder struct {
 	Run   workload.RunID
 	Need  workload.Resources
@@ -43,74 +42,72 @@
 	Ticket     string
 	// Gang says that the run works only together with others.
 	Gang bool
-	// Watched asks the agent to tell when the run is proven, since a worker has
-	// crashed under an earlier one of its task.
+	// Watched requests a report when the run is proven, since a worker has
+	// crashed under an earlier run of its task.
 	Watched bool
-	// Estimate is the client's guess of the run time of a task that ends by
+	// Estimate is the client's estimate of the run time of a task that ends by
 	// itself and works at its own pace; 0 for all others.
 	Estimate time.Duration
 }
 
-// OrderArgs carries orders for one life of a worker.
+// OrderArgs carries orders for one incarnation of a worker.
 type OrderArgs struct {
 	Claim
 	Worker workload.WorkerID
-	// Seen: ends of this life up to Seen are stored.
+	// Seen is the End.Number up to which the incarnation's ends are stored.
 	Seen uint64
-	// Payloads holds what the started tasks are handed, by job.
+	// Payloads holds the payloads of the started tasks, by job.
 	Payloads map[workload.JobID]string
 	Starts   []StartOrder
 	Stops    []workload.RunID
 }
 
-// OrderReply says whether the orders were taken. What becomes of each is told
-// by Watch.
+// OrderReply says whether the agent accepted the orders. Watch reports the
+// result of each.
 type OrderReply struct {
 	Refused Refusal
 }
 
-// Refusal says why an agent takes no orders.
+// Refusal is the reason for which an agent refuses a scheduler's call.
 type Refusal string
 
 // The refusals of an agent.
 const (
-	// RefusedEpoch: a newer scheduler has spoken.
+	// RefusedEpoch: the agent has received a call of a newer scheduler.
 	RefusedEpoch Refusal = "newer scheduler"
 	// RefusedProcess: the orders are meant for another process of the agent.
 	RefusedProcess Refusal = "another process"
-	// RefusedWorker: the worker has begun another life.
+	// RefusedWorker: the worker is a new incarnation.
 	RefusedWorker Refusal = "another life of the worker"
-	// RefusedGrant: the grant of the orders has run out.
+	// RefusedGrant: the grant of the orders has expired.
 	RefusedGrant Refusal = "grant has run out"
 )
 
-// WatchArgs asks for what has changed.
+// WatchArgs requests the changes at an agent.
 type WatchArgs struct {
 	Claim
-	// Since is the version of the last answer of that process; 0 asks for
-	// everything.
+	// Since is the version of that process's last answer; 0 requests all.
 	Since uint64
-	// Worker and Seen: ends of this life up to Seen are stored.
+	// Seen is the End.Number up to which Worker's ends are stored.
 	Worker workload.WorkerID
 	Seen   uint64
-	// Wait bounds how long the answer may wait for a change.
+	// Wait is the maximum time for which the answer may wait for a change.
 	Wait time.Duration
-	// SampleEvery is the time between two samples of tails; 0 asks for none.
+	// SampleEvery is the time between samples of tail latency; 0 disables them.
 	SampleEvery time.Duration
-	// SampleUnknown is the same while it is not known whether filling work
+	// SampleUnknown is the interval while it is unknown whether a filling task
 	// presses on a serving task beside it.
 	SampleUnknown time.Duration
-	// Pressure is what the scheduler has learnt of the images on the worker,
-	// if it has changed.
+	// Pressure holds the learnt weights of the worker's images, if changed.
 	Pressure []PairWeight
-	// Base is the lowest tail seen of each serving image, in milliseconds.
+	// Base is the lowest observed tail latency by serving image, in ms.
 	Base map[string]float64
-	// Order lists the jobs with filling runs on the worker, those that are
-	// worked on first at the front, if it has changed.
+	// Order lists the jobs with filling runs on the worker in the order in
+	// which they are worked on, if it has changed.
 	Order []workload.JobID
 }
 
-// PairWeight is how much an image of filling work presses on a serving one.
+// PairWeight is the degree to which a filling image presses on a serving one.
 type PairWeight struct {
 	Serving string
 	Filling string
@@ -118,13 +115,13 @@
 	Known   bool
 }
 
-// TailSample is what ran together on a worker over about half a second.
+// TailSample covers the tasks that ran on a worker over about half a second.
 type TailSample struct {
 	Serving []ServingSample
 	Filling []FillingSample
 }
 
-// ServingSample is the tail of the tasks of one job.
+// ServingSample is the tail latency of the tasks of one job.
 type ServingSample struct {
 	Job   workload.JobID
 	Image string
@@ -138,24 +135,24 @@
 	Used  float64
 }
 
-// WatchReply is what has changed at an agent.
+// WatchReply reports the changes at an agent.
 type WatchReply struct {
 	Refused Refusal
 	Process uint64
-	// At is the agent's clock when the answer left.
+	// At is the agent's clock when it sent the answer.
 	At      time.Duration
 	Version uint64
-	// Worker is the living worker; its ID is empty while none is known.
+	// Worker is the current worker; its ID is empty while none is known.
 	Worker workload.Worker
-	// Listed says that the worker's own lists were read and that it answers.
+	// Listed says that the worker's lists were read and that it answers.
 	Listed bool
-	// Lapsed says that the worker has been silent until its last lease was
-	// over: nothing runs there.
+	// Lapsed says that the worker was unresponsive until its last lease
+	// expired: nothing runs there.
 	Lapsed bool
-	// Former lists earlier lives that are known to have ended.
+	// Former lists earlier incarnations that are known to have ended.
 	Former []workload.WorkerID
-	// Fresh lists the runs that may have crashed one of these lives, or the
-	// worker that has lapsed. Those of a life are told until they were read.
+	// Fresh lists the runs that may have crashed one of these incarnations, or
+	// the worker that has lapsed. They are repeated until read.
 	Fresh []FreshRun
 	Runs  []RunReport
 	Ends  []workload.End
@@ -164,15 +161,15 @@
 }
 
 // FreshRun is a run that may have crashed its worker. Begun says that it was
-// there for certain, and not for long; else its order may have come too late.
-// Soon says that the worker ceased to answer within moments of its start.
+// certainly there, and not for long; else its order may have arrived too late.
+// Soon says that the worker stopped answering shortly after the run's start.
 type FreshRun struct {
 	Run   workload.RunID
 	Begun bool
 	Soon  bool
 }
 
-// RunState is what an agent knows of a run.
+// RunState is the state of a run as known to its agent.
 type RunState uint8
 
 // The states of a run at its agent.
@@ -181,24 +178,24 @@
 	RunPending RunState = iota
 	// RunPresent: on the worker.
 	RunPresent
-	// RunVoid: it is not on the worker and never will be.
+	// RunVoid: not on the worker, and never will be.
 	RunVoid
 )
 
-// RunReport is what an agent says of a run.
+// RunReport is an agent's report on a run.
 type RunReport struct {
 	Run        workload.RunID
 	State      RunState
 	Checkpoint string
-	// Reason says why a run is void.
+	// Reason explains why a run is void.
 	Reason string
-	// Slow says that the run gets on far slower than its estimate.
+	// Slow says that the run progresses far more slowly than estimated.
 	Slow bool
-	// Proven says that the run is on a worker that has outlived its start.
+	// Proven says that the worker still answered a while after the run's start.
 	Proven bool
 }
 
-// NoteArgs tells the scheduler of a job that was stored or cancelled.
+// NoteArgs notifies the scheduler of a job that was stored or cancelled.
 type NoteArgs struct {
 	Job       *workload.Job
 	Cancelled workload.JobID
@@ -207,36 +204,36 @@
 // NoteReply is empty.
 type NoteReply struct{}
 
-// StateArgs asks for a job's state.
+// StateArgs requests a job's state.
 type StateArgs struct{ ID workload.JobID }
 
-// StateReply is what the scheduler knows. Leading is false if it does not
-// lead; Known is false if it has no such job, which does not prove that there
-// is none.
+// StateReply is the state known to the process. Leading is false if the process
+// is not the scheduler; Known is false if it has no such job, which does not
+// prove that there is none.
 type StateReply struct {
-	// Process is the one that answers.
+	// Process is the answering process.
 	Process string
 	Leading bool
 	Known   bool
 	State   workload.State
 }
 
-// YieldArgs asks the scheduler to hand its lease to an entry on a stronger
+// YieldArgs asks the scheduler to release its lease to an entry on a stronger
 // machine.
 type YieldArgs struct {
-	// Process is the scheduler that is meant.
+	// Process is the scheduler that the request is for.
 	Process string
-	// Heir is the node of the entry that asks.
+	// Heir is the node of the requesting entry.
 	Heir string
 }
 
 // YieldReply says whether the lease is about to be released.
 type YieldReply struct{ Agreed bool }
 
-// WaitingArgs asks for the jobs of a queue of which nothing has started.
+// WaitingArgs requests the number of a queue's jobs that have not started.
 type WaitingArgs struct{ Queue string }
 
-// WaitingReply is the number of them.
+// WaitingReply is the number of these jobs.
 type WaitingReply struct {
 	Leading bool
 	Waiting int
--- a/wire/dispatch/relay.go
+++ b/wire/dispatch/relay.go
@@ -7,21 +7,21 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// ApplyArgs asks an entry to make a transaction for another one that the
-// store turns away.
+// ApplyArgs asks an entry to apply a transaction for another entry that the
+// store does not serve.
 type ApplyArgs struct{ Txn rowstore.Txn }
 
-// ListArgs asks it to read rows.
+// ListArgs asks an entry to read rows for another.
 type ListArgs struct{ Table, Part, From, To string }
 
-// FeedArgs asks it to wait for changes.
+// FeedArgs asks an entry to wait for changes for another.
 type FeedArgs struct {
 	Table string
 	After uint64
 	Wait  time.Duration
 }
 
-// RowsReply is the store's answer.
+// RowsReply is the store's answer to a relayed call.
 type RowsReply struct {
 	Rows   []rowstore.Row
 	More   bool
@@ -29,10 +29,10 @@
 	Status StoreStatus
 }
 
-// StoreStatus is how a relayed call ended.
+// StoreStatus is the result of a relayed call.
 type StoreStatus uint8
 
-// The ways in which a relayed call ends; see the errors of package rowstore.
+// The results of a relayed call; see the errors of package rowstore.
 const (
 	StoreOK StoreStatus = iota
 	StoreUnavailable
@@ -41,7 +41,7 @@
 	StoreCompacted
 )
 
-// SetError notes err in the reply.
+// SetError records err in the reply.
 func (r *RowsReply) SetError(err error) {
 	var conflict *rowstore.ConflictError
 	switch {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Err returns the error that the reply carries.
+// Err returns the error recorded in the reply.
 func (r *RowsReply) Err() error {
 	switch r.Status {
 	case StoreOK:
