--- a/infra/memory/counts.go
+++ b/infra/memory/counts.go
@@ -9,10 +9,10 @@
 	"persimmonrock.example/infra"
 )
 
-// OperationCount says how often one kind of operation was served.
+// OperationCount counts the operations of one kind that a table has served.
 type OperationCount struct {
 	// Operation is "get", "scan" or "commit", and the first parts of the keys
-	// that it named: "commit job+shard" put rows of jobs and shards.
+	// in it: "commit job+shard" changed rows of jobs and shards.
 	Operation string
 	// Served includes Conflicts, the commits that applied nothing.
 	Served, Conflicts uint64
@@ -20,8 +20,8 @@
 	Rows uint64
 }
 
-// operations counts by kind of operation, for measuring what each call, job
-// or renewal costs the store.
+// operations counts operations by kind, to measure the cost of each call, job
+// or renewal to the store.
 type operations struct {
 	mu     sync.Mutex
 	counts map[string]*OperationCount
@@ -45,8 +45,8 @@
 	}
 }
 
-// Operations returns the counts of each kind of operation so far, in order of
-// their names.
+// Operations returns the counts of each kind of operation so far, sorted by
+// Operation.
 func (t *Table) Operations() []OperationCount {
 	t.operations.mu.Lock()
 	defer t.operations.mu.Unlock()
@@ -58,14 +58,15 @@
 	return all
 }
 
-// firstPart is the part of a key before its first slash.
+// firstPart returns the part of a key before its first slash.
 func firstPart(key string) string {
 	part, _, _ := strings.Cut(key, "/")
 	return part
 }
 
-// describe names the kind of a transaction by the rows that it changes.
-func describe(txn infra.Txn) string {
+// commitOperation returns the kind of a transaction, named for the rows that it
+// changes.
+func commitOperation(txn infra.Txn) string {
 	var parts []string
 	add := func(key string) {
 		if part := firstPart(key); !slices.Contains(parts, part) {
--- a/infra/memory/objects.go
+++ b/infra/memory/objects.go
@@ -12,7 +12,7 @@
 	"persimmonrock.example/infra"
 )
 
-// Objects is a infra.Objects in memory.
+// Objects is an infra.Objects in memory.
 type Objects struct {
 	mu     sync.RWMutex
 	bodies map[string][]byte
@@ -23,18 +23,18 @@
 // NewObjects returns an empty object store.
 func NewObjects() *Objects { return &Objects{bodies: make(map[string][]byte)} }
 
-// Reads is the number of gets served.
+// Reads returns the number of gets served.
 func (o *Objects) Reads() uint64 { return o.reads.Load() }
 
-// Writes is the number of puts and deletes served.
+// Writes returns the number of puts and deletes served.
 func (o *Objects) Writes() uint64 { return o.writes.Load() }
 
 // Rewrites counts puts that would have changed the body of an existing key.
-// Each one is a broken invariant of its caller: two different results under
-// one key mean that a fenced holder wrote over its successor or before it.
+// Each of them violates an invariant of its caller: two different results under
+// one key mean that a fenced holder wrote before its successor or over it.
 func (o *Objects) Rewrites() uint64 { return o.rewrites.Load() }
 
-// Len is the number of objects.
+// Len returns the number of objects.
 func (o *Objects) Len() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -42,9 +42,9 @@
 }
 
 // Put implements infra.Objects. A put of another body under an existing
-// key is refused with infra.ErrInvalid and counted.
+// key is refused with infra.ErrInvalid and counted in Rewrites.
 func (o *Objects) Put(ctx context.Context, key string, body []byte) error {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return err
 	}
 	o.writes.Add(1)
@@ -63,7 +63,7 @@
 
 // Get implements infra.Objects.
 func (o *Objects) Get(ctx context.Context, key string) ([]byte, error) {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return nil, err
 	}
 	o.reads.Add(1)
@@ -76,9 +76,9 @@
 	return append([]byte{}, body...), nil
 }
 
-// Delete implements infra.Objects; deleting an absent key is no error.
+// Delete implements infra.Objects; deleting an absent key is not an error.
 func (o *Objects) Delete(ctx context.Context, key string) error {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return err
 	}
 	o.writes.Add(1)
--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -14,13 +14,13 @@
 	Job    structs.JobID
 	Epoch  structs.Epoch
 	Worker structs.InstanceID
-	// Ended says that the program has returned and its work has stopped.
+	// Ended is set once the program has returned and its work has stopped.
 	Ended bool
 }
 
-// RunRegistry watches the workers that share it: it records when each run
-// really starts and stops, whatever agents, leases and rows say of it, and
-// counts every start of a job that still runs anywhere.
+// RunRegistry records when each run on the workers that share it actually
+// starts and stops, independently of agents, leases and rows, and counts the
+// starts of jobs that still run on any of these workers.
 type RunRegistry struct {
 	log zerolog.Logger
 
@@ -29,17 +29,18 @@
 	broken int
 }
 
-// NewRunRegistry returns an empty registry; the first broken invariant is
-// written to log.
+// NewRunRegistry returns an empty registry, which writes the first broken
+// invariant to log.
 func NewRunRegistry(log zerolog.Logger) *RunRegistry {
 	return &RunRegistry{log: log, runs: make(map[structs.JobID][]*Run)}
 }
 
-// begin records a start. Failure guarded against: a task runs in two places
-// at once, or one claim of it runs twice. It shows as a run of the job that
-// hasn't ended, or that had this epoch. The check holds because workers call
-// begin before the program's first step and end after its last one.
-func (r *RunRegistry) begin(run Run) *Run {
+// recordStart records the start of a run. Failure guarded against: a task runs
+// in two places at once, or one claim of it runs twice. Then the job has an
+// earlier run that hasn't ended or that had the same epoch. The check is sound
+// because workers call recordStart before the program's first step and
+// recordEnd after its last one.
+func (r *RunRegistry) recordStart(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, earlier := range r.runs[run.Job] {
@@ -59,21 +60,21 @@
 	return &run
 }
 
-func (r *RunRegistry) end(run *Run) {
+func (r *RunRegistry) recordEnd(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Ended = true
 }
 
-// Broken counts the runs that overlapped an earlier run of their job, and the
-// repeated runs of one epoch.
+// Broken counts the pairs of runs of one job that overlapped or had the same
+// epoch.
 func (r *RunRegistry) Broken() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.broken
 }
 
-// Runs returns the runs of a job in the order of their starts.
+// Runs returns the runs of a job in order of their starts.
 func (r *RunRegistry) Runs(id structs.JobID) []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +85,7 @@
 	return runs
 }
 
-// Running returns the jobs that run now, in order of their IDs.
+// Running returns the jobs that run now, sorted by ID.
 func (r *RunRegistry) Running() []structs.JobID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/requests.go
+++ b/infra/memory/requests.go
@@ -17,7 +17,7 @@
 func (w *Worker) Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, h); err != nil {
+	if err := w.checkRequest(ctx, h); err != nil {
 		return err
 	}
 	for _, r := range w.runs {
@@ -32,7 +32,7 @@
 func (w *Worker) find(ctx context.Context, id structs.JobID, e structs.Epoch) (*run, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, w.fence); err != nil {
+	if err := w.checkRequest(ctx, w.fence); err != nil {
 		return nil, err
 	}
 	r, ok := w.runs[runID{job: id, epoch: e}]
@@ -43,8 +43,8 @@
 }
 
 // Checkpoint implements infra.Worker. It returns the state that the
-// program saved last, also after the task's end; a program that saved nothing
-// has the state that it was started from.
+// program saved last, also after the task's end, or, if the program saved
+// nothing, the state that the task was started from.
 func (w *Worker) Checkpoint(ctx context.Context, id structs.JobID, e structs.Epoch) ([]byte, error) {
 	r, err := w.find(ctx, id, e)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return slices.Clone(r.state), nil
 }
 
-// Throttle implements infra.Worker; speed is taken into 0 to 1.
+// Throttle implements infra.Worker; speed is clamped to 0 to 1.
 func (w *Worker) Throttle(ctx context.Context, id structs.JobID, e structs.Epoch, speed float64) error {
 	r, err := w.find(ctx, id, e)
 	if err != nil {
@@ -69,7 +69,7 @@
 // before the task has stopped.
 func (w *Worker) Stop(ctx context.Context, id structs.JobID, e structs.Epoch) error {
 	w.mu.Lock()
-	if err := w.refuse(ctx, w.fence); err != nil {
+	if err := w.checkRequest(ctx, w.fence); err != nil {
 		w.mu.Unlock()
 		return err
 	}
@@ -82,11 +82,11 @@
 	return stopAll(ctx, []*run{r})
 }
 
-// List implements infra.Worker, in order of job and epoch.
+// List implements infra.Worker, sorted by job and epoch.
 func (w *Worker) List(ctx context.Context) ([]infra.TaskStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, w.fence); err != nil {
+	if err := w.checkRequest(ctx, w.fence); err != nil {
 		return nil, err
 	}
 	list := make([]infra.TaskStatus, 0, len(w.runs))
@@ -99,12 +99,12 @@
 	return list, nil
 }
 
-// Forget implements infra.Worker. A task that still runs can't be
-// forgotten: infra.ErrInvalid.
+// Forget implements infra.Worker. It returns infra.ErrInvalid for a task that
+// still runs.
 func (w *Worker) Forget(ctx context.Context, id structs.JobID, e structs.Epoch) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, w.fence); err != nil {
+	if err := w.checkRequest(ctx, w.fence); err != nil {
 		return err
 	}
 	key := runID{job: id, epoch: e}
@@ -121,36 +121,38 @@
 	return nil
 }
 
-// refuseUpTo refuses starts of the job up to epoch e from now on. The caller holds
-// w.mu.
-func (w *Worker) refuseUpTo(id structs.JobID, e structs.Epoch) { w.over[id] = max(w.over[id], e) }
+// refuseUpTo makes Start refuse the job at epochs up to e from now on. The
+// caller holds w.mu.
+func (w *Worker) refuseUpTo(id structs.JobID, e structs.Epoch) {
+	w.lastStopped[id] = max(w.lastStopped[id], e)
+}
 
-// Usage implements infra.Worker, in order of job, epoch and window.
+// Usage implements infra.Worker, sorted by job, epoch and window.
 func (w *Worker) Usage(ctx context.Context) ([]infra.Usage, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, w.fence); err != nil {
+	if err := w.checkRequest(ctx, w.fence); err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	var reports []infra.Usage
 	var open []*run
-	for _, r := range w.measured {
+	for _, r := range w.unreported {
 		u, more := r.usage(now)
 		reports = append(reports, u...)
 		if more {
 			open = append(open, r)
 		}
 	}
-	w.measured = open
+	w.unreported = open
 	slices.SortFunc(reports, func(a, b infra.Usage) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.From, b.From))
 	})
 	return reports, nil
 }
 
-// Close stops every task as a failing instance does, waits for their ends,
-// and refuses every later request with infra.ErrUnavailable.
+// Close stops every task as a failing instance does, waits until all have
+// stopped, and refuses every later request with infra.ErrUnavailable.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/infra/memory/rows.go
+++ b/infra/memory/rows.go
@@ -8,17 +8,19 @@
 	"persimmonrock.example/infra"
 )
 
-// maxChunk bounds how many rows one insertion has to move.
+// maxChunk is the maximum length of a chunk; it bounds the number of rows that
+// one insertion moves.
 const maxChunk = 512
 
 // rows is a set of rows in key order, kept as a list of short sorted chunks.
-// No chunk is empty. It has no lock of its own.
+// No chunk is empty. The caller does the locking.
 type rows struct {
 	chunks [][]*infra.Row
 	count  int
 }
 
-// locate returns the chunk that key belongs to and its place in it.
+// locate returns the index of the chunk that key belongs to and the index of
+// key in that chunk.
 func (r *rows) locate(key string) (chunk, place int, found bool) {
 	chunk = sort.Search(len(r.chunks), func(i int) bool { return r.chunks[i][0].Key > key }) - 1
 	if chunk < 0 {
--- a/infra/memory/table.go
+++ b/infra/memory/table.go
@@ -1,8 +1,8 @@
-// Package memory holds in-memory stand-ins for the platform's services: the
+// Package memory implements the platform's services in memory: the
 // transactional table, the object store and the worker of one instance. They
-// keep the promises that the interfaces in package platform state, count what
-// is asked of them, and use no clock but package time, so that they run under
-// testing/synctest. Faults are added by wrapping them; see package fault.
+// keep the contracts of the interfaces in package infra, count their requests,
+// and use no clock but package time, so that they run under testing/synctest.
+// Package fault wraps them to inject faults.
 package memory
 
 import (
@@ -16,14 +16,14 @@
 	"persimmonrock.example/infra"
 )
 
-// Table is a infra.Table in memory. The zero value isn't usable.
+// Table is an infra.Table in memory. The zero value isn't usable.
 type Table struct {
 	mu   sync.RWMutex
 	rows rows
-	// last is the highest version given so far. One counter serves all rows,
-	// so that a row which is deleted and written anew never has a version
-	// again that an old transaction may still be conditional on.
-	last uint64
+	// lastVersion is the highest version assigned so far. One counter serves
+	// all rows, so that a row that is deleted and written anew never again has
+	// a version that an old transaction may still be conditional on.
+	lastVersion uint64
 
 	reads, writes, conflicts, rowsRead, rowsWritten atomic.Uint64
 	operations                                      operations
@@ -32,16 +32,16 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{} }
 
-// TableCounts are the operations that a table has served.
+// TableCounts counts the operations that a table has served.
 type TableCounts struct {
 	// Reads and Writes count operations that reached the table, Conflicts
-	// the writes of these that applied nothing.
+	// the writes among them that applied nothing.
 	Reads, Writes, Conflicts uint64
-	// RowsRead and RowsWritten count the rows in them.
+	// RowsRead and RowsWritten count the rows in these operations.
 	RowsRead, RowsWritten uint64
 }
 
-// Counts returns the operations served so far.
+// Counts returns the counts of the operations served so far.
 func (t *Table) Counts() TableCounts {
 	return TableCounts{
 		Reads:       t.reads.Load(),
@@ -52,13 +52,13 @@
 	}
 }
 
-// Reads is the number of gets and scans served.
+// Reads returns the number of gets and scans served.
 func (t *Table) Reads() uint64 { return t.reads.Load() }
 
-// Writes is the number of transactions served, conflicts included.
+// Writes returns the number of transactions served, conflicts included.
 func (t *Table) Writes() uint64 { return t.writes.Load() }
 
-// Len is the number of rows.
+// Len returns the number of rows.
 func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -67,7 +67,7 @@
 
 // Get implements infra.Table.
 func (t *Table) Get(ctx context.Context, key string) (infra.Row, error) {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return infra.Row{}, err
 	}
 	if err := infra.CheckKey(key); err != nil {
@@ -88,7 +88,7 @@
 
 // Scan implements infra.Table.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error) {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return nil, err
 	}
 	if limit <= 0 {
@@ -116,7 +116,7 @@
 
 // Commit implements infra.Table.
 func (t *Table) Commit(ctx context.Context, txn infra.Txn) ([]uint64, error) {
-	if err := ended(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return nil, err
 	}
 	if err := txn.Validate(); err != nil {
@@ -126,12 +126,12 @@
 	versions, err := t.commit(txn)
 	if err != nil {
 		t.conflicts.Add(1)
-		t.operations.add(describe(txn), 0, true)
+		t.operations.add(commitOperation(txn), 0, true)
 		return nil, err
 	}
 	rows := len(txn.Puts) + len(txn.Deletes)
 	t.rowsWritten.Add(uint64(rows))
-	t.operations.add(describe(txn), rows, false)
+	t.operations.add(commitOperation(txn), rows, false)
 	return versions, nil
 }
 
@@ -155,9 +155,9 @@
 func (t *Table) apply(txn infra.Txn) []uint64 {
 	versions := make([]uint64, 0, len(txn.Puts))
 	for _, p := range txn.Puts {
-		t.last++
-		t.rows.put(&infra.Row{Key: p.Key, Value: slices.Clone(p.Value), Version: t.last, Op: txn.Op})
-		versions = append(versions, t.last)
+		t.lastVersion++
+		t.rows.put(&infra.Row{Key: p.Key, Value: slices.Clone(p.Value), Version: t.lastVersion, Op: txn.Op})
+		versions = append(versions, t.lastVersion)
 	}
 	for _, key := range txn.Deletes {
 		t.rows.remove(key)
@@ -166,16 +166,16 @@
 }
 
 // copyOf returns a copy of a stored row that the caller may change. Stored
-// rows are replaced and never changed, so it needs no lock.
+// rows are replaced and never changed, so copyOf needs no lock.
 func copyOf(r *infra.Row) infra.Row {
 	c := *r
 	c.Value = slices.Clone(r.Value)
 	return c
 }
 
-// ended refuses a request whose context has ended before it began; it had no
-// effect.
-func ended(ctx context.Context) error {
+// checkContext returns infra.ErrUnavailable if ctx checkContext before the request
+// began, since then the request has no effect.
+func checkContext(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return eris.Wrapf(infra.ErrUnavailable, "not sent: %v", err)
 	}
--- a/infra/memory/table_test.go
+++ b/infra/memory/table_test.go
@@ -15,7 +15,7 @@
 	"persimmonrock.example/infra"
 )
 
-// TestMain fixes the seed of the randomised test; -rapid.seed asks for others.
+// TestMain fixes the seed of the randomised test; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -26,9 +26,9 @@
 	os.Exit(m.Run())
 }
 
-// Rows go missing from scans or come twice once a table has grown past one
-// chunk. A sorted map is the model; keys share prefixes of each other.
-func TestTableIsASortedMap(t *testing.T) {
+// Guards against scans that skip or repeat rows once a table has grown past one
+// chunk. A sorted map is the model; some keys are prefixes of others.
+func TestTableMatchesSortedMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab, model := NewTable(), make(map[string]string)
 		key := rapid.Custom(func(t *rapid.T) string {
@@ -62,7 +62,7 @@
 			}
 			for _, r := range page {
 				if r.Key <= after {
-					t.Fatalf("%q came after %q", r.Key, after)
+					t.Fatalf("scan returned %q after %q", r.Key, after)
 				}
 				after = r.Key
 				got[r.Key] = string(r.Value)
@@ -82,7 +82,8 @@
 	})
 }
 
-// benchmarkRows is the number of tasks that run at the size of two years.
+// benchmarkRows is the number of running tasks at the size expected in two
+// years.
 const benchmarkRows = 30800
 
 func benchmarkTable(b *testing.B) *Table {
--- a/infra/memory/task.go
+++ b/infra/memory/task.go
@@ -13,7 +13,7 @@
 // an error when the task itself failed; when ctx ends it must stop and return.
 type Program func(ctx context.Context, t Task) (result []byte, err error)
 
-// Task is what a program sees of the task it runs.
+// Task is a program's view of the task that it runs.
 type Task struct {
 	Job     structs.JobID
 	Epoch   structs.Epoch
@@ -24,34 +24,34 @@
 }
 
 // Save replaces the state that Worker.Checkpoint returns. progress is the
-// part done, 0 to 1; others see it after the worker's usage lag.
+// fraction done, 0 to 1; Worker.List shows it after the worker's usage lag.
 func (t Task) Save(state []byte, progress float64) {
 	r := t.run
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = slices.Clone(state)
-	r.progress = append(r.progress, progressAt{at: time.Now(), part: progress})
-	r.seenProgress(time.Now())
+	r.progress = append(r.progress, progressAt{at: time.Now(), fraction: progress})
+	r.visibleProgress(time.Now())
 }
 
-// A pace of up to minPace counts as standstill; longestWait is how long a step
-// then waits before it looks again.
+// A pace of up to minPace counts as standstill; a step then waits for
+// standstillWait before it reads the pace again.
 const (
-	minPace     = 1e-6
-	longestWait = time.Hour
+	minPace        = 1e-6
+	standstillWait = time.Hour
 )
 
-// Step does work that takes d at full speed alone on the instance. It takes
-// longer while the task is throttled or slowed by its neighbours, and doesn't
-// advance at speed 0. It returns ctx's error if the task has to stop.
+// Step does work that takes d at full speed alone on the instance. The work
+// takes longer while the task is throttled or slowed by its neighbours, and
+// doesn't progress at speed 0. Step returns ctx's error if the task has to stop.
 func (t Task) Step(ctx context.Context, d time.Duration) error {
 	r := t.run
-	left := d
-	for left > 0 {
+	remaining := d
+	for remaining > 0 {
 		pace, speed, slowdown, changed := r.pace()
-		wait := longestWait
+		wait := standstillWait
 		if pace > minPace {
-			wait = time.Duration(float64(left) / pace)
+			wait = time.Duration(float64(remaining) / pace)
 		}
 		timer := time.NewTimer(wait)
 		began := time.Now()
@@ -60,13 +60,13 @@
 		case <-changed:
 		case <-timer.C:
 			if pace > minPace {
-				left = 0
+				remaining = 0
 			}
 		}
 		timer.Stop()
 		now := time.Now()
-		r.worked(segment{from: began, to: now, speed: speed, slowdown: slowdown})
-		left -= time.Duration(float64(now.Sub(began)) * pace)
+		r.addSegment(segment{from: began, to: now, speed: speed, slowdown: slowdown})
+		remaining -= time.Duration(float64(now.Sub(began)) * pace)
 		if err := ctx.Err(); err != nil {
 			return err
 		}
@@ -74,8 +74,8 @@
 	return ctx.Err()
 }
 
-// pace returns how fast work advances now, and a channel that is closed when
-// the throttle changes.
+// pace returns the present pace of the work, the speed and slowdown behind it,
+// and a channel that is closed when the throttle changes.
 func (r *run) pace() (pace, speed, slowdown float64, changed <-chan struct{}) {
 	slowdown = 1
 	if r.worker.opts.Slowdown != nil {
@@ -86,7 +86,7 @@
 	return r.speed / slowdown, r.speed, slowdown, r.changed
 }
 
-// throttle sets the speed and wakes the steps that wait at the old one.
+// throttle sets the speed and wakes the steps that wait at the old speed.
 func (r *run) throttle(speed float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 	r.changed = make(chan struct{})
 }
 
-// status is the task's state as others see it now.
+// status returns the task's status as the worker reports it now.
 func (r *run) status() infra.TaskStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 		Holder:   r.start.Holder,
 		Declared: r.start.Declared,
 		Phase:    r.phase,
-		Progress: r.seenProgress(time.Now()),
+		Progress: r.visibleProgress(time.Now()),
 		Result:   slices.Clone(r.result),
 		Error:    r.failure,
 	}
--- a/infra/memory/usage.go
+++ b/infra/memory/usage.go
@@ -6,24 +6,24 @@
 	"persimmonrock.example/infra"
 )
 
-// progressAt is a progress and when the program saved it.
+// progressAt is a progress and the time at which the program saved it.
 type progressAt struct {
-	at   time.Time
-	part float64
+	at       time.Time
+	fraction float64
 }
 
-// segment is a stretch of work at one speed and one slowdown.
+// segment is a period of work at one speed and one slowdown.
 type segment struct {
 	from, to        time.Time
 	speed, slowdown float64
 }
 
-// maxSegments bounds what a task keeps for usage reports that nobody fetches.
+// maxSegments bounds the history of a task whose usage reports nobody fetches.
 const maxSegments = 4096
 
-// worked adds s to the task's history; a segment that continues the last one
-// at the same pace extends it.
-func (r *run) worked(s segment) {
+// addSegment adds s to the task's history; if s continues the last segment at
+// the same speed and slowdown, it extends that segment.
+func (r *run) addSegment(s segment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := len(r.segments); n > 0 {
@@ -39,33 +39,34 @@
 	}
 }
 
-// seenProgress returns the newest progress that is older than the usage lag
-// and drops those before it. The caller holds r.mu.
-func (r *run) seenProgress(now time.Time) float64 {
+// visibleProgress returns the newest progress that is at least as old as the
+// usage lag and drops the older ones. The caller holds r.mu.
+func (r *run) visibleProgress(now time.Time) float64 {
 	limit := now.Add(-r.worker.opts.UsageLag)
-	seen := -1
+	newest := -1
 	for i, p := range r.progress {
 		if !p.at.After(limit) {
-			seen = i
+			newest = i
 		}
 	}
-	if seen < 0 {
-		return r.reported
+	if newest < 0 {
+		return r.visible
 	}
-	r.reported = r.progress[seen].part
-	r.progress = r.progress[seen+1:]
-	return r.reported
+	r.visible = r.progress[newest].fraction
+	r.progress = r.progress[newest+1:]
+	return r.visible
 }
 
-// usage returns the task's reports whose windows ended before now less the
-// lag and weren't returned before. It also says whether more may come.
+// usage returns the reports, not returned before, of the task's windows that
+// ended at least the usage lag before now. more is false once the task has no
+// further reports.
 func (r *run) usage(now time.Time) (reports []infra.Usage, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	every := r.worker.opts.UsageEvery
+	window := r.worker.opts.UsageWindow
 	limit := now.Add(-r.worker.opts.UsageLag)
 	for {
-		to := r.window.Add(every)
+		to := r.windowStart.Add(window)
 		last := !r.ended.IsZero() && !to.Before(r.ended)
 		if last {
 			to = r.ended
@@ -73,10 +74,10 @@
 		if to.After(limit) {
 			return reports, true
 		}
-		if to.After(r.window) {
-			reports = append(reports, r.measure(r.window, to))
+		if to.After(r.windowStart) {
+			reports = append(reports, r.measure(r.windowStart, to))
 		}
-		r.window = to
+		r.windowStart = to
 		if last {
 			return reports, false
 		}
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -16,33 +16,35 @@
 
 // Defaults of WorkerOptions.
 const (
-	DefaultUsageEvery = time.Second
-	DefaultUsageLag   = time.Second
+	DefaultUsageWindow = time.Second
+	DefaultUsageLag    = time.Second
 )
 
-// errUnknownKind is how a task of a kind that the worker has no program for
-// fails.
+// errUnknownKind is the failure of a task for whose kind the worker has no
+// program.
 var errUnknownKind = errors.New("no program for this kind")
 
-// WorkerOptions describe a worker. Only Kinds is needed.
+// WorkerOptions configures a Worker. Only Kinds is required.
 type WorkerOptions struct {
 	Instance structs.InstanceID
-	// Kinds are the programs that the worker has; a task of another kind fails.
+	// Kinds holds the program of each kind; a task of another kind fails.
 	Kinds map[structs.Kind]Program
-	// StopDelay is how long a task's work goes on after its program returned
-	// because it had to stop.
+	// StopDelay is the time for which a task's work continues after its
+	// program returned because it had to stop.
 	StopDelay time.Duration
-	// UsageEvery is the length of a usage window, UsageLag how long after its
-	// end the report becomes available. Progress has the same lag.
-	UsageEvery, UsageLag time.Duration
-	// Slowdown returns how much neighbours slow a task of this kind now, 1 for
-	// not at all. It is asked at the start of each step.
+	// UsageWindow is the length of a usage window, UsageLag the time from its
+	// end until its report is available. Progress has the same lag.
+	UsageWindow, UsageLag time.Duration
+	// Slowdown returns the factor by which neighbours slow a task of this kind
+	// now, 1 for none. A step calls it at its start and whenever it resumes
+	// after a change of the throttle.
 	Slowdown func(structs.Kind) float64
-	// Actual returns what a task really uses; nil means what it declared.
+	// Actual returns the resources that a task really uses; nil means those
+	// that it declared.
 	Actual func(infra.TaskStart) structs.Resources
-	// Registry, if set, is told of every start and stop.
+	// Registry, if set, records every start and stop.
 	Registry *RunRegistry
-	// Log gets the first broken invariant.
+	// Log receives the first broken invariant.
 	Log zerolog.Logger
 }
 
@@ -51,7 +53,7 @@
 	epoch structs.Epoch
 }
 
-// Worker is a infra.Worker that runs programs as goroutines.
+// Worker is an infra.Worker that runs programs as goroutines.
 type Worker struct {
 	opts  WorkerOptions
 	began time.Time
@@ -60,11 +62,11 @@
 	fence  structs.Incarnation
 	closed bool
 	runs   map[runID]*run
-	// over is the last epoch of each job that was stopped or forgotten.
-	over     map[structs.JobID]structs.Epoch
-	measured []*run
-	// active holds the job of each program that runs, as seen by the
-	// goroutines themselves. It must never hold a job twice.
+	// lastStopped is the highest stopped or forgotten epoch of each job.
+	lastStopped map[structs.JobID]structs.Epoch
+	unreported  []*run
+	// active counts the running programs of each job; the goroutines that run
+	// them update it. No count may exceed 1.
 	active  map[structs.JobID]int
 	broken  int
 	started int
@@ -80,40 +82,40 @@
 	stopped chan struct{}
 	lease   *time.Timer
 
-	mu       sync.Mutex
-	phase    infra.TaskPhase
-	stopping bool
-	state    []byte
-	result   []byte
-	failure  string
-	speed    float64
-	changed  chan struct{}
-	progress []progressAt
-	reported float64
-	segments []segment
-	window   time.Time
-	ended    time.Time
+	mu          sync.Mutex
+	phase       infra.TaskPhase
+	stopping    bool
+	state       []byte
+	result      []byte
+	failure     string
+	speed       float64
+	changed     chan struct{}
+	progress    []progressAt
+	visible     float64
+	segments    []segment
+	windowStart time.Time
+	ended       time.Time
 }
 
 // NewWorker returns a worker that runs nothing yet.
 func NewWorker(opts WorkerOptions) *Worker {
-	if opts.UsageEvery <= 0 {
-		opts.UsageEvery = DefaultUsageEvery
+	if opts.UsageWindow <= 0 {
+		opts.UsageWindow = DefaultUsageWindow
 	}
 	if opts.UsageLag <= 0 {
 		opts.UsageLag = DefaultUsageLag
 	}
 	return &Worker{
-		opts:   opts,
-		began:  time.Now(),
-		runs:   make(map[runID]*run),
-		over:   make(map[structs.JobID]structs.Epoch),
-		active: make(map[structs.JobID]int),
+		opts:        opts,
+		began:       time.Now(),
+		runs:        make(map[runID]*run),
+		lastStopped: make(map[structs.JobID]structs.Epoch),
+		active:      make(map[structs.JobID]int),
 	}
 }
 
 // Broken counts programs that were started while another run of the same job
-// was active on this worker. It must stay 0.
+// was active on this worker. It must be 0.
 func (w *Worker) Broken() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +132,7 @@
 // Fence implements infra.Worker.
 func (w *Worker) Fence(ctx context.Context, h structs.Incarnation) error {
 	w.mu.Lock()
-	if err := w.refuse(ctx, h); err != nil {
+	if err := w.checkRequest(ctx, h); err != nil {
 		w.mu.Unlock()
 		return err
 	}
@@ -145,12 +147,12 @@
 	return stopAll(ctx, older)
 }
 
-// refuse returns why a request of holder h has no effect. The caller holds
-// w.mu.
-func (w *Worker) refuse(ctx context.Context, h structs.Incarnation) error {
+// checkRequest returns an error if a request of holder h has no effect. The
+// caller holds w.mu.
+func (w *Worker) checkRequest(ctx context.Context, h structs.Incarnation) error {
 	switch {
 	case ctx.Err() != nil:
-		return ended(ctx)
+		return checkContext(ctx)
 	case w.closed:
 		return eris.Wrap(infra.ErrUnavailable, "worker closed")
 	case h < w.fence:
@@ -160,21 +162,21 @@
 }
 
 // Start implements infra.Worker. A repeated start of a job and epoch that
-// the worker knows changes nothing and returns nil, so that it may follow a
-// lost answer. A job that still runs at another epoch is refused with
-// infra.ErrUnavailable.
+// the worker knows changes nothing and returns nil, so that a start can be
+// repeated after a lost answer. A job that still runs at another epoch is
+// refused with infra.ErrUnavailable.
 func (w *Worker) Start(ctx context.Context, t infra.TaskStart) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuse(ctx, t.Holder); err != nil {
+	if err := w.checkRequest(ctx, t.Holder); err != nil {
 		return err
 	}
 	id := runID{job: t.Job, epoch: t.Epoch}
 	if _, known := w.runs[id]; known {
 		return nil
 	}
-	if t.Epoch <= w.over[t.Job] {
-		return eris.Wrapf(infra.ErrFenced, "job %s was stopped at epoch %d", t.Job, w.over[t.Job])
+	if t.Epoch <= w.lastStopped[t.Job] {
+		return eris.Wrapf(infra.ErrFenced, "job %s was stopped at epoch %d", t.Job, w.lastStopped[t.Job])
 	}
 	for other, r := range w.runs {
 		if other.job == t.Job && !r.hasStopped() {
@@ -183,54 +185,54 @@
 	}
 	r := w.newRun(t)
 	w.runs[id] = r
-	w.measured = append(w.measured, r)
+	w.unreported = append(w.unreported, r)
 	return nil
 }
 
-// newRun makes the run of t and starts its program and its lease. The caller
+// newRun creates the run of t and starts its program and its lease. The caller
 // holds w.mu.
 func (w *Worker) newRun(t infra.TaskStart) *run {
 	t.Payload = slices.Clone(t.Payload)
 	t.Checkpoint = slices.Clone(t.Checkpoint)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &run{
-		worker:  w,
-		start:   t,
-		actual:  t.Declared,
-		cancel:  cancel,
-		stopped: make(chan struct{}),
-		phase:   infra.TaskRunning,
-		state:   t.Checkpoint,
-		speed:   1,
-		changed: make(chan struct{}),
-		window:  time.Now(),
+		worker:      w,
+		start:       t,
+		actual:      t.Declared,
+		cancel:      cancel,
+		stopped:     make(chan struct{}),
+		phase:       infra.TaskRunning,
+		state:       t.Checkpoint,
+		speed:       1,
+		changed:     make(chan struct{}),
+		windowStart: time.Now(),
 	}
 	if w.opts.Actual != nil {
 		r.actual = w.opts.Actual(t)
 	}
-	// The worker itself stops a task whose lease lapses, so that a holder
-	// which is frozen or cut off can't keep it running.
+	// The worker itself stops a task whose lease lapses, so that no task
+	// continues to run while its holder is frozen or cut off.
 	r.lease = time.AfterFunc(t.Lease, r.stop)
 	go r.execute(ctx)
 	return r
 }
 
-// execute runs the program to its end and records how it ended.
+// execute runs the program to its end and records its outcome.
 func (r *run) execute(ctx context.Context) {
 	w := r.worker
-	w.enter(r.start.Job)
-	var seen *Run
+	w.programStarted(r.start.Job)
+	var registered *Run
 	if w.opts.Registry != nil {
-		seen = w.opts.Registry.begin(Run{Job: r.start.Job, Epoch: r.start.Epoch, Worker: w.opts.Instance})
+		registered = w.opts.Registry.recordStart(Run{Job: r.start.Job, Epoch: r.start.Epoch, Worker: w.opts.Instance})
 	}
 	result, err := r.program(ctx)
 	if ctx.Err() != nil && w.opts.StopDelay > 0 {
 		time.Sleep(w.opts.StopDelay)
 	}
-	if seen != nil {
-		w.opts.Registry.end(seen)
+	if registered != nil {
+		w.opts.Registry.recordEnd(registered)
 	}
-	w.leave(r.start.Job)
+	w.programEnded(r.start.Job)
 	r.finish(result, err)
 }
 
@@ -249,7 +251,7 @@
 }
 
 // finish sets the final phase. A result that came after the task had to stop
-// is dropped, since its holder may already have reported it as stopped.
+// is dropped, since the holder may already have reported the task as stopped.
 func (r *run) finish(result []byte, err error) {
 	r.lease.Stop()
 	r.cancel()
@@ -269,7 +271,7 @@
 	close(r.stopped)
 }
 
-// stop asks the program to stop; it doesn't wait.
+// stop makes the program stop and doesn't wait for its end.
 func (r *run) stop() {
 	r.mu.Lock()
 	r.stopping = true
@@ -286,8 +288,8 @@
 	}
 }
 
-// stopAll stops the runs and waits until all have stopped. If ctx ends first
-// they still will, but when isn't known.
+// stopAll stops the runs and waits until all have stopped. If ctx ends first,
+// the runs still stop, at an unknown time.
 func stopAll(ctx context.Context, runs []*run) error {
 	for _, r := range runs {
 		r.stop()
@@ -302,8 +304,8 @@
 	return nil
 }
 
-// enter notes that a program of the job starts.
-func (w *Worker) enter(id structs.JobID) {
+// programStarted records that a program of the job starts.
+func (w *Worker) programStarted(id structs.JobID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
@@ -318,7 +320,7 @@
 	}
 }
 
-func (w *Worker) leave(id structs.JobID) {
+func (w *Worker) programEnded(id structs.JobID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.active[id]--
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -16,7 +16,7 @@
 
 const assay structs.Kind = "assay"
 
-// endless works until it is told to stop.
+// endless is a program that works until it has to stop.
 func endless(ctx context.Context, t Task) ([]byte, error) {
 	return nil, t.Step(ctx, 1000*time.Hour)
 }
@@ -28,11 +28,11 @@
 	}
 }
 
-// A deposit grade report runs twice, and two grades go out. An agent is cut
-// off and can't renew; its worker stops the task when the lease lapses, but
-// the work takes 300 ms more to end; another worker is given the job. The
-// registry must see it exactly if the second start came too early.
-func TestLapsedLeaseStopsTheTaskAndOverlapsAreSeen(t *testing.T) {
+// Guards against a task that runs twice: an agent is cut off and can't renew,
+// its worker stops the task when the lease lapses, the work takes 300 ms more to
+// end, and another worker starts the job. The registry must count the overlap
+// exactly if the second start came too early.
+func TestLapsedLeaseStopsTaskAndOverlapsAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		after  time.Duration
 		broken int
@@ -63,9 +63,9 @@
 	}
 }
 
-// An agent is killed and a new one starts beside the same worker. The new one
-// reports the instance free while the old one's task still runs on. Fence must
-// not return before the slow task has stopped.
+// Guards against a new agent that reports its instance free while a task of the
+// killed agent before it still runs on the same worker. Fence must not return
+// before the slow task has stopped.
 func TestFenceWaitsForSlowStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorker(WorkerOptions{Kinds: map[structs.Kind]Program{assay: endless}, StopDelay: 5 * time.Second})
@@ -74,9 +74,9 @@
 			time.Sleep(900 * time.Millisecond)
 			check(t, w.Renew(t.Context(), 1, time.Second), nil)
 		}
-		impatient, cancel := context.WithTimeout(t.Context(), time.Second)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		check(t, w.Fence(impatient, 2), infra.ErrUnknown)
+		check(t, w.Fence(shortCtx, 2), infra.ErrUnknown)
 		check(t, w.Start(t.Context(), assayTask(2, 1)), infra.ErrFenced)
 		check(t, w.Start(t.Context(), assayTask(2, 2)), infra.ErrUnavailable)
 		began := time.Now()
@@ -106,7 +106,8 @@
 		check(t, w.Start(t.Context(), long), nil)
 		time.Sleep(time.Second)
 		check(t, w.Throttle(t.Context(), "job", 1, 0.5), nil)
-		// Half a second of the work is done, the rest goes at a quarter: 5 s.
+		// Half a second of the work is done; at a quarter of full speed, the
+		// rest ends 5 s after the start.
 		time.Sleep(1999 * time.Millisecond)
 		if early, _ := w.Usage(t.Context()); len(early) != 0 {
 			t.Errorf("reports before their lag: %v", early)
@@ -125,7 +126,7 @@
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
-		if rest, _ := w.Usage(t.Context()); len(rest) != 0 || len(w.measured) != 0 {
+		if rest, _ := w.Usage(t.Context()); len(rest) != 0 || len(w.unreported) != 0 {
 			t.Errorf("reports returned twice: %v", rest)
 		}
 	})
--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -247,11 +247,11 @@
 	each(t, func(t *testing.T, ctx context.Context, s services) {
 		registry := memory.NewRunRegistry(zerolog.Nop())
 		w := s.worker(memory.WorkerOptions{
-			Kinds:      map[structs.Kind]memory.Program{"count": countTo},
-			StopDelay:  20 * time.Millisecond,
-			UsageEvery: 5 * time.Millisecond,
-			UsageLag:   time.Millisecond,
-			Registry:   registry,
+			Kinds:       map[structs.Kind]memory.Program{"count": countTo},
+			StopDelay:   20 * time.Millisecond,
+			UsageWindow: 5 * time.Millisecond,
+			UsageLag:    time.Millisecond,
+			Registry:    registry,
 		})
 		wantError(t, w.Fence(ctx, 3), nil, "fence")
 		wantError(t, w.Fence(ctx, 2), infra.ErrFenced, "lower fence")
