--- a/infra/remote/bench_test.go
+++ b/infra/remote/bench_test.go
@@ -16,26 +16,26 @@
 	"persimmonrock.example/structs"
 )
 
-// counted counts the bytes of a connection, both ways.
-type counted struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkRemote measures time and bytes of each operation of the table
-// behind HTTP, with the lease rows of 1,000 agents in it.
+// BenchmarkRemote measures the time and the bytes of each operation of a table
+// over HTTP that holds the lease rows of 1,000 agents.
 func BenchmarkRemote(b *testing.B) {
 	inner := memory.NewTable()
 	server := httptest.NewServer(remote.Handler(inner, memory.NewObjects()))
@@ -43,7 +43,7 @@
 	var bytes atomic.Int64
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return counted{c, &bytes}, err
+		return countingConn{c, &bytes}, err
 	}
 	tab := remote.NewTable(server.URL, &http.Client{Transport: &http.Transport{DialContext: dial}})
 	for i := range 1000 {
--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	errTooLarge   = errors.New("body greater than the protocol allows")
-	errNoContract = errors.New("answer isn't of this protocol")
+	errTooLarge = errors.New("body greater than the protocol allows")
+	errProtocol = errors.New("answer does not follow the protocol")
 )
 
 // client sends requests to one base URL.
@@ -32,36 +32,36 @@
 	if c == nil {
 		c = http.DefaultClient
 	}
-	own := *c
-	// A redirect would send the request a second time behind our back; it is
-	// an answer that isn't of this protocol.
-	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	made := &client{base: strings.TrimRight(base, "/"), http: own, counters: NewCounters()}
+	httpClient := *c
+	// Following a redirect would send the request a second time; the redirect
+	// counts as an answer that does not follow the protocol.
+	httpClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	created := &client{base: strings.TrimRight(base, "/"), http: httpClient, counters: NewCounters()}
 	for _, o := range options {
-		o(made)
+		o(created)
 	}
-	return made
+	return created
 }
 
-// exchange is one request of a step.
+// exchange is one HTTP request; step names its operation in errors.
 type exchange struct {
 	step, method, path, content string
 	body                        []byte
-	// write says that the request may change something.
+	// write is set if the request may change something.
 	write bool
 }
 
 // do sends the request and returns the body of a successful answer.
 //
 // Failure guarded against: a request that took effect, or may still do so, is
-// taken for one that had none. It shows when a broken connection, a time-out
-// or a middle box's answer is read as a refusal. The guard holds because only
-// two things count as proof: no connection was ever obtained, so nothing was
+// reported as one without effect, because a broken connection, a time-out or the
+// answer of an intermediary is read as a refusal. Only two things count as proof
+// that a request had no effect: no connection was ever obtained, so nothing was
 // written; or a problem document of this protocol says so. net/http repeats a
 // POST or PUT by itself only when no byte of it was written, as long as no
 // Idempotency-Key header is set; none may be set here.
 func (c *client) do(ctx context.Context, x exchange) ([]byte, error) {
-	c.counters.begin(x.write)
+	c.counters.countRequest(x.write)
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -80,35 +80,35 @@
 		return nil, c.unanswered(x, err)
 	}
 	defer resp.Body.Close()
-	body, err := plain(resp)
+	body, err := readAnswer(resp)
 	if err != nil {
 		return nil, c.unanswered(x, err)
 	}
 	if resp.StatusCode == http.StatusOK {
-		c.counters.answer()
+		c.counters.recordAnswer()
 		return body, nil
 	}
 	return nil, c.refusal(x, resp, body)
 }
 
-// refusal returns the error that an unsuccessful answer stands for.
+// refusal returns the error of an unsuccessful answer.
 func (c *client) refusal(x exchange, resp *http.Response, body []byte) error {
 	var p problem
-	if resp.Header.Get(headerContent) != contentProblem || strict(body, &p) != nil || p.Status != resp.StatusCode {
-		return c.unanswered(x, eris.Wrapf(errNoContract, "status %d", resp.StatusCode))
+	if resp.Header.Get(headerContent) != contentProblem || decodeStrict(body, &p) != nil || p.Status != resp.StatusCode {
+		return c.unanswered(x, eris.Wrapf(errProtocol, "status %d", resp.StatusCode))
 	}
 	cause := p.cause()
 	if cause == nil || (cause == infra.ErrUnknown && !x.write) {
 		return c.unanswered(x, errors.New(p.Detail))
 	}
 	if cause != infra.ErrUnavailable && cause != infra.ErrUnknown {
-		c.counters.answer()
+		c.counters.recordAnswer()
 	}
 	return c.fail(x, cause, errors.New(p.Detail))
 }
 
-// unanswered is the error of a request that was sent and whose effect isn't
-// known. A read has none, so it counts as unavailable.
+// unanswered returns the error of a request that was sent and has no valid
+// answer: ErrUnknown for a write, ErrUnavailable for a read, which has no effect.
 func (c *client) unanswered(x exchange, err error) error {
 	if x.write {
 		return c.fail(x, infra.ErrUnknown, err)
@@ -118,7 +118,7 @@
 
 // fail counts the cause and wraps it with the step and the peer.
 func (c *client) fail(x exchange, cause, detail error) error {
-	c.counters.failure(cause)
+	c.counters.countFailure(cause)
 	return eris.Wrapf(cause, "%s at %s: %v", x.step, c.base, detail)
 }
 
@@ -134,8 +134,9 @@
 	return body, nil
 }
 
-// strict decodes one JSON value without unknown fields or trailing data.
-func strict(body []byte, into any) error {
+// decodeStrict decodes one JSON value and rejects unknown fields and trailing
+// data.
+func decodeStrict(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// kind says whether a call may change something.
+// kind tells calls that may change something from those that can't.
 type kind bool
 
 const (
@@ -170,7 +171,7 @@
 	if err != nil {
 		return answer, err
 	}
-	if err := strict(body, &answer); err != nil {
+	if err := decodeStrict(body, &answer); err != nil {
 		return answer, c.unanswered(x, err)
 	}
 	return answer, nil
--- a/infra/remote/compress.go
+++ b/infra/remote/compress.go
@@ -14,12 +14,12 @@
 	headerEncoding = "Content-Encoding"
 	encodingGzip   = "gzip"
 	// minCompressed is the length in bytes from which an answer is compressed.
-	// Rows of one kind are alike, so that scans shrink to a fraction; a node's
-	// share of control traffic is a few kilobytes a second.
+	// Rows of one kind are similar, so that scans shrink to a fraction; a
+	// node's share of control traffic is a few kilobytes a second.
 	minCompressed = 1024
 )
 
-// compressors keeps writers, each of which holds large tables.
+// compressors pools gzip writers, since each of them holds large tables.
 var compressors = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
@@ -28,9 +28,9 @@
 	return w
 }}
 
-// compressed returns body as gzip if the client takes that and it is long
-// enough; ok is false if it is to be sent as it is.
-func compressed(r *http.Request, body []byte) (smaller []byte, ok bool) {
+// compress returns body as gzip if the client accepts gzip and body is long
+// enough; ok is false if body has to be sent as it is.
+func compress(r *http.Request, body []byte) (compressed []byte, ok bool) {
 	if len(body) < minCompressed || !strings.Contains(r.Header.Get(headerAccept), encodingGzip) {
 		return nil, false
 	}
@@ -47,9 +47,10 @@
 	return b.Bytes(), b.Len() < len(body)
 }
 
-// plain reads the whole body of an answer, which may be compressed. MaxBody
-// bounds what comes out, so that a short answer can't expand without limit.
-func plain(resp *http.Response) ([]byte, error) {
+// readAnswer reads the whole body of an answer, which may be compressed.
+// MaxBody bounds the expanded size, so that a short answer can't expand without
+// limit.
+func readAnswer(resp *http.Response) ([]byte, error) {
 	if resp.Header.Get(headerEncoding) != encodingGzip {
 		return readAll(resp.Body)
 	}
--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -19,24 +19,25 @@
 	"persimmonrock.example/structs"
 )
 
-const bound = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// services is one set of the platform's services under test.
+// services is one implementation of the platform's services.
 type services struct {
 	table   infra.Table
 	objects infra.Objects
 	worker  func(memory.WorkerOptions) infra.Worker
 }
 
-// each runs the behaviour against the stand-ins themselves, behind wrappers
-// without faults, and behind HTTP: callers must not see a difference.
-func each(t *testing.T, behaviour func(*testing.T, context.Context, services)) {
+// forEachImplementation runs the behaviour against the in-memory services, the
+// same behind wrappers without faults, and over HTTP: callers must not see a
+// difference.
+func forEachImplementation(t *testing.T, behaviour func(*testing.T, context.Context, services)) {
 	newWorker := func(t *testing.T, opts memory.WorkerOptions) *memory.Worker {
 		w := memory.NewWorker(opts)
 		t.Cleanup(w.Close)
 		return w
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	t.Run("memory", func(t *testing.T) {
 		behaviour(t, ctx, services{
@@ -46,12 +47,12 @@
 		})
 	})
 	t.Run("fault", func(t *testing.T) {
-		calm := fault.NewControl(1)
+		noFaults := fault.NewControl(1)
 		behaviour(t, ctx, services{
-			table:   fault.NewTable(memory.NewTable(), calm),
-			objects: fault.NewObjects(memory.NewObjects(), calm),
+			table:   fault.NewTable(memory.NewTable(), noFaults),
+			objects: fault.NewObjects(memory.NewObjects(), noFaults),
 			worker: func(o memory.WorkerOptions) infra.Worker {
-				return fault.NewWorker(newWorker(t, o), calm)
+				return fault.NewWorker(newWorker(t, o), noFaults)
 			},
 		})
 	})
@@ -89,7 +90,7 @@
 }
 
 func TestTableContract(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, s services) {
+	forEachImplementation(t, func(t *testing.T, ctx context.Context, s services) {
 		_, err := s.table.Get(ctx, "a")
 		wantError(t, err, infra.ErrNotFound, "absent row")
 
@@ -103,7 +104,7 @@
 			t.Errorf("row after its put (%v): %s", err, diff)
 		}
 
-		// All or nothing: the second condition breaks, so that neither row changes.
+		// All or nothing: the second condition fails, so that neither row changes.
 		_, err = s.table.Commit(ctx, infra.Txn{
 			Op:      "op2",
 			Conds:   []infra.Cond{{Key: "job/a", Version: v[1]}, {Key: "job/b", Version: v[0] + 100}},
@@ -172,7 +173,7 @@
 }
 
 func TestObjectsContract(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, s services) {
+	forEachImplementation(t, func(t *testing.T, ctx context.Context, s services) {
 		const key = "result/a b/../1?x=%2F"
 		_, err := s.objects.Get(ctx, key)
 		wantError(t, err, infra.ErrNotFound, "absent object")
@@ -200,7 +201,7 @@
 	})
 }
 
-// countTo steps to the number in its payload and saves after each step.
+// countTo counts up to the number in its payload and saves after each step.
 func countTo(ctx context.Context, t memory.Task) ([]byte, error) {
 	var from, to int
 	if _, err := fmt.Sscan(string(t.Payload), &to); err != nil {
@@ -224,7 +225,7 @@
 	return infra.TaskStart{Job: id, Epoch: e, Kind: "count", Payload: []byte(payload), Holder: 3, Lease: time.Minute}
 }
 
-// await lists until the job at the epoch is in the phase.
+// await polls List until the job at the epoch is in the phase.
 func await(t *testing.T, ctx context.Context, w infra.Worker, id structs.JobID, e structs.Epoch, phase infra.TaskPhase) infra.TaskStatus {
 	t.Helper()
 	for ctx.Err() == nil {
@@ -244,7 +245,7 @@
 }
 
 func TestWorkerContract(t *testing.T) {
-	each(t, func(t *testing.T, ctx context.Context, s services) {
+	forEachImplementation(t, func(t *testing.T, ctx context.Context, s services) {
 		registry := memory.NewRunRegistry(zerolog.Nop())
 		w := s.worker(memory.WorkerOptions{
 			Kinds:       map[structs.Kind]memory.Program{"count": countTo},
@@ -292,7 +293,7 @@
 
 		wantError(t, w.Start(ctx, task("bad", 1, "no number")), nil, "start of a failing task")
 		if s := await(t, ctx, w, "bad", 1, infra.TaskFailed); s.Error == "" {
-			t.Error("a failed task says nothing")
+			t.Error("a failed task has no error text")
 		}
 		strange := task("strange", 1, "")
 		strange.Kind = "strange"
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -8,14 +8,15 @@
 	"persimmonrock.example/infra"
 )
 
-// Counters count what one or more clients asked of the platform and how it
-// went. The zero value is ready; it is safe for concurrent use.
+// Counters counts the requests of one or more clients to the platform and their
+// failures. The zero value is ready to count, but only NewCounters sets the time
+// base of SinceAnswerMillis. Counters is safe for concurrent use.
 type Counters struct {
 	reads, writes, conflicts, unavailable, unknown atomic.Uint64
-	// answered is when the service last answered in its own protocol, as time
-	// since counting began.
-	answered atomic.Int64
-	began    time.Time
+	// lastAnswer is the time of the service's last answer in its own protocol,
+	// in nanoseconds since began.
+	lastAnswer atomic.Int64
+	began      time.Time
 }
 
 // NewCounters returns counters at zero.
@@ -23,40 +24,40 @@
 
 // CounterVars are the values of Counters.
 type CounterVars struct {
-	// Reads and Writes count requests begun.
+	// Reads and Writes count started requests.
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
-	// Conflicts count transactions refused by a condition.
+	// Conflicts counts transactions refused by a condition.
 	Conflicts uint64 `json:"conflicts"`
-	// Unavailable counts requests that had no effect for want of the service,
-	// Unknown writes whose effect isn't known.
+	// Unavailable counts requests that had no effect because the service was
+	// unavailable, Unknown writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SilentMillis is how long the service has not answered; while nothing is
-	// asked of it, it grows too.
-	SilentMillis int64 `json:"silent_ms"`
+	// SinceAnswerMillis is the time since the service's last answer; it grows
+	// also while the service gets no requests.
+	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
-// Vars returns the present values, for expvar.
+// Vars returns the present values as CounterVars, for expvar.
 func (c *Counters) Vars() any {
-	silent := time.Since(c.began) - time.Duration(c.answered.Load())
+	sinceAnswer := time.Since(c.began) - time.Duration(c.lastAnswer.Load())
 	return CounterVars{
-		Reads:        c.reads.Load(),
-		Writes:       c.writes.Load(),
-		Conflicts:    c.conflicts.Load(),
-		Unavailable:  c.unavailable.Load(),
-		Unknown:      c.unknown.Load(),
-		SilentMillis: silent.Milliseconds(),
+		Reads:             c.reads.Load(),
+		Writes:            c.writes.Load(),
+		Conflicts:         c.conflicts.Load(),
+		Unavailable:       c.unavailable.Load(),
+		Unknown:           c.unknown.Load(),
+		SinceAnswerMillis: sinceAnswer.Milliseconds(),
 	}
 }
 
-// Option changes a client.
+// Option configures a client.
 type Option func(*client)
 
 // WithCounters makes a client count into c.
 func WithCounters(c *Counters) Option { return func(client *client) { client.counters = c } }
 
-func (c *Counters) begin(write bool) {
+func (c *Counters) countRequest(write bool) {
 	if write {
 		c.writes.Add(1)
 		return
@@ -64,11 +65,11 @@
 	c.reads.Add(1)
 }
 
-// answer notes an answer in the service's own protocol.
-func (c *Counters) answer() { c.answered.Store(int64(time.Since(c.began))) }
+// recordAnswer records the time of an recordAnswer in the service's own protocol.
+func (c *Counters) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.began))) }
 
-// failure counts the error of a request.
-func (c *Counters) failure(cause error) {
+// countFailure counts the error of a request.
+func (c *Counters) countFailure(cause error) {
 	var conflict *infra.ConflictError
 	switch {
 	case errors.As(cause, &conflict):
--- a/infra/remote/errors_test.go
+++ b/infra/remote/errors_test.go
@@ -16,7 +16,8 @@
 	"persimmonrock.example/infra/remote"
 )
 
-// answer replies with a status, a content type and a body.
+// answer returns a handler that replies with a status, a content type and a
+// body, and with a success to a client that follows its redirect.
 func answer(status int, content, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/table/elsewhere" {
@@ -31,17 +32,18 @@
 
 const unavailableProblem = `{"type":"urn:persimmonrock:platform:unavailable","title":"","status":503}`
 
-// A job was stored, but the connection broke, or something between the entry
-// and the store answered in its place, and the customer was told that nothing
-// was done. Cause: any failed request was taken for one without effect.
-func TestOnlyProofCountsAsWithoutEffect(t *testing.T) {
+// Guards against a customer's submission that is reported as without effect
+// although its job was stored: the connection broke, or an intermediary between
+// the entry and the store answered in its place, and any failed request counted
+// as one without effect.
+func TestErrorsWithoutProofAreUnknown(t *testing.T) {
 	const problemJSON, plainJSON = "application/problem+json", "application/json"
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	never := func(_ http.ResponseWriter, r *http.Request) {
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	hang := func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}
-	half := func(w http.ResponseWriter, _ *http.Request) {
+	truncated := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, `{"versions":[1]}`)
 	}
@@ -55,12 +57,12 @@
 		handler http.HandlerFunc
 		commit  error
 	}{
-		"cut before the answer":          {cut, infra.ErrUnknown},
-		"cut within the answer":          {half, infra.ErrUnknown},
+		"cut before the answer":          {abort, infra.ErrUnknown},
+		"cut within the answer":          {truncated, infra.ErrUnknown},
 		"expands beyond the bound":       {expanding, infra.ErrUnknown},
-		"no answer":                      {never, infra.ErrUnknown},
+		"no answer":                      {hang, infra.ErrUnknown},
 		"redirect":                       {answer(307, plainJSON, ""), infra.ErrUnknown},
-		"refusal by a middle box":        {answer(503, "text/html", "busy"), infra.ErrUnknown},
+		"refusal by an intermediary":     {answer(503, "text/html", "busy"), infra.ErrUnknown},
 		"document with another status":   {answer(500, problemJSON, unavailableProblem), infra.ErrUnknown},
 		"document of another protocol":   {answer(503, problemJSON, `{"type":"about:blank","title":"","status":503}`), infra.ErrUnknown},
 		"conflict that names no row":     {answer(409, problemJSON, `{"type":"urn:persimmonrock:platform:conflict","title":"","status":409}`), infra.ErrUnknown},
@@ -84,7 +86,7 @@
 			if errors.Is(err, infra.ErrUnavailable) == errors.Is(err, infra.ErrUnknown) {
 				t.Errorf("%v is both or neither", err)
 			}
-			// A read has no effect, so whatever happens to it is an outage.
+			// A read has no effect, so each of its failures counts as unavailable.
 			_, err = tab.Get(ctx, "a")
 			wantError(t, err, infra.ErrUnavailable, "get")
 			counted := counters.Vars().(remote.CounterVars)
@@ -95,7 +97,7 @@
 	}
 }
 
-func TestHandlerRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestHandlerRefusesInvalidBodies(t *testing.T) {
 	server := httptest.NewServer(remote.Handler(memory.NewTable(), memory.NewObjects()))
 	defer server.Close()
 	for name, body := range map[string]string{
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -56,14 +56,14 @@
 	})
 	serve(mux, pathList, func(ctx context.Context, _ empty) (listAnswer, error) {
 		list, err := w.List(ctx)
-		return listAnswer{Tasks: mapped(list, func(s infra.TaskStatus) status { return status(s) })}, err
+		return listAnswer{Tasks: mapSlice(list, func(s infra.TaskStatus) status { return status(s) })}, err
 	})
 	serve(mux, pathForget, func(ctx context.Context, r taskRequest) (empty, error) {
 		return empty{}, w.Forget(ctx, r.Job, r.Epoch)
 	})
 	serve(mux, pathUsage, func(ctx context.Context, _ empty) (usageAnswer, error) {
 		reports, err := w.Usage(ctx)
-		return usageAnswer{Usage: mapped(reports, usageOf)}, err
+		return usageAnswer{Usage: mapSlice(reports, usageOf)}, err
 	})
 	return mux
 }
@@ -74,15 +74,15 @@
 		var request Request
 		body, err := readAll(http.MaxBytesReader(w, r.Body, MaxBody))
 		if err == nil {
-			err = strict(body, &request)
+			err = decodeStrict(body, &request)
 		}
 		if err != nil {
-			refuse(w, r, eris.Wrapf(infra.ErrInvalid, "body: %v", err))
+			replyError(w, r, eris.Wrapf(infra.ErrInvalid, "body: %v", err))
 			return
 		}
 		answer, err := f(r.Context(), request)
 		if err != nil {
-			refuse(w, r, err)
+			replyError(w, r, err)
 			return
 		}
 		reply(w, r, http.StatusOK, contentJSON, answer)
@@ -93,11 +93,11 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readAll(http.MaxBytesReader(w, r.Body, MaxBody))
 		if err != nil {
-			refuse(w, r, eris.Wrapf(infra.ErrInvalid, "body: %v", err))
+			replyError(w, r, eris.Wrapf(infra.ErrInvalid, "body: %v", err))
 			return
 		}
 		if err := o.Put(r.Context(), r.URL.Query().Get(paramKey), body); err != nil {
-			refuse(w, r, err)
+			replyError(w, r, err)
 			return
 		}
 		reply(w, r, http.StatusOK, contentJSON, empty{})
@@ -108,7 +108,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := o.Get(r.Context(), r.URL.Query().Get(paramKey))
 		if err != nil {
-			refuse(w, r, err)
+			replyError(w, r, err)
 			return
 		}
 		write(w, r, http.StatusOK, contentBytes, body)
@@ -118,21 +118,21 @@
 func deleteObject(o infra.Objects) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := o.Delete(r.Context(), r.URL.Query().Get(paramKey)); err != nil {
-			refuse(w, r, err)
+			replyError(w, r, err)
 			return
 		}
 		reply(w, r, http.StatusOK, contentJSON, empty{})
 	}
 }
 
-// refuse answers with the problem document of err.
-func refuse(w http.ResponseWriter, r *http.Request, err error) {
+// replyError answers with the problem document of err.
+func replyError(w http.ResponseWriter, r *http.Request, err error) {
 	p := problemOf(err)
 	reply(w, r, p.Status, contentProblem, p)
 }
 
-// reply answers with a JSON body. An answer that is too great is replaced by
-// one that claims nothing.
+// reply answers with a JSON body. An answer that is too large is replaced by a
+// problem document of unknown outcome.
 func reply(w http.ResponseWriter, r *http.Request, code int, content string, answer any) {
 	body, err := json.Marshal(answer)
 	if err == nil && len(body) > MaxBody {
@@ -147,12 +147,12 @@
 
 func write(w http.ResponseWriter, r *http.Request, code int, content string, body []byte) {
 	w.Header().Set(headerContent, content)
-	if smaller, ok := compressed(r, body); ok {
+	if compressed, ok := compress(r, body); ok {
 		w.Header().Set(headerEncoding, encodingGzip)
-		body = smaller
+		body = compressed
 	}
 	w.WriteHeader(code)
-	// A write error means that the client is gone; it treats the missing
-	// answer as unknown.
+	// A write error means that the client has disconnected; it treats the
+	// missing answer as an unknown outcome.
 	_, _ = w.Write(body)
 }
--- a/infra/remote/protocol.go
+++ b/infra/remote/protocol.go
@@ -1,5 +1,5 @@
-// Package remote carries the platform's interfaces over HTTP, both ways: the
-// clients implement the interfaces by requests to a base URL, the handlers
+// Package remote implements both sides of the platform's interfaces over HTTP:
+// the clients implement the interfaces by requests to a base URL, the handlers
 // serve any implementation. The protocol is described in
 // docs/notes/platform.md.
 package remote
@@ -13,8 +13,8 @@
 	"persimmonrock.example/structs"
 )
 
-// MaxBody is the greatest body of a request or an answer, in bytes. A scan
-// whose answer would be greater fails; it is never cut short, since a short
+// MaxBody is the maximum size of the body of a request or an answer, in bytes. A
+// scan whose answer would be larger fails; it is never truncated, since a short
 // scan means that there are no more rows.
 const MaxBody = 32 << 20
 
@@ -43,7 +43,7 @@
 	paramKey       = "key"
 )
 
-// problemType is the stable cause in a problem document.
+// problemType identifies the cause in a problem document.
 type problemType string
 
 const (
@@ -61,12 +61,12 @@
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
 	Detail string      `json:"detail,omitempty"`
-	// Current is the row that broke a condition.
+	// Current is the row on which a condition failed.
 	Current *row `json:"current,omitempty"`
 }
 
 // problemOf returns the document for an error of a platform service. An error
-// that the protocol doesn't know proves nothing.
+// that the protocol has no type for becomes one of unknown outcome.
 func problemOf(err error) problem {
 	p := problem{Type: problemUnknown, Status: http.StatusGatewayTimeout}
 	var conflict *infra.ConflictError
@@ -88,8 +88,8 @@
 	return p
 }
 
-// cause returns the platform's error that the document stands for, or nil if
-// it names none.
+// cause returns the platform's error that the document names, or nil if it names
+// none.
 func (p problem) cause() error {
 	switch p.Type {
 	case problemConflict:
@@ -120,10 +120,10 @@
 
 func rowOf(r infra.Row) row      { return row(r) }
 func (r row) row() infra.Row     { return infra.Row(r) }
-func rowsOf(rs []infra.Row) rows { return rows{Rows: mapped(rs, rowOf)} }
+func rowsOf(rs []infra.Row) rows { return rows{Rows: mapSlice(rs, rowOf)} }
 
-// mapped returns f of each element.
-func mapped[A, B any](in []A, f func(A) B) []B {
+// mapSlice returns the results of f for the elements of in.
+func mapSlice[A, B any](in []A, f func(A) B) []B {
 	out := make([]B, len(in))
 	for i, a := range in {
 		out[i] = f(a)
@@ -165,8 +165,8 @@
 func commitOf(t infra.Txn) commitRequest {
 	return commitRequest{
 		Op:      t.Op,
-		Conds:   mapped(t.Conds, func(c infra.Cond) condition { return condition(c) }),
-		Puts:    mapped(t.Puts, func(p infra.Put) put { return put(p) }),
+		Conds:   mapSlice(t.Conds, func(c infra.Cond) condition { return condition(c) }),
+		Puts:    mapSlice(t.Puts, func(p infra.Put) put { return put(p) }),
 		Deletes: t.Deletes,
 	}
 }
@@ -174,8 +174,8 @@
 func (r commitRequest) txn() infra.Txn {
 	return infra.Txn{
 		Op:      r.Op,
-		Conds:   mapped(r.Conds, func(c condition) infra.Cond { return infra.Cond(c) }),
-		Puts:    mapped(r.Puts, func(p put) infra.Put { return infra.Put(p) }),
+		Conds:   mapSlice(r.Conds, func(c condition) infra.Cond { return infra.Cond(c) }),
+		Puts:    mapSlice(r.Puts, func(p put) infra.Put { return infra.Put(p) }),
 		Deletes: r.Deletes,
 	}
 }
@@ -226,7 +226,7 @@
 }
 
 type stateAnswer struct {
-	// State is null when there is none, which differs from an empty one.
+	// State is null if there is no state, which differs from an empty one.
 	State []byte `json:"state"`
 }
 
--- a/infra/remote/table.go
+++ b/infra/remote/table.go
@@ -9,11 +9,11 @@
 	"persimmonrock.example/infra"
 )
 
-// table is a infra.Table behind HTTP.
+// table is an infra.Table over HTTP.
 type table struct{ client *client }
 
 // NewTable returns the table service at base, such as "http://10.0.0.7:8300".
-// A nil client is http.DefaultClient; contexts bound each request.
+// A nil client means http.DefaultClient; contexts bound each request.
 func NewTable(base string, c *http.Client, options ...Option) infra.Table {
 	return &table{client: newClient(base, c, options)}
 }
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return mapped(found.Rows, row.row), nil
+	return mapSlice(found.Rows, row.row), nil
 }
 
 // Commit implements infra.Table.
@@ -51,16 +51,16 @@
 		return nil, err
 	}
 	if len(answer.Versions) != len(txn.Puts) {
-		err := errors.New("another number of versions than of puts")
+		err := errors.New("number of versions differs from number of puts")
 		return nil, t.client.fail(exchange{step: step}, infra.ErrUnknown, err)
 	}
 	return answer.Versions, nil
 }
 
-// objects is a infra.Objects behind HTTP.
+// objects is an infra.Objects over HTTP.
 type objects struct{ client *client }
 
-// NewObjects returns the object store at base. A nil client is
+// NewObjects returns the object store at base. A nil client means
 // http.DefaultClient.
 func NewObjects(base string, c *http.Client, options ...Option) infra.Objects {
 	return &objects{client: newClient(base, c, options)}
--- a/infra/remote/worker.go
+++ b/infra/remote/worker.go
@@ -9,34 +9,34 @@
 	"persimmonrock.example/structs"
 )
 
-// worker is a infra.Worker behind HTTP.
+// worker is an infra.Worker over HTTP.
 type worker struct{ client *client }
 
-// NewWorker returns the worker at base. A nil client is http.DefaultClient.
-// Fence and Stop answer only once the work has stopped, so that the client's
-// own time-out, if any, has to be longer than that.
+// NewWorker returns the worker at base. A nil client means http.DefaultClient.
+// Fence and Stop answer only once the work has stopped, so a time-out of the
+// client itself has to be longer than a stop takes.
 func NewWorker(base string, c *http.Client, options ...Option) infra.Worker {
 	return &worker{client: newClient(base, c, options)}
 }
 
-func (w *worker) act(ctx context.Context, step, path string, request any) error {
+func (w *worker) post(ctx context.Context, step, path string, request any) error {
 	_, err := call[empty](ctx, w.client, writing, step, path, request)
 	return err
 }
 
 // Fence implements infra.Worker.
 func (w *worker) Fence(ctx context.Context, h structs.Incarnation) error {
-	return w.act(ctx, "worker fence", pathFence, holderRequest{Holder: h})
+	return w.post(ctx, "worker fence", pathFence, holderRequest{Holder: h})
 }
 
 // Start implements infra.Worker.
 func (w *worker) Start(ctx context.Context, t infra.TaskStart) error {
-	return w.act(ctx, "worker start", pathStart, startOf(t))
+	return w.post(ctx, "worker start", pathStart, startOf(t))
 }
 
 // Renew implements infra.Worker.
 func (w *worker) Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error {
-	return w.act(ctx, "worker renew", pathRenew, holderRequest{Holder: h, Lease: structs.Duration(lease)})
+	return w.post(ctx, "worker renew", pathRenew, holderRequest{Holder: h, Lease: structs.Duration(lease)})
 }
 
 // Checkpoint implements infra.Worker.
@@ -48,12 +48,12 @@
 
 // Throttle implements infra.Worker.
 func (w *worker) Throttle(ctx context.Context, id structs.JobID, e structs.Epoch, speed float64) error {
-	return w.act(ctx, "worker throttle", pathThrottle, taskRequest{Job: id, Epoch: e, Speed: speed})
+	return w.post(ctx, "worker throttle", pathThrottle, taskRequest{Job: id, Epoch: e, Speed: speed})
 }
 
 // Stop implements infra.Worker.
 func (w *worker) Stop(ctx context.Context, id structs.JobID, e structs.Epoch) error {
-	return w.act(ctx, "worker stop", pathStop, taskRequest{Job: id, Epoch: e})
+	return w.post(ctx, "worker stop", pathStop, taskRequest{Job: id, Epoch: e})
 }
 
 // List implements infra.Worker.
@@ -62,19 +62,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return mapped(answer.Tasks, func(s status) infra.TaskStatus { return infra.TaskStatus(s) }), nil
+	return mapSlice(answer.Tasks, func(s status) infra.TaskStatus { return infra.TaskStatus(s) }), nil
 }
 
 // Forget implements infra.Worker.
 func (w *worker) Forget(ctx context.Context, id structs.JobID, e structs.Epoch) error {
-	return w.act(ctx, "worker forget", pathForget, taskRequest{Job: id, Epoch: e})
+	return w.post(ctx, "worker forget", pathForget, taskRequest{Job: id, Epoch: e})
 }
 
-// Usage implements infra.Worker. A lost answer loses its reports.
+// Usage implements infra.Worker. The reports of a lost answer are lost.
 func (w *worker) Usage(ctx context.Context) ([]infra.Usage, error) {
 	answer, err := call[usageAnswer](ctx, w.client, writing, "worker usage", pathUsage, empty{})
 	if err != nil {
 		return nil, err
 	}
-	return mapped(answer.Usage, usage.usage), nil
+	return mapSlice(answer.Usage, usage.usage), nil
 }
