--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -1,10 +1,10 @@
-// Package fault wraps the platform's services so that they fail in the ways
-// that the real ones do: down, slow, timed out, cut off from one process, with
-// answers lost after a write took effect, and with writes that take effect
-// long after their caller was told that the outcome is unknown.
+// Package fault wraps the platform's services to inject the faults of the real
+// ones: outages, slow requests, time-outs, a process that is cut off, answers
+// lost after a write took effect, and writes that take effect long after their
+// caller received an unknown outcome.
 //
-// Each process of a test gets its own wrapper with its own Control around the
-// same inner service, so that one can be cut off while others aren't.
+// Each process of a test has its own wrapper with its own Control around the
+// same inner service, so that one process can be cut off while others aren't.
 package fault
 
 import (
@@ -13,82 +13,82 @@
 	"time"
 )
 
-// Fault is what goes wrong with one request.
+// Fault is a fault of one request.
 type Fault string
 
-// The faults of a request. For a read, LoseAnswer is a time-out and Delay is
-// nothing, since a read has no effect.
+// The faults of a request. For a read, LoseAnswer acts as Timeout and Delay as
+// None, since a read has no effect.
 const (
 	// None lets the request through.
 	None Fault = ""
 	// Down refuses the request; it has no effect.
 	Down Fault = "down"
-	// Timeout drops the request; the caller learns only that it timed out.
+	// Timeout drops the request; its caller times out.
 	Timeout Fault = "timeout"
 	// LoseAnswer lets the request take effect and drops the answer.
 	LoseAnswer Fault = "lose-answer"
-	// Delay lets the caller time out; the request takes effect later.
+	// Delay makes the caller time out; the request takes effect later.
 	Delay Fault = "delay"
 )
 
-// Range is a span of durations, both ends included.
+// Range is a range of durations, both ends included.
 type Range struct{ Min, Max time.Duration }
 
-// Exactly is the range that holds only d.
+// Exactly returns the range that holds only d.
 func Exactly(d time.Duration) Range { return Range{Min: d, Max: d} }
 
 // Operation describes a request to Plan.Match.
 type Operation struct {
 	// Service is "table", "objects" or "worker", Method the interface's method.
 	Service, Method string
-	// Key is the key, prefix or job that the request names first, if any.
+	// Key is the first key, prefix or job in the request, if any.
 	Key string
-	// Write says that the request may change something.
+	// Write is set if the request may change something.
 	Write bool
 }
 
-// Plan says how likely each fault is, 0 for never to 1 for always. The sum of
-// Down, Timeout, LoseAnswer and Delay is at most 1; Slow is independent.
+// Plan holds the probability of each fault, 0 to 1. The sum of Down, Timeout,
+// LoseAnswer and Delay is at most 1; Slow is independent.
 type Plan struct {
 	Down, Timeout, LoseAnswer, Delay, Slow float64
-	// Latency is how long a slow request takes.
+	// Latency is the added duration of a slow request.
 	Latency Range
-	// Patience is how long a caller waits for an answer that never comes,
+	// Patience is the time after which a caller without an answer times out,
 	// unless its context ends sooner.
 	Patience Range
-	// Landing is how long after it was sent a delayed write takes effect.
+	// Landing is the time from the sending of a delayed write to its effect.
 	Landing Range
-	// Hold keeps delayed writes until Control.Release instead.
+	// Hold delays such writes until Control.Release instead.
 	Hold bool
 	// Match limits the plan to some requests; nil means all.
 	Match func(Operation) bool
 }
 
-// Counts are the requests that a Control has seen and what it did to them.
+// Counts counts the requests to a Control and the faults among them.
 type Counts struct {
-	Calls, Down, TimedOut, AnswersLost, Delayed, Landed, Slowed uint64
+	Calls, Down, TimedOut, AnswersLost, Delayed, Applied, Slowed uint64
 }
 
-// Control decides what happens to the requests of one process. It is safe for
+// Control decides on the faults of the requests of one process. It is safe for
 // concurrent use.
 type Control struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	plan    Plan
-	cut     bool
-	script  []Fault
-	frozen  chan struct{}
-	held    []func()
-	landing int
-	landed  *sync.Cond
-	counts  Counts
+	mu       sync.Mutex
+	rng      *rand.Rand
+	plan     Plan
+	cut      bool
+	scripted []Fault
+	frozen   chan struct{}
+	held     []func()
+	pending  int
+	applied  *sync.Cond
+	counts   Counts
 }
 
-// NewControl returns a control without faults, whose probabilities draw from
-// a source seeded with seed.
+// NewControl returns a control without faults, which draws its random values
+// from a source seeded with seed.
 func NewControl(seed uint64) *Control {
 	c := &Control{rng: rand.New(rand.NewPCG(seed, seed))}
-	c.landed = sync.NewCond(&c.mu)
+	c.applied = sync.NewCond(&c.mu)
 	return c
 }
 
@@ -104,30 +104,31 @@
 func (c *Control) Next(faults ...Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.script = append(c.script, faults...)
+	c.scripted = append(c.scripted, faults...)
 }
 
-// Cut cuts the process off from the service or joins it again, whatever the
-// plan. Requests that are already under way go on.
+// Cut disconnects the process from the service or reconnects it, whatever the
+// plan. Requests in flight continue.
 func (c *Control) Cut(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = on
 }
 
-// Heal ends the cut, the plan, the script and a freeze. Held and delayed
-// writes still take effect in their time.
+// Heal ends the cut, the plan except its Hold, the faults set by Next and a
+// freeze. Delayed writes still take effect after their delay, held ones on
+// Release.
 func (c *Control) Heal() {
 	c.mu.Lock()
 	c.plan = Plan{Hold: c.plan.Hold}
 	c.cut = false
-	c.script = nil
+	c.scripted = nil
 	c.mu.Unlock()
 	c.Unfreeze()
 }
 
-// Freeze stops the process as far as the service sees it: it sends nothing
-// more and receives no answers until Unfreeze, even when its contexts end.
+// Freeze stops the process as far as the service sees it: the process sends no
+// requests and receives no answers until Unfreeze, even when its contexts end.
 func (c *Control) Freeze() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,8 +147,8 @@
 	}
 }
 
-// thawed waits until the process isn't frozen.
-func (c *Control) thawed() {
+// waitUnfrozen waits until the process isn't frozen.
+func (c *Control) waitUnfrozen() {
 	for {
 		c.mu.Lock()
 		frozen := c.frozen
@@ -159,97 +160,97 @@
 	}
 }
 
-// Release lets the held writes take effect in the order in which they were
-// sent, and returns how many there were.
+// Release applies the held writes in the order in which they were sent and
+// returns their number.
 func (c *Control) Release() int {
 	c.mu.Lock()
 	held := c.held
 	c.held = nil
 	c.mu.Unlock()
-	for _, land := range held {
-		land()
+	for _, apply := range held {
+		apply()
 	}
 	return len(held)
 }
 
-// Pending is the number of delayed writes that haven't taken effect yet.
+// Pending returns the number of delayed writes that haven't taken effect yet.
 func (c *Control) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.landing + len(c.held)
+	return c.pending + len(c.held)
 }
 
 // Wait waits until every delayed write that isn't held has taken effect.
 func (c *Control) Wait() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.landing > 0 {
-		c.landed.Wait()
+	for c.pending > 0 {
+		c.applied.Wait()
 	}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the counts so far.
 func (c *Control) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// verdict is what happens to one request.
-type verdict struct {
-	fault                      Fault
-	latency, patience, landing time.Duration
-	hold                       bool
+// injection holds the fault of one request and its times.
+type injection struct {
+	fault                        Fault
+	latency, timeout, applyDelay time.Duration
+	hold                         bool
 }
 
-// decide draws the verdict on one request. It draws the same number of random
-// values for each, so that one request's faults don't shift the others'.
-func (c *Control) decide(op Operation) verdict {
+// decide draws the fault of one request. It draws the same number of random
+// values for each request, so that the faults of one don't shift those of others.
+func (c *Control) decide(op Operation) injection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Calls++
 	p := c.plan
 	draw, slow := c.rng.Float64(), c.rng.Float64()
-	v := verdict{
-		latency:  c.pick(p.Latency),
-		patience: c.pick(p.Patience),
-		landing:  c.pick(p.Landing),
-		hold:     p.Hold,
+	v := injection{
+		latency:    c.drawDuration(p.Latency),
+		timeout:    c.drawDuration(p.Patience),
+		applyDelay: c.drawDuration(p.Landing),
+		hold:       p.Hold,
 	}
 	matched := p.Match == nil || p.Match(op)
 	switch {
 	case c.cut:
 		v.fault = Down
 	case !matched:
-	case op.Write && len(c.script) > 0:
-		v.fault = c.script[0]
-		c.script = c.script[1:]
+	case op.Write && len(c.scripted) > 0:
+		v.fault = c.scripted[0]
+		c.scripted = c.scripted[1:]
 	default:
-		v.fault = p.draw(draw)
+		v.fault = p.faultAt(draw)
 	}
 	if !matched || slow >= p.Slow {
 		v.latency = 0
 	}
-	v.fault = forReads(v.fault, op.Write)
+	v.fault = effectiveFault(v.fault, op.Write)
 	c.count(v)
 	return v
 }
 
-// draw returns the fault that a uniform value from 0 to 1 stands for.
-func (p Plan) draw(u float64) Fault {
+// faultAt returns the fault that a uniform random value from 0 to 1 selects.
+func (p Plan) faultAt(u float64) Fault {
 	for _, f := range []struct {
-		part  float64
-		fault Fault
+		probability float64
+		fault       Fault
 	}{{p.Down, Down}, {p.Timeout, Timeout}, {p.LoseAnswer, LoseAnswer}, {p.Delay, Delay}} {
-		if u < f.part {
+		if u < f.probability {
 			return f.fault
 		}
-		u -= f.part
+		u -= f.probability
 	}
 	return None
 }
 
-func forReads(f Fault, write bool) Fault {
+func effectiveFault(f Fault, write bool) Fault {
 	switch {
 	case write:
 		return f
@@ -261,7 +262,7 @@
 	return f
 }
 
-func (c *Control) count(v verdict) {
+func (c *Control) count(v injection) {
 	switch v.fault {
 	case Down:
 		c.counts.Down++
@@ -277,8 +278,9 @@
 	}
 }
 
-// pick returns a uniform duration of r. The caller holds c.mu.
-func (c *Control) pick(r Range) time.Duration {
+// drawDuration returns a uniformly distributed duration of r. The caller holds
+// c.mu.
+func (c *Control) drawDuration(r Range) time.Duration {
 	u := c.rng.Float64()
 	if r.Max <= r.Min {
 		return r.Min
--- a/infra/fault/control_test.go
+++ b/infra/fault/control_test.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// Two processes share a store; one is cut off from it, gives up on a slow
-// write, and is paused. The other must see the store as it is, and the write
-// that was given up must still land.
-func TestFaultsOfOneProcessLeaveTheOtherAlone(t *testing.T) {
+// Two processes share a store; one is cut off from it, times out on a slow
+// write, and is frozen. The other must see the store without these faults, and
+// the write that timed out must still take effect.
+func TestFaultsAffectOneProcessOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := memory.NewTable()
 		control := fault.NewControl(1)
@@ -43,12 +43,12 @@
 			Latency: fault.Exactly(time.Second),
 			Match:   func(o fault.Operation) bool { return o.Method == "Commit" && o.Key == "slow" },
 		})
-		hasty, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		want(t, put(hasty, ours, "slow"), infra.ErrUnknown, "given up")
+		want(t, put(shortCtx, ours, "slow"), infra.ErrUnknown, "timed out")
 		want(t, put(t.Context(), ours, "fast"), nil, "not matched")
 		if inner.Len() != 2 || control.Pending() != 1 {
-			t.Errorf("%d rows, %d pending before the slow write landed", inner.Len(), control.Pending())
+			t.Errorf("%d rows, %d pending before the slow write took effect", inner.Len(), control.Pending())
 		}
 		control.Wait()
 		_, err := theirs.Get(t.Context(), "slow")
@@ -62,20 +62,20 @@
 		control.Freeze()
 		began := time.Now()
 		time.AfterFunc(time.Hour, control.Unfreeze)
-		brief, cancel := context.WithTimeout(t.Context(), time.Second)
+		endedCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		want(t, put(brief, ours, "frozen"), infra.ErrUnavailable, "sent after the context ended")
-		if paused := time.Since(began); paused != time.Hour {
-			t.Errorf("a paused process went on after %v", paused)
+		want(t, put(endedCtx, ours, "frozen"), infra.ErrUnavailable, "sent after the context ended")
+		if frozen := time.Since(began); frozen != time.Hour {
+			t.Errorf("a frozen process continued after %v", frozen)
 		}
-		if got := control.Counts(); got != (fault.Counts{Calls: 5, Down: 1, TimedOut: 1, Landed: 1, Slowed: 1}) {
+		if got := control.Counts(); got != (fault.Counts{Calls: 5, Down: 1, TimedOut: 1, Applied: 1, Slowed: 1}) {
 			t.Errorf("counts: %+v", got)
 		}
 	})
 }
 
-// Probabilities draw from the seed alone: the same seed gives the same faults.
-func TestSameSeedSameFaults(t *testing.T) {
+// Faults depend on the seed alone: the same seed gives the same faults.
+func TestSameSeedGivesSameFaults(t *testing.T) {
 	run := func() (seen []error, counts fault.Counts) {
 		control := fault.NewControl(7)
 		control.Set(fault.Plan{Down: 0.25, Timeout: 0.25, LoseAnswer: 0.25})
@@ -94,7 +94,7 @@
 	}
 	for _, n := range []uint64{counts.Down, counts.TimedOut, counts.AnswersLost} {
 		if n < 70 || n > 130 {
-			t.Errorf("a quarter each of 400: %+v", counts)
+			t.Errorf("a fault far from its quarter of 400 requests: %+v", counts)
 		}
 	}
 }
--- a/infra/fault/request.go
+++ b/infra/fault/request.go
@@ -9,36 +9,37 @@
 	"persimmonrock.example/infra"
 )
 
-// request passes one request to the inner service as the control decides.
+// request passes one request to the inner service with the faults that c decides
+// on.
 func request[T any](ctx context.Context, c *Control, op Operation, call func(context.Context) (T, error)) (T, error) {
-	c.thawed()
+	c.waitUnfrozen()
 	answer, err := perform(ctx, c, op, call)
-	c.thawed()
+	c.waitUnfrozen()
 	return answer, err
 }
 
 func perform[T any](ctx context.Context, c *Control, op Operation, call func(context.Context) (T, error)) (T, error) {
 	var none T
 	v := c.decide(op)
-	// A request that was sent takes effect whether or not its caller waits.
-	land := func() { _, _ = call(context.WithoutCancel(ctx)) }
+	// A sent request takes effect whether or not its caller still waits.
+	apply := func() { _, _ = call(context.WithoutCancel(ctx)) }
 	switch v.fault {
 	case Down:
 		return none, eris.Wrapf(infra.ErrUnavailable, "%s %s: down", op.Service, op.Method)
 	case Timeout:
-		wait(ctx, v.patience)
+		wait(ctx, v.timeout)
 		return none, timedOut(op)
 	case LoseAnswer:
 		if wait(ctx, v.latency) {
 			_, _ = call(ctx)
 		} else {
-			land()
+			apply()
 		}
-		wait(ctx, v.patience)
+		wait(ctx, v.timeout)
 		return none, timedOut(op)
 	case Delay:
-		c.later(v, land)
-		wait(ctx, v.patience)
+		c.applyLater(v, apply)
+		wait(ctx, v.timeout)
 		return none, timedOut(op)
 	}
 	if v.latency == 0 {
@@ -50,14 +51,14 @@
 	}
 	if op.Write {
 		v.hold = false
-		v.landing = v.latency - time.Since(began)
-		c.later(v, land)
+		v.applyDelay = v.latency - time.Since(began)
+		c.applyLater(v, apply)
 	}
 	return none, timedOut(op)
 }
 
-// timedOut is what a caller learns when no answer came. A read had no effect,
-// so it is as good as refused.
+// timedOut returns the error of a request without an answer. A read has no
+// effect, so it counts as unavailable.
 func timedOut(op Operation) error {
 	err := infra.ErrUnavailable
 	if op.Write {
@@ -81,26 +82,27 @@
 	}
 }
 
-// later lets land take effect after the verdict's landing time, or holds it.
-func (c *Control) later(v verdict, land func()) {
+// applyLater calls apply after the injection's applyDelay, or holds it for
+// Release.
+func (c *Control) applyLater(v injection, apply func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counted := func() {
-		land()
+	applyCounted := func() {
+		apply()
 		c.mu.Lock()
-		c.counts.Landed++
+		c.counts.Applied++
 		c.mu.Unlock()
 	}
 	if v.hold {
-		c.held = append(c.held, counted)
+		c.held = append(c.held, applyCounted)
 		return
 	}
-	c.landing++
-	time.AfterFunc(v.landing, func() {
-		counted()
+	c.pending++
+	time.AfterFunc(v.applyDelay, func() {
+		applyCounted()
 		c.mu.Lock()
-		c.landing--
-		c.landed.Broadcast()
+		c.pending--
+		c.applied.Broadcast()
 		c.mu.Unlock()
 	})
 }
--- a/infra/fault/table.go
+++ b/infra/fault/table.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/infra"
 )
 
-// Table is a infra.Table with faults.
+// Table is an infra.Table with faults.
 type Table struct {
 	inner   infra.Table
 	control *Control
@@ -50,7 +50,7 @@
 	})
 }
 
-// Objects is a infra.Objects with faults.
+// Objects is an infra.Objects with faults.
 type Objects struct {
 	inner   infra.Objects
 	control *Control
@@ -65,7 +65,7 @@
 func (o *Objects) Put(ctx context.Context, key string, body []byte) error {
 	op := Operation{Service: "objects", Method: "Put", Key: key, Write: true}
 	body = slices.Clone(body)
-	return act(ctx, o.control, op, func(ctx context.Context) error { return o.inner.Put(ctx, key, body) })
+	return requestNoAnswer(ctx, o.control, op, func(ctx context.Context) error { return o.inner.Put(ctx, key, body) })
 }
 
 // Get implements infra.Objects.
@@ -77,11 +77,11 @@
 // Delete implements infra.Objects.
 func (o *Objects) Delete(ctx context.Context, key string) error {
 	op := Operation{Service: "objects", Method: "Delete", Key: key, Write: true}
-	return act(ctx, o.control, op, func(ctx context.Context) error { return o.inner.Delete(ctx, key) })
+	return requestNoAnswer(ctx, o.control, op, func(ctx context.Context) error { return o.inner.Delete(ctx, key) })
 }
 
-// act is request for a call that answers nothing.
-func act(ctx context.Context, c *Control, op Operation, call func(context.Context) error) error {
+// requestNoAnswer is request for a call whose answer has no value.
+func requestNoAnswer(ctx context.Context, c *Control, op Operation, call func(context.Context) error) error {
 	_, err := request(ctx, c, op, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
 	return err
 }
--- a/infra/fault/worker.go
+++ b/infra/fault/worker.go
@@ -9,7 +9,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Worker is a infra.Worker with faults.
+// Worker is an infra.Worker with faults.
 type Worker struct {
 	inner   infra.Worker
 	control *Control
@@ -26,7 +26,7 @@
 
 // Fence implements infra.Worker.
 func (w *Worker) Fence(ctx context.Context, h structs.Incarnation) error {
-	return act(ctx, w.control, workerWrite("Fence", ""), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Fence", ""), func(ctx context.Context) error {
 		return w.inner.Fence(ctx, h)
 	})
 }
@@ -35,14 +35,14 @@
 func (w *Worker) Start(ctx context.Context, t infra.TaskStart) error {
 	t.Payload = slices.Clone(t.Payload)
 	t.Checkpoint = slices.Clone(t.Checkpoint)
-	return act(ctx, w.control, workerWrite("Start", t.Job), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Start", t.Job), func(ctx context.Context) error {
 		return w.inner.Start(ctx, t)
 	})
 }
 
 // Renew implements infra.Worker.
 func (w *Worker) Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error {
-	return act(ctx, w.control, workerWrite("Renew", ""), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Renew", ""), func(ctx context.Context) error {
 		return w.inner.Renew(ctx, h, lease)
 	})
 }
@@ -57,14 +57,14 @@
 
 // Throttle implements infra.Worker.
 func (w *Worker) Throttle(ctx context.Context, id structs.JobID, e structs.Epoch, speed float64) error {
-	return act(ctx, w.control, workerWrite("Throttle", id), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Throttle", id), func(ctx context.Context) error {
 		return w.inner.Throttle(ctx, id, e, speed)
 	})
 }
 
 // Stop implements infra.Worker.
 func (w *Worker) Stop(ctx context.Context, id structs.JobID, e structs.Epoch) error {
-	return act(ctx, w.control, workerWrite("Stop", id), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Stop", id), func(ctx context.Context) error {
 		return w.inner.Stop(ctx, id, e)
 	})
 }
@@ -76,13 +76,13 @@
 
 // Forget implements infra.Worker.
 func (w *Worker) Forget(ctx context.Context, id structs.JobID, e structs.Epoch) error {
-	return act(ctx, w.control, workerWrite("Forget", id), func(ctx context.Context) error {
+	return requestNoAnswer(ctx, w.control, workerWrite("Forget", id), func(ctx context.Context) error {
 		return w.inner.Forget(ctx, id, e)
 	})
 }
 
 // Usage implements infra.Worker. Fetching the reports drops them on the
-// worker, so that a lost answer loses them.
+// worker, so the reports of a lost answer are lost.
 func (w *Worker) Usage(ctx context.Context) ([]infra.Usage, error) {
 	return request(ctx, w.control, workerWrite("Usage", ""), w.inner.Usage)
 }
