--- a/infra/commit.go
+++ b/infra/commit.go
@@ -10,26 +10,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Pauses between the attempts of one write: the first one, and the greatest
-// that doubling leads to. Attempts are bounded in the same way, so that an
-// answer which never comes doesn't use up the whole context, and one which
-// comes slowly is waited for in the end.
+// Backoff between the attempts of one write, which doubles from the initial
+// value to the maximum. The time-outs of the attempts double in the same way, so
+// that a lost answer doesn't use up the whole context, and a late attempt still
+// waits for a slow answer.
 const (
-	firstPause   = 20 * time.Millisecond
-	longestPause = time.Second
-	firstTry     = 2 * time.Second
-	longestTry   = 16 * time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	initialTimeout = 2 * time.Second
+	maxTimeout     = 16 * time.Second
 )
 
-// SupersededError says that a write of unknown outcome is decided and won't
-// take effect from now on, but that later writes hide what became of it or
-// which versions it gave. The caller has to read its rows again before it
-// writes them. errors.Is reports it as ErrUnknown.
+// SupersededError means that a write of unknown outcome can't take effect any
+// more, but that later writes hide whether it did or which versions it gave its
+// rows. The caller has to read its rows again before it writes them. errors.Is
+// reports it as ErrUnknown.
 type SupersededError struct {
-	// Applied says that the write did take effect before others changed some
-	// of its rows; false says that it may have.
+	// Applied means that the write took effect before others changed some of
+	// its rows; if false, it may have taken effect.
 	Applied bool
-	// Current is the row that refused the last attempt.
+	// Current is the row on which a condition of the last attempt failed.
 	Current Row
 }
 
@@ -47,15 +47,16 @@
 // condition on a key that it also puts.
 //
 // Failure guarded against: the store applies a write and its answer is lost,
-// or applies it after the time-out. It shows as ErrUnknown, and on the repeat
-// as a conflict: with our own write, with a later one of someone else's, or on
-// a row that t only checks. The guard holds because a condition on a version
-// can be met once at most, and each row names the operation that wrote it: a
-// row with t.Op proves that t was applied, a row of t still at the version
-// that t is conditional on proves that it wasn't.
+// or applies it after the time-out. The store then returns ErrUnknown, and a
+// conflict on the repeat: with the write itself, with a later write of another
+// process, or on a row that t only checks. These cases can be distinguished
+// because a condition on a version can be met once at most, and each row names
+// the operation that wrote it: a row with t.Op proves that t was applied, a row
+// that t puts and that is still at the version of its condition proves that t
+// wasn't.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
-// been applied. *SupersededError: see there. Otherwise ErrUnknown: ctx ended
+// been applied. *SupersededError: see that type. Otherwise ErrUnknown: ctx ended
 // first, and t may still take effect.
 //
 // A condition on absence is met again once the row is deleted, so a row that
@@ -65,27 +66,27 @@
 	return commit(ctx, tab, t, false)
 }
 
-// CommitAgain is CommitOnce for a caller that got ErrUnknown for t earlier: no
+// CommitAgain is CommitOnce for a t whose earlier commit returned ErrUnknown: no
 // answer to the new attempts alone counts as proof that t was not applied.
 func CommitAgain(ctx context.Context, tab Table, t Txn) ([]uint64, error) {
 	return commit(ctx, tab, t, true)
 }
 
-// commit repeats t; uncertain says that an earlier attempt may have been, or
-// may still be, applied.
+// commit repeats t; uncertain is set if an earlier attempt may have been, or may
+// still be, applied.
 func commit(ctx context.Context, tab Table, t Txn, uncertain bool) ([]uint64, error) {
-	if err := t.repeatable(); err != nil {
+	if err := t.checkRepeatable(); err != nil {
 		return nil, err
 	}
 	for attempt := 0; ; attempt++ {
-		versions, err := try(ctx, tab, t, attempt)
+		versions, err := tryCommit(ctx, tab, t, attempt)
 		var conflict *ConflictError
 		switch {
 		case err == nil:
 			return versions, nil
 		case errors.As(err, &conflict):
 			if uncertain || conflict.Current.Op == t.Op {
-				return settle(ctx, tab, t, conflict)
+				return resolveOutcome(ctx, tab, t, conflict)
 			}
 			return nil, err
 		case errors.Is(err, ErrInvalid):
@@ -95,15 +96,15 @@
 		case !uncertain:
 			return nil, err
 		}
-		if !pause(ctx, t.Op, attempt) {
+		if !backOff(ctx, t.Op, attempt) {
 			return nil, eris.Wrapf(ErrUnknown, "commit %s: %v after %d attempts", t.Op, ctx.Err(), attempt+1)
 		}
 	}
 }
 
-// repeatable returns ErrInvalid unless a repeat of t can be told from its
-// first attempt.
-func (t Txn) repeatable() error {
+// checkRepeatable returns ErrInvalid unless the effect of a repeat of t can be
+// distinguished from that of its first attempt.
+func (t Txn) checkRepeatable() error {
 	if t.Op == "" {
 		return eris.Wrap(ErrInvalid, "a repeatable transaction needs an operation ID")
 	}
@@ -115,7 +116,7 @@
 	return eris.Wrapf(ErrInvalid, "transaction %s: no condition on a row that it puts", t.Op)
 }
 
-// cond returns the version that t demands of the row under key.
+// cond returns the version that t requires of the row under key.
 func (t Txn) cond(key string) (version uint64, ok bool) {
 	for _, c := range t.Conds {
 		if c.Key == key {
@@ -125,25 +126,26 @@
 	return 0, false
 }
 
-func try(ctx context.Context, tab Table, t Txn, attempt int) ([]uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, doubled(firstTry, attempt, longestTry))
+func tryCommit(ctx context.Context, tab Table, t Txn, attempt int) ([]uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, doubled(initialTimeout, attempt, maxTimeout))
 	defer cancel()
 	return tab.Commit(ctx, t)
 }
 
-// settle finds out what became of t after a conflict of a repeat. From the
-// conflict on no attempt of t can take effect, so what the rows show is final.
+// resolveOutcome determines the outcome of t from its rows after a conflict of a
+// repeat. After the conflict no attempt of t can take effect, so the outcome is
+// final.
 //
-// Failure guarded against: the caller takes a version that someone else wrote
-// for its own, and its next conditional write overwrites the other's change,
-// such as a new owner's lease. Only versions of rows that still name t.Op are
-// returned; if one of them doesn't, there is no success to report.
-func settle(ctx context.Context, tab Table, t Txn, conflict *ConflictError) ([]uint64, error) {
+// Failure guarded against: the caller uses a version that another process wrote
+// as its own, and its next conditional write overwrites the other's change, such
+// as a new owner's lease. So resolveOutcome returns versions only if all rows
+// that t puts still name t.Op.
+func resolveOutcome(ctx context.Context, tab Table, t Txn, conflict *ConflictError) ([]uint64, error) {
 	applied := conflict.Current.Op == t.Op
 	changed := false
 	versions := make([]uint64, 0, len(t.Puts))
 	for _, p := range t.Puts {
-		row, err := read(ctx, tab, p.Key)
+		row, err := readRow(ctx, tab, p.Key)
 		if err != nil {
 			return nil, eris.Wrapf(ErrUnknown, "commit %s: read back: %v", t.Op, err)
 		}
@@ -167,38 +169,38 @@
 	return versions, nil
 }
 
-// read gets a row until the store answers or ctx ends; an absent row has
-// version 0.
-func read(ctx context.Context, tab Table, key string) (Row, error) {
+// readRow repeats the readRow of a row until the store answers or ctx ends; an
+// absent row has version 0.
+func readRow(ctx context.Context, tab Table, key string) (Row, error) {
 	for attempt := 0; ; attempt++ {
-		row, err := readTry(ctx, tab, key, attempt)
+		row, err := tryRead(ctx, tab, key, attempt)
 		switch {
 		case err == nil:
 			return row, nil
 		case errors.Is(err, ErrNotFound):
 			return Row{Key: key}, nil
-		case !pause(ctx, key, attempt):
+		case !backOff(ctx, key, attempt):
 			return Row{}, err
 		}
 	}
 }
 
-func readTry(ctx context.Context, tab Table, key string, attempt int) (Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, doubled(firstTry, attempt, longestTry))
+func tryRead(ctx context.Context, tab Table, key string, attempt int) (Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, doubled(initialTimeout, attempt, maxTimeout))
 	defer cancel()
 	return tab.Get(ctx, key)
 }
 
-// pause waits before the next attempt and reports whether ctx still runs.
+// backOff waits before the next attempt and reports whether ctx is still active.
 //
-// Failure guarded against: a store that comes back is kept down by every
-// process repeating its write at once. Pauses grow, and spread by a hash of
-// the operation ID over half their length, so that processes fall out of step
-// without a random source that tests would have to steer.
-func pause(ctx context.Context, id string, attempt int) bool {
+// Failure guarded against: a store that recovers is overloaded again because
+// all processes repeat their writes at once. The backoff grows, and a hash of the
+// operation ID spreads it over half its length, so that processes don't repeat in
+// step. A random source would have to be controlled by tests.
+func backOff(ctx context.Context, id string, attempt int) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
-	d := doubled(firstPause, attempt, longestPause)
+	d := doubled(initialBackoff, attempt, maxBackoff)
 	d -= d / 2 * time.Duration(h.Sum32()%1000) / 1000
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -210,7 +212,7 @@
 	}
 }
 
-// doubled is d doubled n times, at most limit.
+// doubled returns d doubled n times, at most limit.
 func doubled(d time.Duration, n int, limit time.Duration) time.Duration {
 	for ; n > 0 && d < limit; n-- {
 		d *= 2
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,10 +1,10 @@
 // Package infra declares the narrow interfaces through which persimmonrock
-// uses what the platform gives: a transactional table service, an object
-// store and the worker beside each agent.
+// uses the platform: a transactional table service, an object store and the
+// worker beside each agent.
 //
 // The table service is assumed to offer conditional transactions and nothing
-// more: no operation log and no leases. Each row remembers the operation that
-// wrote it, which is what makes a repeated write safe (see CommitOnce).
+// more: no operation log and no leases. Each row names the operation that wrote
+// it, which makes a repeated write safe (see CommitOnce).
 package infra
 
 import (
@@ -42,15 +42,14 @@
 // Txn is one atomic transaction; it costs the store one write whatever the
 // number of rows, up to MaxTxnRows.
 type Txn struct {
-	// Op is unique for the intent, not for the attempt: a repeat carries it
-	// again.
+	// Op identifies the intent, not the attempt: a repeat has the same Op.
 	Op      string
 	Conds   []Cond
 	Puts    []Put
 	Deletes []string
 }
 
-// MaxTxnRows is the greatest number of rows that one transaction may touch.
+// MaxTxnRows is the maximum number of rows that one transaction may touch.
 const MaxTxnRows = 256
 
 // Table is the platform's transactional table service.
@@ -60,27 +59,27 @@
 	// Scan returns up to limit rows whose key starts with prefix and is above
 	// after, in key order. It costs one read.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies t whole or not at all and returns the new version of
-	// each put, in order. Errors: *ConflictError and ErrUnavailable prove
-	// that nothing was applied; ErrUnknown proves nothing, and the write may
-	// still take effect later.
+	// Commit applies t atomically and returns the new version of each put, in
+	// order. Errors: *ConflictError and ErrUnavailable prove that nothing was
+	// applied; after ErrUnknown, t may have been applied or may still be
+	// applied later.
 	Commit(ctx context.Context, t Txn) ([]uint64, error)
 }
 
 // Errors of the platform's services.
 var (
-	// ErrNotFound says that there is no such row or object.
+	// ErrNotFound means that there is no such row or object.
 	ErrNotFound = errors.New("platform: not found")
-	// ErrUnavailable says that the request had no effect and never will.
+	// ErrUnavailable means that the request had no effect and never will.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown says that the effect is not known; it may come later.
+	// ErrUnknown means that the effect is not known; it may come later.
 	ErrUnknown = errors.New("platform: outcome unknown")
-	// ErrFenced says that a worker has seen a newer holder.
+	// ErrFenced means that a newer holder has fenced the worker.
 	ErrFenced = errors.New("platform: fenced by a newer holder")
 )
 
-// ConflictError says that a condition of a transaction did not hold and that
-// nothing was applied. Current is the row as it is; Version 0 if absent.
+// ConflictError means that a condition of a transaction did not hold and that
+// nothing was applied. Current is the present row, with Version 0 if absent.
 type ConflictError struct {
 	Current Row
 }
@@ -98,11 +97,11 @@
 	Delete(ctx context.Context, key string) error
 }
 
-// TaskPhase is what a worker says of a task.
+// TaskPhase is the state of a task on its worker.
 type TaskPhase string
 
-// The phases of a task on its worker. Stopped covers every end without a
-// result: asked to, lease lapsed, fenced.
+// The phases of a task on its worker. TaskStopped covers every end that its
+// program didn't cause: by Stop, by a lapsed lease, by Fence.
 const (
 	TaskRunning TaskPhase = "running"
 	TaskDone    TaskPhase = "done"
@@ -120,14 +119,15 @@
 	// Checkpoint is the state to resume from; nil starts from the beginning.
 	Checkpoint []byte
 	Declared   structs.Resources
-	// Holder is the agent's incarnation; a lower one than the highest that
-	// the worker has seen in Fence is refused with ErrFenced.
+	// Holder is the agent's incarnation; one below the highest that the
+	// worker has received in Fence is refused with ErrFenced.
 	Holder structs.Incarnation
-	// Lease is how long the worker runs the task unless Renew is called.
+	// Lease is the time after which the worker stops the task unless Renew is
+	// called.
 	Lease time.Duration
 }
 
-// TaskStatus is what a worker knows of one task.
+// TaskStatus is a worker's report on one task.
 type TaskStatus struct {
 	Job    structs.JobID
 	Epoch  structs.Epoch
@@ -136,9 +136,9 @@
 	// Declared is the size that the task was started with.
 	Declared structs.Resources
 	Phase    TaskPhase
-	// Progress is the part done, 0 to 1, as of the last usage report.
+	// Progress is the fraction done, 0 to 1, as of the last usage report.
 	Progress float64
-	// Result is set when done, Error when failed.
+	// Result is set in TaskDone, Error in TaskFailed.
 	Result []byte
 	Error  string
 }
@@ -151,26 +151,27 @@
 	From, To    time.Duration
 	MilliCores  int
 	MemoryBytes int64
-	// Slowdown is the measured inflation of the work against running alone,
-	// 1 for none.
+	// Slowdown is the measured duration of the work relative to running alone,
+	// 1 for no slowdown.
 	Slowdown float64
 }
 
-// Worker is the platform's worker on one instance, as its agent reaches it.
+// Worker is the interface of the platform's worker on one instance to its agent.
 type Worker interface {
 	// Fence makes the worker refuse holders below h from now on, stops all
 	// their tasks, and returns once they have provably stopped.
 	Fence(ctx context.Context, h structs.Incarnation) error
 	// Start runs a task. It is refused with ErrFenced once Stop or Forget has
 	// named the job at this epoch or a later one, also when the task was not
-	// known then: a start that lands late must not run.
+	// known then: a start that arrives late must not run the task.
 	Start(ctx context.Context, t TaskStart) error
 	// Renew extends the lease of every running task of holder h to end at
 	// lease from now.
 	Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error
-	// Checkpoint returns the task's state; the task goes on.
+	// Checkpoint returns the task's state; the task continues to run.
 	Checkpoint(ctx context.Context, id structs.JobID, e structs.Epoch) ([]byte, error)
-	// Throttle sets the part of its normal speed that the task may use, 0 to 1.
+	// Throttle sets the fraction of its normal speed that the task may use, 0
+	// to 1.
 	Throttle(ctx context.Context, id structs.JobID, e structs.Epoch, speed float64) error
 	// Stop returns nil once the task has provably stopped, also when it is
 	// not known at all.
--- a/infra/random_test.go
+++ b/infra/random_test.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/infra/memory"
 )
 
-// ledger notes, inside the store, each transaction that takes effect.
+// ledger records each transaction that takes effect in the store.
 type ledger struct {
 	infra.Table
 	mu       sync.Mutex
@@ -39,32 +39,32 @@
 
 // client is one process that appends its operation IDs to shared rows.
 type client struct {
-	id      int
-	control *fault.Control
-	table   infra.Table
-	steps   []step
-	learnt  map[string]outcome
-	wrong   []string
+	id       int
+	control  *fault.Control
+	table    infra.Table
+	steps    []step
+	outcomes map[string]outcome
+	wrong    []string
 }
 
 // step is one read-change-write of a client.
 type step struct {
-	// keys are the rows that it appends to; checked is a row that it only
-	// demands to be unchanged, or "".
-	keys     []string
-	checked  string
-	pause    time.Duration
-	patience time.Duration
+	// keys are the rows that the step appends to; checked is a row that it
+	// only requires to be unchanged, or "".
+	keys    []string
+	checked string
+	pause   time.Duration
+	timeout time.Duration
 }
 
 func drawPlan(t *rapid.T, label string) fault.Plan {
-	part := rapid.SampledFrom([]float64{0, 0.05, 0.2})
+	probability := rapid.SampledFrom([]float64{0, 0.05, 0.2})
 	return fault.Plan{
-		Down:       part.Draw(t, label+" down"),
-		Timeout:    part.Draw(t, label+" timeout"),
-		LoseAnswer: part.Draw(t, label+" lose answer"),
-		Delay:      part.Draw(t, label+" delay"),
-		Slow:       part.Draw(t, label+" slow"),
+		Down:       probability.Draw(t, label+" down"),
+		Timeout:    probability.Draw(t, label+" timeout"),
+		LoseAnswer: probability.Draw(t, label+" lose answer"),
+		Delay:      probability.Draw(t, label+" delay"),
+		Slow:       probability.Draw(t, label+" slow"),
 		Latency:    fault.Range{Min: time.Millisecond, Max: 3 * time.Second},
 		Patience:   fault.Range{Max: 200 * time.Millisecond},
 		Landing:    fault.Range{Max: rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, time.Minute}).Draw(t, label+" landing")},
@@ -74,9 +74,9 @@
 func drawStep(t *rapid.T) step {
 	rows := []string{"row/a", "row/b", "row/c"}
 	s := step{
-		keys:     rapid.SliceOfNDistinct(rapid.SampledFrom(rows), 1, 2, rapid.ID[string]).Draw(t, "keys"),
-		pause:    time.Duration(rapid.IntRange(0, 300).Draw(t, "pause ms")) * time.Millisecond,
-		patience: time.Duration(rapid.IntRange(1, 4000).Draw(t, "patience ms")) * time.Millisecond,
+		keys:    rapid.SliceOfNDistinct(rapid.SampledFrom(rows), 1, 2, rapid.ID[string]).Draw(t, "keys"),
+		pause:   time.Duration(rapid.IntRange(0, 300).Draw(t, "pause ms")) * time.Millisecond,
+		timeout: time.Duration(rapid.IntRange(1, 4000).Draw(t, "patience ms")) * time.Millisecond,
 	}
 	if other := rapid.SampledFrom(rows).Draw(t, "checked"); !slices.Contains(s.keys, other) {
 		s.checked = other
@@ -84,13 +84,13 @@
 	return s
 }
 
-// run does the steps; each is one intent with one operation ID.
+// run executes the steps; each is one intent with one operation ID.
 func (c *client) run() {
-	// No two clients act at the same instant, so that a run can be repeated.
+	// No two clients act at the same instant, so that runs are reproducible.
 	time.Sleep(time.Duration(c.id) * 137 * time.Microsecond)
 	for i, s := range c.steps {
 		time.Sleep(s.pause)
-		ctx, cancel := context.WithTimeout(context.Background(), s.patience)
+		ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 		c.step(ctx, fmt.Sprintf("c%d-%d", c.id, i), s)
 		cancel()
 	}
@@ -112,29 +112,29 @@
 		}
 	}
 	versions, err := infra.CommitOnce(ctx, c.table, txn)
-	c.learnt[op] = outcomeOf(err)
+	c.outcomes[op] = outcomeOf(err)
 	if err == nil {
-		c.confirm(txn, versions)
+		c.checkVersions(txn, versions)
 	}
 }
 
-// confirm checks that the versions that a success returned are this client's:
-// a row that has one of them must have been written by its operation.
-func (c *client) confirm(txn infra.Txn, versions []uint64) {
+// checkVersions checks that the versions that a success returned are this
+// client's: a row that has one of them must have been written by its operation.
+func (c *client) checkVersions(txn infra.Txn, versions []uint64) {
 	for i, p := range txn.Puts {
 		row, err := c.table.Get(context.Background(), p.Key)
 		if err == nil && row.Version == versions[i] && row.Op != txn.Op {
-			c.wrong = append(c.wrong, fmt.Sprintf("%s was told version %d of %s, which %s wrote", txn.Op, row.Version, p.Key, row.Op))
+			c.wrong = append(c.wrong, fmt.Sprintf("%s received version %d of %s, which %s wrote", txn.Op, row.Version, p.Key, row.Op))
 		}
 	}
 }
 
 // Three processes change the same rows through a store that is down, slow,
-// drops answers and applies writes late, all at once. What a customer would
-// see of a fault is a job that is lost (reported as written, but isn't) or
-// doubled (reported as refused, but runs, or written twice). Each row lists
-// the operations that changed it, so that both show.
-func TestRandomFaultsLoseAndDoubleNothing(t *testing.T) {
+// loses answers and applies writes late, all at once. Guards against a job that
+// is lost (reported as written, but isn't) or doubled (reported as refused, but
+// runs, or written twice). Each row lists the operations that changed it, so that
+// both are detected.
+func TestRandomFaultsNeitherLoseNorDoubleWrites(t *testing.T) {
 	seen := make(map[outcome]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		clients := make([]*client, 3)
@@ -142,10 +142,10 @@
 			control := fault.NewControl(rapid.Uint64().Draw(rt, "seed"))
 			control.Set(drawPlan(rt, fmt.Sprint("client ", i)))
 			clients[i] = &client{
-				id:      i,
-				control: control,
-				steps:   rapid.SliceOfN(rapid.Custom(drawStep), 1, 12).Draw(rt, "steps"),
-				learnt:  make(map[string]outcome),
+				id:       i,
+				control:  control,
+				steps:    rapid.SliceOfN(rapid.Custom(drawStep), 1, 12).Draw(rt, "steps"),
+				outcomes: make(map[string]outcome),
 			}
 		}
 		var wrong []string
@@ -178,11 +178,11 @@
 	}
 	for _, c := range clients {
 		wrong = append(wrong, c.wrong...)
-		for op, o := range c.learnt {
+		for op, o := range c.outcomes {
 			seen[o]++
 			effects := len(inner.versions[op])
 			if !o.allows(effects) {
-				wrong = append(wrong, fmt.Sprintf("%s took effect %d times, its caller learnt %q", op, effects, o))
+				wrong = append(wrong, fmt.Sprintf("%s took effect %d times, its caller got outcome %q", op, effects, o))
 			}
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // allows reports whether an operation of this outcome may have taken effect n
-// times in the end.
+// times in all.
 func (o outcome) allows(n int) bool {
 	switch o {
 	case applied, superseded:
@@ -202,7 +202,7 @@
 }
 
 // compareLists checks the rows against the ledger: each operation that took
-// effect stands in its rows once, and no row lists another.
+// effect is listed once in each of its rows, and no row lists another operation.
 func compareLists(t *testing.T, inner *ledger) (wrong []string) {
 	listed := make(map[string]int)
 	rows, err := inner.Scan(t.Context(), "row/", "", 10)
@@ -216,7 +216,7 @@
 	}
 	for op, effects := range inner.versions {
 		if op != "other" && listed[op] != len(effects[0]) {
-			wrong = append(wrong, fmt.Sprintf("%s stands in %d rows, wrote %d", op, listed[op], len(effects[0])))
+			wrong = append(wrong, fmt.Sprintf("%s is listed in %d rows, wrote %d", op, listed[op], len(effects[0])))
 		}
 		delete(listed, op)
 	}
--- a/infra/txn.go
+++ b/infra/txn.go
@@ -7,16 +7,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid says that a request can never succeed as it is and had no
-// effect. Repeating it is useless: it is a fault of the caller.
+// ErrInvalid means that a request had no effect and can't succeed unchanged.
+// Repeating it is useless: it is a fault of the caller.
 var ErrInvalid = errors.New("platform: invalid request")
 
 // CheckKey returns ErrInvalid unless key is valid UTF-8.
 //
-// Failure guarded against: two keys that differ in a byte which isn't UTF-8,
+// Failure guarded against: two keys that differ in a byte that isn't UTF-8,
 // such as two Idempotency-Keys of a customer, become one on their way to the
-// store, because JSON replaces such bytes. It would show as the answer to
-// another request. No such key is ever sent or stored.
+// store, because JSON replaces such bytes. A request would then receive the
+// answer to another one. No key that fails CheckKey is ever sent or stored.
 func CheckKey(key string) error {
 	if !utf8.ValidString(key) {
 		return eris.Wrapf(ErrInvalid, "key %q is not UTF-8", key)
@@ -25,7 +25,8 @@
 }
 
 // Validate returns ErrInvalid if t touches more than MaxTxnRows rows, names
-// one key twice in its conditions or twice in its changes, or breaks CheckKey.
+// one key twice in its conditions or twice in its changes, or has a key or an
+// operation ID that fails CheckKey.
 func (t Txn) Validate() error {
 	if err := CheckKey(t.Op); err != nil {
 		return eris.Wrap(err, "operation ID")
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// changedKeys are the keys of the puts and then of the deletes.
+// changedKeys returns the keys of the puts and then of the deletes.
 func (t Txn) changedKeys() []string {
 	keys := make([]string, 0, len(t.Puts)+len(t.Deletes))
 	for _, p := range t.Puts {
--- a/infra/workload_test.go
+++ b/infra/workload_test.go
@@ -24,7 +24,7 @@
 	"persimmonrock.example/wire"
 )
 
-// deployment is two entries and three instances on one stand-in table.
+// deployment is two entries and three instances on one in-memory table.
 type deployment struct {
 	t        *testing.T
 	ctx      context.Context
@@ -98,8 +98,8 @@
 	}
 }
 
-// ask makes one request at the last entry.
-func (d *deployment) ask(method, path, key, idempotency, body string) (int, string) {
+// send sends one request to the last entry and returns the status and the body.
+func (d *deployment) send(method, path, key, idempotency, body string) (int, string) {
 	request, err := http.NewRequestWithContext(d.ctx, method, d.front+path, strings.NewReader(body))
 	if err != nil {
 		d.t.Fatal(err)
@@ -117,12 +117,12 @@
 	return answer.StatusCode, string(text)
 }
 
-// until repeats a request until it has the status.
-func (d *deployment) until(status int, method, path, key, idempotency, body string) string {
+// sendUntil repeats a request sendUntil its answer has the status.
+func (d *deployment) sendUntil(status int, method, path, key, idempotency, body string) string {
 	d.t.Helper()
 	got, text := 0, ""
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got, text = d.ask(method, path, key, idempotency, body); got == status {
+		if got, text = d.send(method, path, key, idempotency, body); got == status {
 			return text
 		}
 	}
@@ -130,8 +130,9 @@
 	return ""
 }
 
-// measure prints what n operations cost the store, background included.
-func (d *deployment) measure(what string, n int, do func()) map[string]uint64 {
+// measure logs the store operations during do, background included, and their
+// number for each of the n operations in do.
+func (d *deployment) measure(label string, n int, do func()) map[string]uint64 {
 	before, began := d.table.Operations(), time.Now()
 	objects := d.objects.Writes()
 	do()
@@ -143,7 +144,7 @@
 	for _, o := range before {
 		served[o.Operation] -= o.Served
 	}
-	d.t.Logf("%s: %d in %v, object writes each %.3f", what, n, took.Round(time.Millisecond), float64(d.objects.Writes()-objects)/float64(n))
+	d.t.Logf("%s: %d in %v, object writes each %.3f", label, n, took.Round(time.Millisecond), float64(d.objects.Writes()-objects)/float64(n))
 	for _, o := range d.table.Operations() {
 		if k := served[o.Operation]; k > 0 {
 			d.t.Logf("  %-24s %6d, each %.3f, a second %.1f", o.Operation, k, float64(k)/float64(n), float64(k)/took.Seconds())
@@ -152,8 +153,8 @@
 	return served
 }
 
-// The store's cost of each kind of request. An idempotent call must cost
-// nothing, or a store that is down takes the urgent checks down with it.
+// Measures the store operations of each kind of request. An idempotent call must
+// need none, or urgent checks fail while the store is down.
 func TestStoreOperationsOfEachRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -165,17 +166,17 @@
 		d.startInstance(i)
 	}
 	contract, _ := json.Marshal(map[string]any{"latency_target": "2s", "batch_queue": 10000, "share": 1, "key_hashes": []string{keys.Hash(d.key)}})
-	d.until(200, "PUT", "/v1/admin/contracts/granite", d.operator, "", string(contract))
-	d.until(200, "POST", "/v1/services/check/call", d.key, "", "{}")
-	d.until(200, "POST", "/v1/services/lodge/call", d.key, "warm-up", "{}")
-	d.until(202, "POST", "/v1/jobs", d.key, "", `{"kind":"report"}`)
+	d.sendUntil(200, "PUT", "/v1/admin/contracts/granite", d.operator, "", string(contract))
+	d.sendUntil(200, "POST", "/v1/services/check/call", d.key, "", "{}")
+	d.sendUntil(200, "POST", "/v1/services/lodge/call", d.key, "warm-up", "{}")
+	d.sendUntil(202, "POST", "/v1/jobs", d.key, "", `{"kind":"report"}`)
 
 	// The jobs of one measurement fit on the instances at once.
 	const n, jobs = 200, 100
 	d.measure("seconds idle, 2 entries and 3 agents", 3, func() { time.Sleep(3 * time.Second) })
 	calls := d.measure("idempotent calls", n, func() {
 		for range n {
-			d.until(200, "POST", "/v1/services/check/call", d.key, "", "{}")
+			d.sendUntil(200, "POST", "/v1/services/check/call", d.key, "", "{}")
 		}
 	})
 	for operation, k := range calls {
@@ -185,7 +186,7 @@
 	}
 	d.measure("keyed calls that aren't idempotent", n, func() {
 		for i := range n {
-			d.until(200, "POST", "/v1/services/lodge/call", d.key, fmt.Sprint("claim-", i), "{}")
+			d.sendUntil(200, "POST", "/v1/services/lodge/call", d.key, fmt.Sprint("claim-", i), "{}")
 		}
 	})
 	d.measure("jobs, from submission to result", jobs, func() {
@@ -193,12 +194,12 @@
 		for range jobs {
 			go func() {
 				var job struct{ ID string }
-				_ = json.Unmarshal([]byte(d.until(202, "POST", "/v1/jobs", d.key, "", `{"kind":"report"}`)), &job)
+				_ = json.Unmarshal([]byte(d.sendUntil(202, "POST", "/v1/jobs", d.key, "", `{"kind":"report"}`)), &job)
 				ids <- job.ID
 			}()
 		}
 		for range jobs {
-			d.until(200, "GET", "/v1/jobs/"+<-ids+"/result", d.key, "", "")
+			d.sendUntil(200, "GET", "/v1/jobs/"+<-ids+"/result", d.key, "", "")
 		}
 	})
 }
