--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -11,16 +11,16 @@
 	"persimmonrock.example/structs"
 )
 
-// Bounds of one reading.
+// Limits of one read of the configuration.
 const (
-	// maxSingleReads is up to how many changed contracts are read one by one:
-	// 1,000 processes that do so within 5 s cost 800 reads a second.
+	// maxSingleReads is the maximum number of changed contracts that are read
+	// one by one: 1,000 processes that do so within 5 s cost 800 reads a second.
 	maxSingleReads = 4
 	scanPage       = 200
 )
 
-// Newer returns the configuration of the table service, or held if that is not
-// above held. Errors leave the caller with what it holds.
+// Newer returns the configuration in the table service, or held if the revision
+// there isn't higher. With an error it returns held.
 func Newer(ctx context.Context, t infra.Table, held structs.Config) (structs.Config, error) {
 	for attempt := 0; ; attempt++ {
 		row, _, err := ReadRevision(ctx, t)
@@ -28,33 +28,33 @@
 			return held, err
 		}
 		if changes, ok := row.since(held.Revision); ok && len(changes) <= maxSingleReads && attempt == 0 {
-			change, still, err := readChanged(ctx, t, changes)
+			change, consistent, err := readChanged(ctx, t, changes)
 			if err != nil {
 				return held, err
 			}
-			if next, fits := held.With(structs.ConfigChange{From: held.Revision, Revision: row.Revision, Contracts: change.Contracts, Removed: change.Removed}); still && fits {
+			if next, fits := held.With(structs.ConfigChange{From: held.Revision, Revision: row.Revision, Contracts: change.Contracts, Removed: change.Removed}); consistent && fits {
 				return next, nil
 			}
 			continue
 		}
-		config, still, err := scan(ctx, t, row.Revision)
+		config, consistent, err := scan(ctx, t, row.Revision)
 		if err != nil {
 			return held, err
 		}
-		if still {
+		if consistent {
 			return config, nil
 		}
 	}
 }
 
-// readChanged reads the contracts that changed. still is false if one of them
-// is not as the revision row said.
+// readChanged reads the changed contracts. consistent is false if one of them
+// doesn't match the revision row.
 //
-// Failure guarded against: a contract is changed again between the reading of
-// the revision row and that of the contract; the reader would then hold a mix
-// of two revisions. Each row must carry the very revision that the revision
-// row named for it, or be absent where that named a removal.
-func readChanged(ctx context.Context, t infra.Table, changes map[structs.Customer]last) (change structs.ConfigChange, still bool, err error) {
+// Failure guarded against: a contract is changed again between the reads of the
+// revision row and of the contract; the reader would then hold a mix of two
+// revisions. Each contract must have exactly the revision that the revision row
+// names for it, or be absent if the revision row names a removal.
+func readChanged(ctx context.Context, t infra.Table, changes map[structs.Customer]lastChange) (change structs.ConfigChange, consistent bool, err error) {
 	for _, customer := range slices.Sorted(maps.Keys(changes)) {
 		want := changes[customer]
 		contract, version, err := ReadContract(ctx, t, customer)
@@ -74,10 +74,10 @@
 	return change, true, nil
 }
 
-// scan reads all contracts at revision r. The revision is read again at the
-// end; still is false if it has moved, since the pages may then be of several
-// revisions.
-func scan(ctx context.Context, t infra.Table, r structs.Revision) (config structs.Config, still bool, err error) {
+// scan reads all contracts at revision r. It reads the revision again at the
+// end; consistent is false if the revision has changed, since the pages may then
+// be of several revisions.
+func scan(ctx context.Context, t infra.Table, r structs.Revision) (config structs.Config, consistent bool, err error) {
 	config = structs.Config{Revision: r, Contracts: make(map[structs.Customer]structs.Contract)}
 	for after, full := "", true; full; {
 		rows, err := t.Scan(ctx, structs.ContractPrefix, after, scanPage)
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -1,8 +1,8 @@
 // Package configtable reads the accepted configuration from the table service.
 //
-// The revision row is what processes poll, so it is small: the revision and
-// which customers the last few changes were about. A reader that is only those
-// changes behind reads just their contracts; any other reads all contracts.
+// Processes poll the revision row, so it is small: it holds the revision and the
+// customers of the last few changes. A reader that lacks only these changes reads
+// just their contracts; any other reader reads all contracts.
 package configtable
 
 import (
@@ -16,28 +16,28 @@
 	"persimmonrock.example/structs"
 )
 
-// RecentChanges is how many changes the revision row names. Each adds about 30
-// bytes to every poll of every process; a process that polls every few seconds
-// is more behind only after a pause or in a burst, and then one scan is cheaper
-// than many reads.
+// RecentChanges is the number of changes that the revision row names. Each adds
+// about 30 bytes to every poll of every process; a process that polls every few
+// seconds lacks more changes only after a pause or in a burst, and then one scan
+// is cheaper than many reads.
 const RecentChanges = 8
 
-// FirstRevision is that of a table without a revision row: a deployment in
-// which no contract has been written yet.
+// FirstRevision is the revision of a table without a revision row: a deployment
+// in which no contract has been written yet.
 const FirstRevision structs.Revision = 1
 
 // RevisionRow is the value of structs.RevisionKey.
 type RevisionRow struct {
 	Revision structs.Revision `json:"revision"`
-	// Changed are the last changes, one for each revision; the last one is
+	// Changed holds the last changes, one for each revision; the last one is
 	// that of Revision.
 	Changed []Changed `json:"changed,omitempty"`
-	// Recent are operations that an earlier release kept in this row. They are
-	// read and never written; see structs.OperationsKey.
+	// Recent holds operations that an earlier release kept in this row. They
+	// are read and never written; see structs.OperationsKey.
 	Recent []Operation `json:"recent,omitempty"`
 }
 
-// Changed says whose contract a change was about.
+// Changed names the customer whose contract was written or removed by a change.
 type Changed struct {
 	Customer structs.Customer `json:"customer"`
 	Removed  bool             `json:"removed,omitempty"`
@@ -50,37 +50,38 @@
 	Revision structs.Revision `json:"revision"`
 }
 
-// Next is the row after one more change.
+// Next returns the row after one more change.
 func (r RevisionRow) Next(c Changed) RevisionRow {
 	changed := append([]Changed(nil), r.Changed...)
 	changed = append(changed, c)
-	if over := len(changed) - RecentChanges; over > 0 {
-		changed = changed[over:]
+	if excess := len(changed) - RecentChanges; excess > 0 {
+		changed = changed[excess:]
 	}
 	return RevisionRow{Revision: r.Revision + 1, Changed: changed}
 }
 
-// last is the last change of one customer.
-type last struct {
+// lastChange is the lastChange change of one customer.
+type lastChange struct {
 	revision structs.Revision
 	removed  bool
 }
 
-// since returns the last change of each customer changed after revision r; ok
-// is false if the row doesn't name all changes after r.
-func (r RevisionRow) since(held structs.Revision) (changes map[structs.Customer]last, ok bool) {
+// since returns the last change of each customer changed after revision held; ok
+// is false if the row doesn't name all changes after held.
+func (r RevisionRow) since(held structs.Revision) (changes map[structs.Customer]lastChange, ok bool) {
 	behind := uint64(r.Revision - held)
 	if behind > uint64(len(r.Changed)) {
 		return nil, false
 	}
-	changes = make(map[structs.Customer]last)
+	changes = make(map[structs.Customer]lastChange)
 	for i, c := range r.Changed[uint64(len(r.Changed))-behind:] {
-		changes[c.Customer] = last{revision: held + structs.Revision(i) + 1, removed: c.Removed}
+		changes[c.Customer] = lastChange{revision: held + structs.Revision(i) + 1, removed: c.Removed}
 	}
 	return changes, true
 }
 
-// ReadRevision reads the revision row and its version, 0 if there is none.
+// ReadRevision returns the revision row and its version. If there is no such row,
+// the revision is FirstRevision and the version 0.
 func ReadRevision(ctx context.Context, t infra.Table) (RevisionRow, uint64, error) {
 	row, err := t.Get(ctx, structs.RevisionKey)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -96,8 +97,8 @@
 	return value, row.Version, nil
 }
 
-// ReadContract reads one customer's contract and its version, 0 if there is
-// none.
+// ReadContract returns one customer's contract and its version, 0 if there is no
+// contract.
 func ReadContract(ctx context.Context, t infra.Table, customer structs.Customer) (structs.Contract, uint64, error) {
 	row, err := t.Get(ctx, structs.ContractKey(customer))
 	if errors.Is(err, infra.ErrNotFound) {
