--- a/infra/policy/policy.go
+++ b/infra/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy declares the service that says which workers a step may run
-// on, for the queues that need its word.
+// Package policy declares the service that permits steps to run on workers, for
+// the queues that need its permission.
 package policy
 
 import (
@@ -17,18 +17,18 @@
 	Step       int
 }
 
-// Answer is what the service says of the workers that it was asked about.
+// Answer is the service's answer on the workers of a call.
 type Answer struct {
 	// Tickets holds the permission of each permitted worker.
 	Tickets map[workload.WorkerID]string
-	// Valid is how long the tickets hold.
+	// Valid is the time for which the tickets are valid.
 	Valid time.Duration
 }
 
-// Advisor is the service. It takes one call at a time.
+// Advisor is the policy service. It serves one call at a time.
 type Advisor interface {
 	Advise(ctx context.Context, s Step, workers []workload.WorkerID) (Answer, error)
 }
 
-// ErrBusy says that too many calls are waiting.
+// ErrBusy means that too many calls are waiting.
 var ErrBusy = errors.New("policy service: too many calls")
