--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -1,5 +1,6 @@
-// Package progress bounds a call by the silence of its peer rather than by the
-// time that the whole call takes: an answer that is on its way is not given up.
+// Package progress bounds the time without data from the peer of a call rather
+// than the time of the whole call: a call does not time out while its answer
+// arrives.
 package progress
 
 import (
@@ -9,43 +10,46 @@
 	"time"
 )
 
-// ErrSilent is the cause of a context that ended by its peer's silence.
-var ErrSilent = errors.New("the peer has fallen silent")
+// ErrIdle is the cause of a context that ended because its peer sent no data.
+var ErrIdle = errors.New("peer sent no data within the idle time-out")
 
 type key struct{}
 
-// watch is told of what a peer sends; parent is that of the context around it.
+// watch is a callback for data from a peer; parent is the watch of the enclosing
+// context.
 type watch struct {
-	heard  func()
+	onData func()
 	parent *watch
 }
 
-// Watch returns a context under which heard is called for whatever the peer of a
-// call sends. It is called from the goroutine that reads, and must not block.
-func Watch(ctx context.Context, heard func()) context.Context {
+// Watch returns a context for a call in which onData is called for all data from
+// the peer. onData is called from the goroutine that reads, and must not block.
+func Watch(ctx context.Context, onData func()) context.Context {
 	parent, _ := ctx.Value(key{}).(*watch)
-	return context.WithValue(ctx, key{}, &watch{heard: heard, parent: parent})
+	return context.WithValue(ctx, key{}, &watch{onData: onData, parent: parent})
 }
 
-// Bound returns a context that ends once the peer has sent nothing for silence.
-func Bound(ctx context.Context, silence time.Duration) (context.Context, context.CancelFunc) {
+// Bound returns a context that ends once the peer has sent nothing for the
+// duration idle.
+func Bound(ctx context.Context, idle time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(silence, func() { cancel(ErrSilent) })
-	return Watch(ctx, func() { timer.Reset(silence) }), func() {
+	timer := time.AfterFunc(idle, func() { cancel(ErrIdle) })
+	return Watch(ctx, func() { timer.Reset(idle) }), func() {
 		timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Heard tells the watches of ctx that the peer has sent something.
+// Heard notifies the watches of ctx that the peer has sent data.
 func Heard(ctx context.Context) {
 	w, _ := ctx.Value(key{}).(*watch)
 	for ; w != nil; w = w.parent {
-		w.heard()
+		w.onData()
 	}
 }
 
-// Reader returns r, telling the watches of ctx of each read that brings bytes.
+// Reader returns a reader of r that notifies the watches of ctx of each read that
+// returns data.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx: ctx, from: r} }
 
 type reader struct {
--- a/infra/progress/progress_test.go
+++ b/infra/progress/progress_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A call is given up while its answer arrives, or goes on though nothing comes.
-func TestBoundEndsWithSilenceOnly(t *testing.T) {
+// Guards against a call that times out while its answer arrives, or that
+// continues while nothing arrives.
+func TestBoundEndsOnlyWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := Bound(t.Context(), time.Second)
 		defer cancel()
@@ -18,17 +19,18 @@
 			Heard(ctx)
 		}
 		if err := ctx.Err(); err != nil {
-			t.Fatalf("ended beside progress: %v", err)
+			t.Fatalf("ended despite progress: %v", err)
 		}
 		time.Sleep(1100 * time.Millisecond)
-		if err := context.Cause(ctx); !errors.Is(err, ErrSilent) {
-			t.Errorf("ended by %v, want %v", err, ErrSilent)
+		if err := context.Cause(ctx); !errors.Is(err, ErrIdle) {
+			t.Errorf("ended by %v, want %v", err, ErrIdle)
 		}
 	})
 }
 
-// An outer bound ends a call that tells only the inner one of its progress.
-func TestOuterBoundHearsOfProgress(t *testing.T) {
+// Guards against an outer bound that ends a call whose progress notifies only
+// the inner one.
+func TestInnerProgressExtendsOuterBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outer, cancelOuter := Bound(t.Context(), time.Second)
 		defer cancelOuter()
