--- a/infra/rowstore/rowstore.go
+++ b/infra/rowstore/rowstore.go
@@ -1,6 +1,6 @@
-// Package rowstore declares the store that keeps what must outlive every
+// Package rowstore declares the store of all state that must outlive every
 // process: rows in tables, split into parts, changed by conditional
-// transactions, and followed by a feed of changes.
+// transactions, with a feed of changes.
 package rowstore
 
 import (
@@ -18,9 +18,9 @@
 	Key   string
 }
 
-// Spread assigns a key to one of n parts, numbered from 0. A part carries out
-// one transaction at a time, so rows that many processes write at once are
-// spread over several.
+// Spread assigns a key to one of n parts, numbered from 0. A part executes one
+// transaction at a time, so rows that many processes write at once are spread
+// over several parts.
 func Spread(key string, n int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key)) // a hash never fails
@@ -33,11 +33,11 @@
 	Key     Key
 	Value   []byte
 	Version uint64
-	// Deleted marks a dropped row in a feed.
+	// Deleted marks a deleted row in a feed.
 	Deleted bool
 }
 
-// Cond demands that a row has exactly this version; 0 demands its absence.
+// Cond requires that a row has exactly this version; 0 requires its absence.
 type Cond struct {
 	Key     Key
 	Version uint64
@@ -49,30 +49,30 @@
 	Value []byte
 }
 
-// Txn is applied whole or not at all.
+// Txn is a transaction, applied whole or not at all.
 type Txn struct {
 	Conds   []Cond
 	Puts    []Put
 	Deletes []Key
 }
 
-// Limits of one transaction, from the users' pages.
+// Limits of one transaction, from the documentation of the users' store.
 const (
 	MaxTxnEntries = 100
 	MaxTxnBytes   = 1 << 20
 )
 
-// Stamp is the store's newest version and its clock at an answer.
+// Stamp is the store's newest version and its clock at the time of an answer.
 type Stamp struct {
 	Version uint64
-	// Now is a steady clock of the store.
+	// Now is a monotonic clock of the store.
 	Now time.Duration
 }
 
 // Store is the client's view of the store. Errors: *ConflictError,
-// ErrUnavailable and ErrCompacted prove that nothing was done; ErrUnknown
-// proves nothing: a transaction may still be applied seconds later, if its
-// conditions hold then.
+// ErrUnavailable and ErrCompacted prove that nothing was done. After ErrUnknown,
+// a transaction may have been applied, or may still be applied seconds later, if
+// its conditions hold then.
 type Store interface {
 	Reader
 	// Apply applies t and returns the version of all rows that it put.
@@ -82,8 +82,8 @@
 // Reader is a client's view of the store's reads. Its errors are those of Store.
 type Reader interface {
 	// List returns the rows of one part of a table from key from on, up to
-	// but without key to (empty: no bound), as of one moment. more says that
-	// rows were left out.
+	// but without key to (empty: no bound), as of one moment. more is set if
+	// further rows were left out.
 	List(ctx context.Context, table, part, from, to string) (rows []Row, more bool, at Stamp, err error)
 	// Feed waits up to wait for changes of a table after a version and
 	// returns them in order.
@@ -92,16 +92,17 @@
 
 // Errors of a Store.
 var (
-	// ErrUnavailable says that the call had no effect and never will.
+	// ErrUnavailable means that the call had no effect and never will.
 	ErrUnavailable = errors.New("row store: unavailable")
-	// ErrUnknown says that the effect is not known and may come later.
+	// ErrUnknown means that the effect is not known and may come later.
 	ErrUnknown = errors.New("row store: outcome unknown")
-	// ErrCompacted says that the feed no longer reaches back that far.
+	// ErrCompacted means that the feed no longer holds all changes after the
+	// version.
 	ErrCompacted = errors.New("row store: history dropped")
 )
 
-// ConflictError says that a condition did not hold, and what the rows of the
-// conditions are now.
+// ConflictError means that a condition did not hold. Rows are the present rows
+// of the conditions.
 type ConflictError struct {
 	Rows []Row
 }
@@ -136,7 +137,7 @@
 }
 
 // ListAll reads a whole part of a table, page by page. The stamp is that of
-// the first page, so a feed that starts there misses nothing.
+// the first page, so a feed that starts there misses no change.
 func ListAll(ctx context.Context, s Reader, table, part string) ([]Row, Stamp, error) {
 	var all []Row
 	var first Stamp
