--- a/infra/rtt/rtt_test.go
+++ b/infra/rtt/rtt_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A peer answers within two milliseconds: a lost answer is missed after the
-// least time. When the peer turns slow, its answers are waited for again after
-// one that arrived, and never for longer than the most.
-func TestTimeoutFollowsTheAnswers(t *testing.T) {
+// While a peer answers within two milliseconds, the time-out is the least one.
+// When the peer becomes slow, one slow answer raises the time-out above its time,
+// and the time-out never exceeds the most.
+func TestTimeoutFollowsAnswerTimes(t *testing.T) {
 	const least, most = 50 * time.Millisecond, 150 * time.Millisecond
 	var e Estimator
 	if got := e.Timeout(least, most); got != most {
