--- a/infra/wait/wait.go
+++ b/infra/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the pause that ends early with its context.
+// Package wait provides a pause that ends early when its context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx lasted until then.
+// For waits for d and returns true, or returns false as soon as ctx ends.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
