--- a/infra/workerctl/workerctl.go
+++ b/infra/workerctl/workerctl.go
@@ -1,4 +1,5 @@
-// Package workerctl declares what an agent can ask of the worker beside it.
+// Package workerctl declares the orders that an agent gives to the worker beside
+// it.
 package workerctl
 
 import (
@@ -10,14 +11,14 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Clock is a reading of the worker's own steady clock, in milliseconds. It
-// may run up to 2 % slow.
+// Clock is a reading of the worker's own monotonic clock, in milliseconds. The
+// clock may run up to 2 % slow.
 type Clock int64
 
 // Add returns the reading d later.
 func (c Clock) Add(d time.Duration) Clock { return c + Clock(d.Milliseconds()) }
 
-// StartOrder asks for one run.
+// StartOrder starts one run.
 type StartOrder struct {
 	Run     workload.RunID
 	Payload string
@@ -30,73 +31,74 @@
 	Ticket string
 }
 
-// HoldOrder renews the lease, acknowledges ends and asks for both lists.
+// HoldOrder renews the lease, acknowledges ends and requests the lists of
+// running and ended runs.
 type HoldOrder struct {
-	// Lease is 0 where the lease is not to be renewed.
+	// Lease is the new end of the lease; 0 does not renew it.
 	Lease Clock
 	Token uint64
-	// Seen is the number of the last end that may be forgotten.
+	// Seen is the number of the last end that the worker may forget.
 	Seen uint64
-	// Wait is how long the answer may wait for a new end.
+	// Wait is the time for which the answer may wait for a new end.
 	Wait time.Duration
 }
 
-// RunStatus is one run that is on the worker.
+// RunStatus is the status of one run on the worker.
 type RunStatus struct {
 	Run        workload.RunID
 	Checkpoint string
-	// Progress is the part of its work that is done, in percent; a lasting
-	// task is at work at 100.
+	// Progress is the part of the run's work that is done, in percent; a
+	// lasting task does its work at 100.
 	Progress int
-	// Rough is the tail latency in milliseconds of a task that serves, else
-	// the CPU in use, over the last half second.
+	// Rough is the tail latency in milliseconds of a serving task, or the CPU
+	// in use by any other task, over the last half second.
 	Rough float64
 }
 
-// Listing is what a worker answers to a HoldOrder.
+// Listing is a worker's answer to a HoldOrder.
 type Listing struct {
 	Now     Clock
 	Running []RunStatus
 	Ended   []workload.End
 }
 
-// Control gives orders to one worker. Each call names the life of the worker
-// that it is meant for. Errors: ErrGone, *RefusedError and ErrNotDone prove
-// that nothing was done and never will be; ErrUnknown proves nothing: the
-// order may be carried out seconds later, after newer ones.
+// Control gives orders to one worker. Each call names the incarnation of the
+// worker for which it is meant. Errors: ErrGone, *RefusedError and ErrNotDone
+// prove that nothing was done and never will be. After ErrUnknown, the order may
+// have been executed, or may still be executed seconds later, after newer ones.
 type Control interface {
-	Start(ctx context.Context, life workload.WorkerID, o StartOrder) (Clock, error)
-	Stop(ctx context.Context, life workload.WorkerID, run workload.RunID, token uint64) (Clock, error)
-	Hold(ctx context.Context, life workload.WorkerID, o HoldOrder) (Listing, error)
-	Pace(ctx context.Context, life workload.WorkerID, run workload.RunID, percent int, token uint64) (Clock, error)
+	Start(ctx context.Context, incarnation workload.WorkerID, o StartOrder) (Clock, error)
+	Stop(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, token uint64) (Clock, error)
+	Hold(ctx context.Context, incarnation workload.WorkerID, o HoldOrder) (Listing, error)
+	Pace(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, percent int, token uint64) (Clock, error)
 }
 
 // Errors of a Control.
 var (
-	// ErrGone says that the worker has begun another life.
-	ErrGone = errors.New("worker: another life")
-	// ErrNotDone says that the order had no effect.
+	// ErrGone means that the worker now runs as another incarnation.
+	ErrGone = errors.New("worker: another incarnation")
+	// ErrNotDone means that the order had no effect.
 	ErrNotDone = errors.New("worker: not done")
-	// ErrDown says that nothing listens at the worker's address, so that the order
-	// had no effect: the worker has crashed, or is out of reach.
-	ErrDown = fmt.Errorf("nothing listens there: %w", ErrNotDone)
-	// ErrUnknown says that the effect is not known and may come later.
+	// ErrDown means that nothing listens at the worker's address, so that the order
+	// had no effect: the worker has crashed or is unreachable.
+	ErrDown = fmt.Errorf("nothing listens at the worker's address: %w", ErrNotDone)
+	// ErrUnknown means that the effect is not known and may come later.
 	ErrUnknown = errors.New("worker: outcome unknown")
 )
 
-// Reason says why a worker refused an order.
+// Reason is a worker's reason to refuse an order.
 type Reason string
 
 // The reasons of a refusal.
 const (
 	// RefusedFence: a newer agent has shown a higher token.
 	RefusedFence Reason = "fence"
-	// RefusedOld: the run was stopped, ended or overtaken there.
+	// RefusedOld: the run was stopped, has ended or was superseded on the worker.
 	RefusedOld Reason = "old"
-	// RefusedLate: the lease of the order has run out.
+	// RefusedLate: the lease of the order has expired.
 	RefusedLate Reason = "late"
-	// RefusedRoom: it does not fit.
-	RefusedRoom Reason = "room"
+	// RefusedCapacity: the run does not fit into the worker's free capacity.
+	RefusedCapacity Reason = "room"
 	// RefusedTicket: the permission is missing or too old.
 	RefusedTicket Reason = "ticket"
 	// RefusedInvalid: the worker could not read the order.
