--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -1,6 +1,6 @@
-// Package memstore is a rowstore.Store in memory, with the faults that the
-// users' store has: it can be down, turn single clients away, be slow, lose
-// answers, apply writes late and forget its history.
+// Package memstore is a rowstore.Store in memory, with the faults of the users'
+// store: it can be down, refuse single clients, be slow, lose answers, apply
+// writes late and drop its history.
 package memstore
 
 import (
@@ -15,36 +15,37 @@
 	"persimmonrock.example/infra/wait"
 )
 
-// Fault is what happens to the calls of one client.
+// Fault is the fault of all calls of one client.
 type Fault uint8
 
 // The faults of a client.
 const (
 	// Healthy calls are served.
 	Healthy Fault = iota
-	// Refused calls are turned away at once.
+	// Refused calls are refused after the usual answer time.
 	Refused
 	// Silent calls get no answer and have no effect.
 	Silent
 )
 
-// AnswerTime is that of the users' store for a read.
+// AnswerTime is the answer time of the users' store for a read.
 const AnswerTime = 4 * time.Millisecond
 
 const (
-	// txnTime and answerTime are those of the users' store.
+	// txnTime and answerTime are the times of the users' store to execute a
+	// transaction and to answer a call.
 	txnTime    = 8 * time.Millisecond
 	answerTime = AnswerTime
-	// partQueue is how long transactions of one part may wait for each other
-	// before more are turned away.
-	partQueue = time.Second
-	// silence is how long a client usually waits for an answer.
-	silence = 1500 * time.Millisecond
-	// latest is the longest delay of a write that is applied late.
-	latest = 6 * time.Second
+	// maxQueueTime is the waiting time in the queue of a part above which the
+	// store refuses further transactions of that part.
+	maxQueueTime = time.Second
+	// defaultIdle is the time after which most clients time out.
+	defaultIdle = 1500 * time.Millisecond
+	// maxDelay is the longest delay of a write that is applied late.
+	maxDelay = 6 * time.Second
 )
 
-// Store is the rows and their history. All state is under one lock.
+// Store holds the rows and their history. One lock guards all state.
 type Store struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -52,42 +53,42 @@
 	version uint64
 	rows    map[rowstore.Key]rowstore.Row
 	history []rowstore.Row
-	// horizon is the oldest version from which a feed can go on.
-	horizon uint64
-	changed chan struct{}
-	faults  map[string]Fault
-	all     Fault
-	slow    float64
-	lost    float64
-	late    bool
-	// mute is the share of the reads that get no answer, failedUntil until when
-	// any got none or a very late one.
-	mute        float64
+	// horizon is the oldest version from which a feed can continue.
+	horizon   uint64
+	changed   chan struct{}
+	faults    map[string]Fault
+	allFault  Fault
+	slowdown  float64
+	lostShare float64
+	applyLate bool
+	// muteShare is the share of the reads without an answer; failedUntil is the
+	// end of the last time in which reads had no answer or a very late one.
+	muteShare   float64
 	failedUntil time.Time
-	// rate is the speed of each client's link in bytes a second, 0 unbounded,
-	// and sent until when each link is taken.
-	rate float64
-	sent map[string]time.Time
-	// busy is until when the transactions of each part take.
-	busy map[string]time.Time
+	// rate is the speed of each client's link in bytes a second, 0 unbounded;
+	// linkBusyUntil is the time until which each link is busy.
+	rate          float64
+	linkBusyUntil map[string]time.Time
+	// partBusyUntil is the time at which the queue of each part is empty.
+	partBusyUntil map[string]time.Time
 
 	reads, writes int
 }
 
-// New returns an empty store whose luck follows seed.
+// New returns an empty store that draws its random values from seed.
 func New(seed uint64) *Store {
 	return &Store{
 		rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), rows: map[rowstore.Key]rowstore.Row{},
-		changed: make(chan struct{}), faults: map[string]Fault{}, slow: 1, busy: map[string]time.Time{}, sent: map[string]time.Time{},
+		changed: make(chan struct{}), faults: map[string]Fault{}, slowdown: 1, partBusyUntil: map[string]time.Time{}, linkBusyUntil: map[string]time.Time{},
 	}
 }
 
-// SetFault sets what happens to the calls of client; empty means all clients.
+// SetFault sets the fault of the calls of client; empty means all clients.
 func (s *Store) SetFault(client string, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if client == "" {
-		s.all = f
+		s.allFault = f
 		return
 	}
 	s.faults[client] = f
@@ -97,41 +98,41 @@
 func (s *Store) SetSlow(x float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteReads()
-	s.slow = x
+	s.recordReadFaults()
+	s.slowdown = x
 }
 
-// SetLost loses the answers of a share of the writes; with late, those are
-// applied seconds later if their conditions still hold.
-func (s *Store) SetLost(share float64, late bool) {
+// SetLost loses the answers of a share of the writes; with applyLate, these
+// writes are applied seconds later if their conditions still hold.
+func (s *Store) SetLost(share float64, applyLate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost, s.late = share, late
+	s.lostShare, s.applyLate = share, applyLate
 }
 
-// SetMute leaves a share of the reads without an answer, as on connections that
-// have fallen silent.
+// SetMute leaves a share of the reads without an answer, as on unresponsive
+// connections.
 func (s *Store) SetMute(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteReads()
-	s.mute = share
+	s.recordReadFaults()
+	s.muteShare = share
 }
 
-// slowReads is the slowness from which on reads take over 0.4 s.
+// slowReads is the slowdown above which reads take over 0.4 s.
 const slowReads = 100
 
-func (s *Store) readsFail() bool { return s.mute > 0 || s.slow > slowReads }
+func (s *Store) readsFail() bool { return s.muteShare > 0 || s.slowdown > slowReads }
 
-// noteReads notes that reads fail until now, if they do.
-func (s *Store) noteReads() {
+// recordReadFaults sets failedUntil to now if reads fail.
+func (s *Store) recordReadFaults() {
 	if s.readsFail() {
 		s.failedUntil = time.Now()
 	}
 }
 
-// ReadsFineFor returns for how long no read has been left without an answer, or
-// answered very late; 0 while some are.
+// ReadsFineFor returns the time since reads last had no answer or a very late
+// one; 0 while some have.
 func (s *Store) ReadsFineFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,19 +142,19 @@
 	return time.Since(s.failedUntil)
 }
 
-// SetRate sets the speed of each client's link in bytes a second; 0 does not
-// bound it. The answers that a client reads at the same time share its link.
+// SetRate sets the speed of each client's link in bytes a second; 0 means
+// unbounded. The answers that a client reads at the same time share its link.
 func (s *Store) SetRate(bytes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rate = bytes
 }
 
-// Calm reports whether a client's calls meet no fault.
+// Calm reports whether a client's calls have no fault.
 func (s *Store) Calm(client string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all == Healthy && s.faults[client] == Healthy && s.slow == 1 && s.lost == 0 && s.mute == 0
+	return s.allFault == Healthy && s.faults[client] == Healthy && s.slowdown == 1 && s.lostShare == 0 && s.muteShare == 0
 }
 
 // Compact drops the history.
@@ -185,36 +186,37 @@
 }
 
 // Client returns the store as the named client sees it.
-func (s *Store) Client(name string) rowstore.Store { return s.PatientClient(name, silence) }
+func (s *Store) Client(name string) rowstore.Store { return s.PatientClient(name, defaultIdle) }
 
-// PatientClient returns the store as the named client sees it, giving a call up
-// once nothing of its answer has come for so long.
-func (s *Store) PatientClient(name string, silence time.Duration) rowstore.Store {
-	return &client{store: s, name: name, silence: silence}
+// PatientClient returns the store as the named client sees it; a call times out
+// once no data of its answer has arrived for the duration idle.
+func (s *Store) PatientClient(name string, idle time.Duration) rowstore.Store {
+	return &client{store: s, name: name, idle: idle}
 }
 
 type client struct {
-	store   *Store
-	name    string
-	silence time.Duration
+	store *Store
+	name  string
+	idle  time.Duration
 }
 
-// bound ends a read that the client's adapter would give up.
+// bound returns a context that ends a read when the client's adapter would time
+// out.
 func (c *client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	return progress.Bound(ctx, wait+c.silence)
+	return progress.Bound(ctx, wait+c.idle)
 }
 
-// chunk is how many bytes of an answer a link carries at a time.
+// chunk is the number of bytes of an answer that a link transfers at a time.
 const chunk = 16 << 10
 
-// receive waits until the client's link has carried the values of rows.
+// receive waits until the client's link has transferred the values of rows.
 func (c *client) receive(ctx context.Context, rows []rowstore.Row) error {
 	size := 0
 	for _, r := range rows {
 		size += len(r.Value)
 	}
 	for ; size > 0; size -= chunk {
-		if !wait.For(ctx, c.carry(min(size, chunk))) {
+		if !wait.For(ctx, c.reserveLink(min(size, chunk))) {
 			return rowstore.ErrUnknown
 		}
 		progress.Heard(ctx)
@@ -222,8 +224,9 @@
 	return nil
 }
 
-// carry returns how long the link takes until it has carried n bytes more.
-func (c *client) carry(n int) time.Duration {
+// reserveLink returns the time that the link takes until it has transferred n
+// bytes more.
+func (c *client) reserveLink(n int) time.Duration {
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,15 +234,16 @@
 		return 0
 	}
 	now := time.Now()
-	if s.sent[c.name].Before(now) {
-		s.sent[c.name] = now
+	if s.linkBusyUntil[c.name].Before(now) {
+		s.linkBusyUntil[c.name] = now
 	}
-	s.sent[c.name] = s.sent[c.name].Add(time.Duration(float64(n) / s.rate * float64(time.Second)))
-	return s.sent[c.name].Sub(now)
+	s.linkBusyUntil[c.name] = s.linkBusyUntil[c.name].Add(time.Duration(float64(n) / s.rate * float64(time.Second)))
+	return s.linkBusyUntil[c.name].Sub(now)
 }
 
-// enter counts a call, waits its time and reports a fault.
-func (c *client) enter(ctx context.Context, took time.Duration, write bool) error {
+// startCall counts a call, waits for its answer time and returns the error of its
+// fault.
+func (c *client) startCall(ctx context.Context, duration time.Duration, write bool) error {
 	s := c.store
 	s.mu.Lock()
 	if write {
@@ -247,9 +251,9 @@
 	} else {
 		s.reads++
 	}
-	fault := max(s.all, s.faults[c.name])
-	took = time.Duration(float64(took) * s.slow)
-	if !write && fault == Healthy && s.mute > 0 && s.rng.Float64() < s.mute {
+	fault := max(s.allFault, s.faults[c.name])
+	duration = time.Duration(float64(duration) * s.slowdown)
+	if !write && fault == Healthy && s.muteShare > 0 && s.rng.Float64() < s.muteShare {
 		fault = Silent
 	}
 	s.mu.Unlock()
@@ -258,10 +262,10 @@
 		wait.For(ctx, answerTime)
 		return rowstore.ErrUnavailable
 	case Silent:
-		wait.For(ctx, c.silence)
+		wait.For(ctx, c.idle)
 		return rowstore.ErrUnknown
 	}
-	if !wait.For(ctx, took) {
+	if !wait.For(ctx, duration) {
 		return rowstore.ErrUnknown
 	}
 	return nil
@@ -269,30 +273,31 @@
 
 // Apply implements rowstore.Store.
 func (c *client) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
-	if err := c.enter(ctx, answerTime, true); err != nil {
+	if err := c.startCall(ctx, answerTime, true); err != nil {
 		return rowstore.Stamp{}, err
 	}
 	s := c.store
-	turn, err := s.queue(t)
+	queueTime, err := s.enqueue(t)
 	if err != nil {
 		return rowstore.Stamp{}, err
 	}
-	if turn > c.silence-answerTime || !wait.For(ctx, turn) {
-		// The client gives up; the transaction has its turn all the same.
-		wait.For(ctx, c.silence-answerTime)
-		s.applyLater(t, turn)
+	if queueTime > c.idle-answerTime || !wait.For(ctx, queueTime) {
+		// The client times out; the transaction is executed in its turn
+		// nevertheless.
+		wait.For(ctx, c.idle-answerTime)
+		s.applyLater(t, queueTime)
 		return rowstore.Stamp{}, rowstore.ErrUnknown
 	}
-	stamp, err, lost := s.carryOut(t)
+	stamp, err, lost := s.execute(t)
 	if lost {
-		wait.For(ctx, c.silence)
+		wait.For(ctx, c.idle)
 		return rowstore.Stamp{}, rowstore.ErrUnknown
 	}
 	return stamp, err
 }
 
 // ApplyNow applies a transaction whatever the faults, for a client that they
-// do not concern.
+// don't affect.
 func (s *Store) ApplyNow(t rowstore.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,17 +305,17 @@
 	return err
 }
 
-// carryOut applies a transaction, now or later, and reports whether its client
-// hears of that.
-func (s *Store) carryOut(t rowstore.Txn) (stamp rowstore.Stamp, err error, lost bool) {
+// execute applies a transaction, now or later, and reports whether the answer to
+// its client is lost.
+func (s *Store) execute(t rowstore.Txn) (stamp rowstore.Stamp, err error, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost == 0 || s.rng.Float64() >= s.lost {
+	if s.lostShare == 0 || s.rng.Float64() >= s.lostShare {
 		stamp, err = s.apply(t)
 		return stamp, err, false
 	}
-	if s.late {
-		delay := time.Second + time.Duration(s.rng.Float64()*float64(latest-time.Second))
+	if s.applyLate {
+		delay := time.Second + time.Duration(s.rng.Float64()*float64(maxDelay-time.Second))
 		s.applyLater(t, delay)
 	} else {
 		_, _ = s.apply(t) // applied, and the answer is lost
@@ -318,25 +323,25 @@
 	return rowstore.Stamp{}, nil, true
 }
 
-// queue returns how long a transaction takes until it is carried out: those of
-// a part are, one after another.
-func (s *Store) queue(t rowstore.Txn) (time.Duration, error) {
+// enqueue returns the time until a transaction is executed: those of a part are
+// executed one after another.
+func (s *Store) enqueue(t rowstore.Txn) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	part := partOf(t)
 	now := time.Now()
-	from := s.busy[part]
+	from := s.partBusyUntil[part]
 	if from.Before(now) {
 		from = now
 	}
-	if from.Sub(now) > partQueue {
+	if from.Sub(now) > maxQueueTime {
 		return 0, rowstore.ErrUnavailable
 	}
-	s.busy[part] = from.Add(time.Duration(float64(txnTime) * s.slow))
-	return s.busy[part].Sub(now), nil
+	s.partBusyUntil[part] = from.Add(time.Duration(float64(txnTime) * s.slowdown))
+	return s.partBusyUntil[part].Sub(now), nil
 }
 
-// partOf is the part of all rows of a transaction.
+// partOf returns the part of all rows of a transaction.
 func partOf(t rowstore.Txn) string {
 	switch {
 	case len(t.Puts) > 0:
@@ -349,12 +354,13 @@
 	return ""
 }
 
-// applyLater carries out a transaction of which its client hears nothing more.
+// applyLater applies a transaction after a delay, without an answer to its
+// client.
 func (s *Store) applyLater(t rowstore.Txn, after time.Duration) {
 	time.AfterFunc(after, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		_, _ = s.apply(t) // its client has long given up
+		_, _ = s.apply(t) // its client has timed out
 	})
 }
 
@@ -397,7 +403,7 @@
 func (c *client) List(ctx context.Context, table, part, from, to string) ([]rowstore.Row, bool, rowstore.Stamp, error) {
 	ctx, cancel := c.bound(ctx, 0)
 	defer cancel()
-	if err := c.enter(ctx, answerTime, false); err != nil {
+	if err := c.startCall(ctx, answerTime, false); err != nil {
 		return nil, false, rowstore.Stamp{}, err
 	}
 	rows, more, at := c.store.list(table, part, from, to)
@@ -424,17 +430,17 @@
 	return rows, more, s.stamp()
 }
 
-// pageRows is the largest page of rows.
+// pageRows is the maximum number of rows of a page.
 const pageRows = 500
 
 // Feed implements rowstore.Store.
 func (c *client) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
 	ctx, cancel := c.bound(ctx, wait)
 	defer cancel()
-	if err := c.enter(ctx, answerTime, false); err != nil {
+	if err := c.startCall(ctx, answerTime, false); err != nil {
 		return nil, rowstore.Stamp{}, err
 	}
-	rows, at, err := c.store.follow(ctx, table, after, wait)
+	rows, at, err := c.store.waitChanges(ctx, table, after, wait)
 	if err == nil {
 		err = c.receive(ctx, rows)
 	}
@@ -444,7 +450,7 @@
 	return rows, at, nil
 }
 
-func (s *Store) follow(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
+func (s *Store) waitChanges(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -453,7 +459,7 @@
 			s.mu.Unlock()
 			return nil, rowstore.Stamp{}, rowstore.ErrCompacted
 		}
-		rows := s.since(table, after)
+		rows := s.changesSince(table, after)
 		stamp, changed := s.stamp(), s.changed
 		s.mu.Unlock()
 		if len(rows) > 0 {
@@ -469,7 +475,7 @@
 	}
 }
 
-func (s *Store) since(table string, after uint64) []rowstore.Row {
+func (s *Store) changesSince(table string, after uint64) []rowstore.Row {
 	var rows []rowstore.Row
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Version > after })
 	for _, r := range s.history[first:] {
