--- a/infra/rowstore/settle/settle.go
+++ b/infra/rowstore/settle/settle.go
@@ -1,5 +1,5 @@
-// Package settle finds out sooner what became of a transaction whose answer
-// does not come.
+// Package settle determines, before the caller's time-out, the outcome of a
+// transaction whose answer is missing.
 package settle
 
 import (
@@ -13,30 +13,30 @@
 )
 
 const (
-	// leastPatience and mostPatience bound how long an answer is waited for
-	// before the row is looked at, by the times of earlier answers.
-	leastPatience = 60 * time.Millisecond
-	mostPatience  = 600 * time.Millisecond
-	// quickLook is the time within which a look shows that the store is not
-	// slow, so that an answer that is still missing is likely lost.
-	quickLook = 100 * time.Millisecond
-	// lookTimeout bounds a look.
-	lookTimeout = 500 * time.Millisecond
-	// maxAttempts bounds the attempts that are under way at a time.
+	// minTimeout and maxTimeout bound the time without an answer after which
+	// the row is read; it is estimated from the times of earlier answers.
+	minTimeout = 60 * time.Millisecond
+	maxTimeout = 600 * time.Millisecond
+	// quickRead is the time within which an answered read shows that the store
+	// is not slow, so that an answer that is still missing is likely lost.
+	quickRead = 100 * time.Millisecond
+	// readTimeout bounds a read of the row.
+	readTimeout = 500 * time.Millisecond
+	// maxAttempts bounds the attempts in flight at a time.
 	maxAttempts = 4
 )
 
-// Store is a rowstore.Store that looks at the row of a transaction's condition
+// Store is a rowstore.Store that reads the row of a transaction's condition
 // while the answer is missing.
 //
-// Failure guarded against: the store carries a transaction out and its answer
-// is lost. The caller learnt that by a time-out that the slowest store has to
-// fit in, and a scheduler places nothing meanwhile. If the row has another
-// version than the condition wants, the transaction has been carried out or
-// never will be, and the caller tells which by what the row holds. If it has
-// not, and the look was answered at once, another attempt is made: under the
-// same condition at most one takes effect. A store that answers looks slowly is
-// left in peace.
+// Failure guarded against: the store executes a transaction and its answer is
+// lost. Without the reads, the caller waits for a time-out that has to be long
+// enough for the slowest store, and a scheduler places nothing meanwhile. If the
+// row has another version than the condition requires, the transaction has been
+// executed or never will be, and the caller determines which from the row's
+// value. If the row has the required version, and the read was answered quickly,
+// another attempt is made: under the same condition at most one takes effect. A
+// store that answers reads slowly receives no further attempts.
 type Store struct {
 	rowstore.Store
 
@@ -44,30 +44,31 @@
 	times rtt.Estimator
 }
 
-// New returns a store that settles the transactions of inner.
+// New returns a store that determines the outcome of transactions of inner.
 func New(inner rowstore.Store) *Store { return &Store{Store: inner} }
 
-// Apply implements rowstore.Store. A conflict names only the row that the
-// condition is about, so transactions with several are passed on as they are.
+// Apply implements rowstore.Store. A conflict names only the row of one
+// condition, so transactions with more or no conditions go to the inner store
+// directly.
 func (s *Store) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
 	if len(t.Conds) != 1 {
 		return s.Store.Apply(ctx, t)
 	}
-	c := call{store: s, txn: t, answers: make(chan answer, maxAttempts), looks: make(chan look, 1)}
+	c := call{store: s, txn: t, answers: make(chan answer, maxAttempts), reads: make(chan readResult, 1)}
 	return c.run(ctx)
 }
 
-// call is one transaction under way.
+// call is one transaction in flight.
 type call struct {
 	store   *Store
 	txn     rowstore.Txn
 	answers chan answer
-	looks   chan look
-	// open counts the attempts without an answer.
-	open int
-	// failed is what is known of those that failed: ErrUnknown if any of them
-	// may yet take effect.
-	failed error
+	reads   chan readResult
+	// pending counts the attempts without an answer.
+	pending int
+	// failure is the error of the failure attempts: ErrUnknown if any of them
+	// may still take effect.
+	failure error
 }
 
 type answer struct {
@@ -75,7 +76,7 @@
 	err error
 }
 
-type look struct {
+type readResult struct {
 	row  rowstore.Row
 	took time.Duration
 	err  error
@@ -83,45 +84,45 @@
 
 func (c *call) run(ctx context.Context) (rowstore.Stamp, error) {
 	c.attempt(ctx)
-	timer := time.NewTimer(c.store.patience())
+	timer := time.NewTimer(c.store.timeout())
 	defer timer.Stop()
 	for {
 		select {
 		case a := <-c.answers:
-			c.open--
+			c.pending--
 			if !uncertain(a.err) {
 				return a.at, a.err
 			}
-			if c.failed == nil || errors.Is(a.err, rowstore.ErrUnknown) {
-				c.failed = a.err
+			if c.failure == nil || errors.Is(a.err, rowstore.ErrUnknown) {
+				c.failure = a.err
 			}
-			if c.open == 0 {
-				return rowstore.Stamp{}, c.failed
+			if c.pending == 0 {
+				return rowstore.Stamp{}, c.failure
 			}
 		case <-timer.C:
-			go c.look(ctx)
-		case l := <-c.looks:
-			if l.err == nil && l.row.Version != c.txn.Conds[0].Version {
-				return rowstore.Stamp{}, c.conflict(l.row)
+			go c.readRow(ctx)
+		case r := <-c.reads:
+			if r.err == nil && r.row.Version != c.txn.Conds[0].Version {
+				return rowstore.Stamp{}, c.conflict(r.row)
 			}
-			if l.err == nil && l.took <= quickLook && c.open < maxAttempts {
+			if r.err == nil && r.took <= quickRead && c.pending < maxAttempts {
 				c.attempt(ctx)
 			}
-			timer.Reset(c.store.patience())
+			timer.Reset(c.store.timeout())
 		case <-ctx.Done():
 			return rowstore.Stamp{}, rowstore.ErrUnknown
 		}
 	}
 }
 
-// uncertain reports whether err leaves open what becomes of the transaction, or
-// says that this attempt did nothing.
+// uncertain reports whether err leaves the outcome of the transaction open: the
+// outcome of the attempt is unknown, or the attempt had no effect.
 func uncertain(err error) bool {
 	return errors.Is(err, rowstore.ErrUnknown) || errors.Is(err, rowstore.ErrUnavailable)
 }
 
 func (c *call) attempt(ctx context.Context) {
-	c.open++
+	c.pending++
 	go func() {
 		begun := time.Now()
 		at, err := c.store.Store.Apply(ctx, c.txn)
@@ -132,13 +133,13 @@
 	}()
 }
 
-// look reads the row of the condition.
-func (c *call) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+// readRow reads the row of the condition.
+func (c *call) readRow(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	begun := time.Now()
 	row, err := rowstore.Get(ctx, c.store.Store, c.txn.Conds[0].Key)
-	c.looks <- look{row: row, took: time.Since(begun), err: err}
+	c.reads <- readResult{row: row, took: time.Since(begun), err: err}
 }
 
 func (c *call) conflict(row rowstore.Row) error {
@@ -154,9 +155,9 @@
 	s.times.Observe(took)
 }
 
-// patience is how long an answer is worth waiting for.
-func (s *Store) patience() time.Duration {
+// timeout returns the time without an answer after which the row is read.
+func (s *Store) timeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.Timeout(leastPatience, mostPatience)
+	return s.times.Timeout(minTimeout, maxTimeout)
 }
--- a/infra/rowstore/settle/settle_test.go
+++ b/infra/rowstore/settle/settle_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// play runs a story over a store whose usual times are known.
-func play(t *testing.T, story func(t *testing.T, faulty *memstore.Store, s *Store, version uint64)) {
+// runCase runs test over a store whose usual answer times are known.
+func runCase(t *testing.T, test func(t *testing.T, faulty *memstore.Store, s *Store, version uint64)) {
 	synctest.Test(t, func(t *testing.T) {
 		faulty := memstore.New(1)
 		s := New(faulty.Client("c"))
@@ -34,15 +34,15 @@
 			}
 			version = at.Version
 		}
-		story(t, faulty, s, version)
+		test(t, faulty, s, version)
 		time.Sleep(time.Minute)
 	})
 }
 
-// The transaction is carried out and its answer is lost: the caller learns what
-// the row holds long before the time-out.
-func TestLostAnswerIsFoundByALook(t *testing.T) {
-	play(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
+// The transaction is executed and its answer is lost: the caller receives the
+// row's value long before the time-out.
+func TestLostAnswerIsFoundByRead(t *testing.T) {
+	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetLost(1, false)
 		begun := time.Now()
 		_, err := s.Apply(t.Context(), txn(version, "mine"))
@@ -50,24 +50,24 @@
 		if !errors.As(err, &conflict) || string(conflict.Find(key).Value) != "mine" {
 			t.Errorf("answer %v", err)
 		}
-		if took := time.Since(begun); took > 2*leastPatience {
+		if took := time.Since(begun); took > 2*minTimeout {
 			t.Errorf("after %v", took)
 		}
 	})
 }
 
-// The transaction is lost on its way and would land seconds later: another
-// attempt takes effect, and the late one none.
-func TestLateTransactionIsOvertaken(t *testing.T) {
-	play(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
+// The transaction is delayed and would be applied seconds later: another attempt
+// takes effect, and the late one has no effect.
+func TestRepeatOvertakesLateTransaction(t *testing.T) {
+	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetLost(1, true)
-		time.AfterFunc(leastPatience, func() { faulty.SetLost(0, false) })
+		time.AfterFunc(minTimeout, func() { faulty.SetLost(0, false) })
 		begun := time.Now()
 		at, err := s.Apply(t.Context(), txn(version, "mine"))
 		if err != nil || at.Version == version {
 			t.Fatalf("%+v, %v", at, err)
 		}
-		if took := time.Since(begun); took > 2*leastPatience {
+		if took := time.Since(begun); took > 2*minTimeout {
 			t.Errorf("after %v", took)
 		}
 		time.Sleep(10 * time.Second)
@@ -77,10 +77,10 @@
 	})
 }
 
-// A slow store got several times the work, since each missing answer was taken
-// for a lost one.
+// Guards against several times the load on a slow store, if each missing answer
+// counts as lost.
 func TestSlowStoreGetsNoSecondAttempt(t *testing.T) {
-	play(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
+	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
 		_, before := faulty.Calls()
 		if _, err := s.Apply(t.Context(), txn(version, "mine")); err != nil {
@@ -92,10 +92,10 @@
 	})
 }
 
-// A caller gives up while an attempt is under way, and is told that nothing was
-// done.
-func TestGivenUpCallMayTakeEffect(t *testing.T) {
-	play(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
+// Guards against a call whose context ends while an attempt is in flight, and
+// which reports that nothing was done.
+func TestCancelledCallHasUnknownOutcome(t *testing.T) {
+	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
@@ -105,15 +105,16 @@
 	})
 }
 
-// The store turns everybody away: that nothing was done is passed on at once.
-func TestRefusalIsPassedOn(t *testing.T) {
-	play(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
+// The store refuses all calls: the caller receives the refusal, which proves that
+// nothing was done, without delay.
+func TestRefusalIsReturnedAtOnce(t *testing.T) {
+	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetFault("", memstore.Refused)
 		begun := time.Now()
 		if _, err := s.Apply(t.Context(), txn(version, "mine")); !errors.Is(err, rowstore.ErrUnavailable) {
 			t.Errorf("answer %v", err)
 		}
-		if took := time.Since(begun); took > leastPatience {
+		if took := time.Since(begun); took > minTimeout {
 			t.Errorf("after %v", took)
 		}
 	})
