--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -19,13 +19,13 @@
 // The faults of a request. For a read, LoseAnswer acts as Timeout and Delay as
 // None, since a read has no effect.
 const (
-	// None lets the request through.
+	// None passes the request unchanged.
 	None Fault = ""
 	// Down refuses the request; it has no effect.
 	Down Fault = "down"
 	// Timeout drops the request; its caller times out.
 	Timeout Fault = "timeout"
-	// LoseAnswer lets the request take effect and drops the answer.
+	// LoseAnswer passes the request and drops the answer.
 	LoseAnswer Fault = "lose-answer"
 	// Delay makes the caller time out; the request takes effect later.
 	Delay Fault = "delay"
--- a/infra/fault/control_test.go
+++ b/infra/fault/control_test.go
@@ -17,10 +17,10 @@
 	return err
 }
 
-func want(t *testing.T, got, wanted error, what string) {
+func want(t *testing.T, got, wanted error, label string) {
 	t.Helper()
 	if !errors.Is(got, wanted) {
-		t.Errorf("%s: got error %v, want %v", what, got, wanted)
+		t.Errorf("%s: got error %v, want %v", label, got, wanted)
 	}
 }
 
--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// kind tells calls that may change something from those that can't.
+// kind distinguishes calls that may change something from those that can't.
 type kind bool
 
 const (
--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -82,10 +82,10 @@
 
 func put(key, value string) infra.Put { return infra.Put{Key: key, Value: []byte(value)} }
 
-func wantError(t *testing.T, got, want error, what string) {
+func wantError(t *testing.T, got, want error, label string) {
 	t.Helper()
 	if !errors.Is(got, want) {
-		t.Errorf("%s: got error %v, want %v", what, got, want)
+		t.Errorf("%s: got error %v, want %v", label, got, want)
 	}
 }
 
