--- a/infra/commit.go
+++ b/infra/commit.go
@@ -10,10 +10,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Backoff between the attempts of one write, which doubles from the initial
-// value to the maximum. The time-outs of the attempts double in the same way, so
-// that a lost answer doesn't use up the whole context, and a late attempt still
-// waits for a slow answer.
+// Backoff between the attempts of one write, which doubles up to the maximum.
+// The time-outs of attempts double, too, so that a lost answer doesn't use up the
+// whole context, and a later attempt waits for a slow answer.
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = time.Second
@@ -29,7 +28,7 @@
 	// Applied means that the write took effect before others changed some of
 	// its rows; if false, it may have taken effect.
 	Applied bool
-	// Current is the row on which a condition of the last attempt failed.
+	// Current is the row on which the last attempt failed.
 	Current Row
 }
 
@@ -47,16 +46,15 @@
 // condition on a key that it also puts.
 //
 // Failure guarded against: the store applies a write and its answer is lost,
-// or applies it after the time-out. The store then returns ErrUnknown, and a
-// conflict on the repeat: with the write itself, with a later write of another
-// process, or on a row that t only checks. These cases can be distinguished
-// because a condition on a version can be met once at most, and each row names
-// the operation that wrote it: a row with t.Op proves that t was applied, a row
-// that t puts and that is still at the version of its condition proves that t
-// wasn't.
+// or applies it after the time-out. The store then returns ErrUnknown, and on the
+// repeat a conflict: with the write itself, with a later one of another process,
+// or on a row that t only checks. CommitOnce can distinguish these cases because
+// a condition on a version can be met once at most, and each row names the
+// operation that wrote it: a row with t.Op proves that t was applied, a row that
+// t puts and that still has the version of its condition proves the contrary.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
-// been applied. *SupersededError: see that type. Otherwise ErrUnknown: ctx ended
+// been applied. *SupersededError: see there. Otherwise ErrUnknown: ctx ended
 // first, and t may still take effect.
 //
 // A condition on absence is met again once the row is deleted, so a row that
@@ -102,8 +100,8 @@
 	}
 }
 
-// checkRepeatable returns ErrInvalid unless the effect of a repeat of t can be
-// distinguished from that of its first attempt.
+// checkRepeatable returns ErrInvalid unless a repeat of t can be distinguished
+// from its first attempt.
 func (t Txn) checkRepeatable() error {
 	if t.Op == "" {
 		return eris.Wrap(ErrInvalid, "a repeatable transaction needs an operation ID")
@@ -132,14 +130,12 @@
 	return tab.Commit(ctx, t)
 }
 
-// resolveOutcome determines the outcome of t from its rows after a conflict of a
-// repeat. After the conflict no attempt of t can take effect, so the outcome is
-// final.
+// resolveOutcome determines the outcome of t after a conflict of a repeat. After
+// the conflict no attempt of t can take effect, so the outcome is final.
 //
-// Failure guarded against: the caller uses a version that another process wrote
-// as its own, and its next conditional write overwrites the other's change, such
-// as a new owner's lease. So resolveOutcome returns versions only if all rows
-// that t puts still name t.Op.
+// Failure guarded against: the caller uses another process's version as its own,
+// and its next conditional write overwrites the other's change, such as a new
+// owner's lease. So there are versions only if all rows put by t still name t.Op.
 func resolveOutcome(ctx context.Context, tab Table, t Txn, conflict *ConflictError) ([]uint64, error) {
 	applied := conflict.Current.Op == t.Op
 	changed := false
@@ -169,8 +165,8 @@
 	return versions, nil
 }
 
-// readRow repeats the readRow of a row until the store answers or ctx ends; an
-// absent row has version 0.
+// readRow reads a row until the store answers or ctx ends; an absent row has
+// version 0.
 func readRow(ctx context.Context, tab Table, key string) (Row, error) {
 	for attempt := 0; ; attempt++ {
 		row, err := tryRead(ctx, tab, key, attempt)
@@ -193,10 +189,10 @@
 
 // backOff waits before the next attempt and reports whether ctx is still active.
 //
-// Failure guarded against: a store that recovers is overloaded again because
-// all processes repeat their writes at once. The backoff grows, and a hash of the
-// operation ID spreads it over half its length, so that processes don't repeat in
-// step. A random source would have to be controlled by tests.
+// Failure guarded against: a recovering store is overloaded again because all
+// processes repeat their writes at once. The backoff grows, and a hash of the
+// operation ID spreads it over half its length, so that processes repeat at
+// different times; a random source would have to be controlled by tests.
 func backOff(ctx context.Context, id string, attempt int) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -17,9 +17,8 @@
 	"persimmonrock.example/infra/memory"
 )
 
-// TestMain fixes the seed of the randomised tests, so that their results are
-// reproducible; -rapid.seed and -rapid.checks override the seed and the number
-// of runs.
+// TestMain fixes the seed of the randomised tests, so that results are
+// reproducible; -rapid.seed and -rapid.checks override the seed and the runs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -76,13 +75,12 @@
 // is conditional on both.
 type commitCase struct {
 	name string
-	// faults are those of the first writes; plan applies to the writes after
-	// them.
+	// faults are those of the first writes; plan applies to later writes.
 	faults []fault.Fault
 	plan   fault.Plan
 	// puts lists the rows that the transaction puts; it checks the other.
 	puts []string
-	// others are the rows that another process writes 50 ms after the start.
+	// others are written by another process 50 ms after the first attempt.
 	others []string
 	want   outcome
 	// effects is the number of times that the transaction takes effect.
@@ -110,17 +108,16 @@
 		// Another process's change comes first; the transaction has no effect.
 		{"dropped, then another's change of the row", []fault.Fault{fault.Timeout}, shortTimeout, []string{job}, []string{fence}, conflict, 0},
 		// The first attempt times out, then the store refuses all requests. The
-		// first attempt takes effect after the caller has its answer: "unavailable"
-		// would be read as proof that it never does.
+		// first attempt takes effect after the caller's answer: "unavailable" would
+		// be read as proof that it never does.
 		{"unavailable after unknown", []fault.Fault{fault.Delay}, fault.Plan{Patience: shortTimeout.Patience, Hold: true, Down: 1}, both, nil, unknown, 1},
 		{"unavailable at once", nil, fault.Plan{Down: 1}, both, nil, unavailable, 0},
 		// The write is applied and its answer lost; then a new owner raises the
-		// fence, which the transaction only checks. The repeat fails on the fence,
-		// which would be reported as a job that was not written, though it runs.
+		// fence, which the transaction only checks. The repeat fails on the fence;
+		// the job runs and must not be reported as not written.
 		{"answer lost, checked row changed since", lost, shortTimeout, []string{job}, []string{fence}, applied, 1},
-		// As above, but the transaction puts the fence too: the fence now has the
-		// new owner's version. An old owner that uses this version as its own would
-		// continue to write.
+		// As above, but the transaction puts the fence too, which now has the new
+		// owner's version. An old owner that uses it as its own continues to write.
 		{"answer lost, a put row changed since", lost, shortTimeout, both, []string{fence}, superseded, 1},
 		// Every put row was changed since: the outcome can't be determined.
 		{"answer lost, every put row changed since", lost, shortTimeout, []string{job}, []string{job}, hidden, 1},
--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -11,7 +11,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Limits of one read of the configuration.
+// Limits of one read.
 const (
 	// maxSingleReads is the maximum number of changed contracts that are read
 	// one by one: 1,000 processes that do so within 5 s cost 800 reads a second.
@@ -74,9 +74,8 @@
 	return change, true, nil
 }
 
-// scan reads all contracts at revision r. It reads the revision again at the
-// end; consistent is false if the revision has changed, since the pages may then
-// be of several revisions.
+// scan reads all contracts at revision r. consistent is false if the revision
+// has changed at the end, since the pages may then be of several revisions.
 func scan(ctx context.Context, t infra.Table, r structs.Revision) (config structs.Config, consistent bool, err error) {
 	config = structs.Config{Revision: r, Contracts: make(map[structs.Customer]structs.Contract)}
 	for after, full := "", true; full; {
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -2,7 +2,7 @@
 //
 // Processes poll the revision row, so it is small: it holds the revision and the
 // customers of the last few changes. A reader that lacks only these changes reads
-// just their contracts; any other reader reads all contracts.
+// just their contracts, any other all contracts.
 package configtable
 
 import (
@@ -37,7 +37,7 @@
 	Recent []Operation `json:"recent,omitempty"`
 }
 
-// Changed names the customer whose contract was written or removed by a change.
+// Changed is the customer of a change of a contract.
 type Changed struct {
 	Customer structs.Customer `json:"customer"`
 	Removed  bool             `json:"removed,omitempty"`
@@ -60,7 +60,7 @@
 	return RevisionRow{Revision: r.Revision + 1, Changed: changed}
 }
 
-// lastChange is the lastChange change of one customer.
+// lastChange is the last change of one customer.
 type lastChange struct {
 	revision structs.Revision
 	removed  bool
@@ -80,8 +80,8 @@
 	return changes, true
 }
 
-// ReadRevision returns the revision row and its version. If there is no such row,
-// the revision is FirstRevision and the version 0.
+// ReadRevision returns the revision row and its version. An absent row has
+// FirstRevision and version 0.
 func ReadRevision(ctx context.Context, t infra.Table) (RevisionRow, uint64, error) {
 	row, err := t.Get(ctx, structs.RevisionKey)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -97,8 +97,7 @@
 	return value, row.Version, nil
 }
 
-// ReadContract returns one customer's contract and its version, 0 if there is no
-// contract.
+// ReadContract returns one customer's contract and its version, 0 if absent.
 func ReadContract(ctx context.Context, t infra.Table, customer structs.Customer) (structs.Contract, uint64, error) {
 	row, err := t.Get(ctx, structs.ContractKey(customer))
 	if errors.Is(err, infra.ErrNotFound) {
--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -1,7 +1,7 @@
 // Package fault wraps the platform's services to inject the faults of the real
 // ones: outages, slow requests, time-outs, a process that is cut off, answers
 // lost after a write took effect, and writes that take effect long after their
-// caller received an unknown outcome.
+// caller timed out.
 //
 // Each process of a test has its own wrapper with its own Control around the
 // same inner service, so that one process can be cut off while others aren't.
@@ -115,9 +115,8 @@
 	c.cut = on
 }
 
-// Heal ends the cut, the plan except its Hold, the faults set by Next and a
-// freeze. Delayed writes still take effect after their delay, held ones on
-// Release.
+// Heal ends the cut, the plan except its Hold, the faults of Next and a freeze.
+// Delayed writes still take effect, held ones on Release.
 func (c *Control) Heal() {
 	c.mu.Lock()
 	c.plan = Plan{Hold: c.plan.Hold}
@@ -278,8 +277,7 @@
 	}
 }
 
-// drawDuration returns a uniformly distributed duration of r. The caller holds
-// c.mu.
+// drawDuration draws a duration uniformly from r. The caller holds c.mu.
 func (c *Control) drawDuration(r Range) time.Duration {
 	u := c.rng.Float64()
 	if r.Max <= r.Min {
--- a/infra/fault/control_test.go
+++ b/infra/fault/control_test.go
@@ -25,8 +25,8 @@
 }
 
 // Two processes share a store; one is cut off from it, times out on a slow
-// write, and is frozen. The other must see the store without these faults, and
-// the write that timed out must still take effect.
+// write, and is frozen. The other must see the store without faults, and the
+// write that timed out must still take effect.
 func TestFaultsAffectOneProcessOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := memory.NewTable()
--- a/infra/fault/table.go
+++ b/infra/fault/table.go
@@ -80,7 +80,7 @@
 	return requestNoAnswer(ctx, o.control, op, func(ctx context.Context) error { return o.inner.Delete(ctx, key) })
 }
 
-// requestNoAnswer is request for a call whose answer has no value.
+// requestNoAnswer is request for a call without an answer.
 func requestNoAnswer(ctx context.Context, c *Control, op Operation, call func(context.Context) error) error {
 	_, err := request(ctx, c, op, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
 	return err
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -59,10 +59,10 @@
 	// Scan returns up to limit rows whose key starts with prefix and is above
 	// after, in key order. It costs one read.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies t atomically and returns the new version of each put, in
-	// order. Errors: *ConflictError and ErrUnavailable prove that nothing was
-	// applied; after ErrUnknown, t may have been applied or may still be
-	// applied later.
+	// Commit applies t whole or not at all and returns the new version of
+	// each put, in order. Errors: *ConflictError and ErrUnavailable prove
+	// that nothing was applied; ErrUnknown proves nothing, and the write may
+	// still take effect later.
 	Commit(ctx context.Context, t Txn) ([]uint64, error)
 }
 
@@ -100,8 +100,8 @@
 // TaskPhase is the state of a task on its worker.
 type TaskPhase string
 
-// The phases of a task on its worker. TaskStopped covers every end that its
-// program didn't cause: by Stop, by a lapsed lease, by Fence.
+// The phases of a task on its worker. TaskStopped covers every stop by the
+// worker: on request, after a lapsed lease, by Fence.
 const (
 	TaskRunning TaskPhase = "running"
 	TaskDone    TaskPhase = "done"
@@ -122,8 +122,7 @@
 	// Holder is the agent's incarnation; one below the highest that the
 	// worker has received in Fence is refused with ErrFenced.
 	Holder structs.Incarnation
-	// Lease is the time after which the worker stops the task unless Renew is
-	// called.
+	// Lease is the time after which the worker stops the task without Renew.
 	Lease time.Duration
 }
 
@@ -156,7 +155,7 @@
 	Slowdown float64
 }
 
-// Worker is the interface of the platform's worker on one instance to its agent.
+// Worker is the platform's worker on one instance, as its agent uses it.
 type Worker interface {
 	// Fence makes the worker refuse holders below h from now on, stops all
 	// their tasks, and returns once they have provably stopped.
--- a/infra/memory/counts.go
+++ b/infra/memory/counts.go
@@ -9,7 +9,7 @@
 	"persimmonrock.example/infra"
 )
 
-// OperationCount counts the operations of one kind that a table has served.
+// OperationCount counts the served operations of one kind.
 type OperationCount struct {
 	// Operation is "get", "scan" or "commit", and the first parts of the keys
 	// in it: "commit job+shard" changed rows of jobs and shards.
@@ -20,8 +20,8 @@
 	Rows uint64
 }
 
-// operations counts operations by kind, to measure the cost of each call, job
-// or renewal to the store.
+// operations counts operations by kind, to measure the store's cost of each
+// call, job or renewal.
 type operations struct {
 	mu     sync.Mutex
 	counts map[string]*OperationCount
@@ -64,8 +64,7 @@
 	return part
 }
 
-// commitOperation returns the kind of a transaction, named for the rows that it
-// changes.
+// commitOperation names the kind of a transaction by the rows that it changes.
 func commitOperation(txn infra.Txn) string {
 	var parts []string
 	add := func(key string) {
--- a/infra/memory/objects.go
+++ b/infra/memory/objects.go
@@ -30,8 +30,8 @@
 func (o *Objects) Writes() uint64 { return o.writes.Load() }
 
 // Rewrites counts puts that would have changed the body of an existing key.
-// Each of them violates an invariant of its caller: two different results under
-// one key mean that a fenced holder wrote before its successor or over it.
+// Each violates an invariant of its caller: two different results under one key
+// mean that a fenced holder wrote before its successor or over it.
 func (o *Objects) Rewrites() uint64 { return o.rewrites.Load() }
 
 // Len returns the number of objects.
--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -35,11 +35,10 @@
 	return &RunRegistry{log: log, runs: make(map[structs.JobID][]*Run)}
 }
 
-// recordStart records the start of a run. Failure guarded against: a task runs
-// in two places at once, or one claim of it runs twice. Then the job has an
-// earlier run that hasn't ended or that had the same epoch. The check is sound
-// because workers call recordStart before the program's first step and
-// recordEnd after its last one.
+// recordStart records a start. Failure guarded against: a task runs in two
+// places at once, or one claim of it runs twice. Then an earlier run of the job
+// hasn't ended or has the same epoch. The check is sound because workers call
+// recordStart before the program's first step and recordEnd after its last one.
 func (r *RunRegistry) recordStart(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/rows.go
+++ b/infra/memory/rows.go
@@ -8,8 +8,7 @@
 	"persimmonrock.example/infra"
 )
 
-// maxChunk is the maximum length of a chunk; it bounds the number of rows that
-// one insertion moves.
+// maxChunk bounds the number of rows that one insertion moves.
 const maxChunk = 512
 
 // rows is a set of rows in key order, kept as a list of short sorted chunks.
@@ -19,8 +18,7 @@
 	count  int
 }
 
-// locate returns the index of the chunk that key belongs to and the index of
-// key in that chunk.
+// locate returns the index of the chunk for key and the place of key in it.
 func (r *rows) locate(key string) (chunk, place int, found bool) {
 	chunk = sort.Search(len(r.chunks), func(i int) bool { return r.chunks[i][0].Key > key }) - 1
 	if chunk < 0 {
--- a/infra/memory/table.go
+++ b/infra/memory/table.go
@@ -41,7 +41,7 @@
 	RowsRead, RowsWritten uint64
 }
 
-// Counts returns the counts of the operations served so far.
+// Counts returns the counts so far.
 func (t *Table) Counts() TableCounts {
 	return TableCounts{
 		Reads:       t.reads.Load(),
@@ -173,8 +173,8 @@
 	return c
 }
 
-// checkContext returns infra.ErrUnavailable if ctx checkContext before the request
-// began, since then the request has no effect.
+// checkContext refuses a request if ctx has already ended; the request has no
+// effect.
 func checkContext(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return eris.Wrapf(infra.ErrUnavailable, "not sent: %v", err)
--- a/infra/memory/task.go
+++ b/infra/memory/task.go
@@ -74,8 +74,8 @@
 	return ctx.Err()
 }
 
-// pace returns the present pace of the work, the speed and slowdown behind it,
-// and a channel that is closed when the throttle changes.
+// pace returns the present pace of the work, its speed and slowdown, and a channel
+// that is closed when the throttle changes.
 func (r *run) pace() (pace, speed, slowdown float64, changed <-chan struct{}) {
 	slowdown = 1
 	if r.worker.opts.Slowdown != nil {
@@ -95,7 +95,7 @@
 	r.changed = make(chan struct{})
 }
 
-// status returns the task's status as the worker reports it now.
+// status returns the task's present status.
 func (r *run) status() infra.TaskStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/usage.go
+++ b/infra/memory/usage.go
@@ -21,8 +21,8 @@
 // maxSegments bounds the history of a task whose usage reports nobody fetches.
 const maxSegments = 4096
 
-// addSegment adds s to the task's history; if s continues the last segment at
-// the same speed and slowdown, it extends that segment.
+// addSegment adds s to the task's history; a segment that continues the last one
+// at the same speed and slowdown extends it.
 func (r *run) addSegment(s segment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,9 +57,8 @@
 	return r.visible
 }
 
-// usage returns the reports, not returned before, of the task's windows that
-// ended at least the usage lag before now. more is false once the task has no
-// further reports.
+// usage returns the new reports of the task's windows that ended at least the
+// usage lag before now. more is false once there are no further reports.
 func (r *run) usage(now time.Time) (reports []infra.Usage, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -36,11 +36,10 @@
 	// end until its report is available. Progress has the same lag.
 	UsageWindow, UsageLag time.Duration
 	// Slowdown returns the factor by which neighbours slow a task of this kind
-	// now, 1 for none. A step calls it at its start and whenever it resumes
-	// after a change of the throttle.
+	// now, 1 for none. Steps call it at their start and when the throttle
+	// changes.
 	Slowdown func(structs.Kind) float64
-	// Actual returns the resources that a task really uses; nil means those
-	// that it declared.
+	// Actual returns a task's real resource usage; nil means the declared one.
 	Actual func(infra.TaskStart) structs.Resources
 	// Registry, if set, records every start and stop.
 	Registry *RunRegistry
@@ -147,8 +146,8 @@
 	return stopAll(ctx, older)
 }
 
-// checkRequest returns an error if a request of holder h has no effect. The
-// caller holds w.mu.
+// checkRequest returns an error if it refuses a request of holder h. The caller
+// holds w.mu.
 func (w *Worker) checkRequest(ctx context.Context, h structs.Incarnation) error {
 	switch {
 	case ctx.Err() != nil:
@@ -162,9 +161,9 @@
 }
 
 // Start implements infra.Worker. A repeated start of a job and epoch that
-// the worker knows changes nothing and returns nil, so that a start can be
-// repeated after a lost answer. A job that still runs at another epoch is
-// refused with infra.ErrUnavailable.
+// the worker knows changes nothing and returns nil, since its answer may have
+// been lost. A job that still runs at another epoch is refused with
+// infra.ErrUnavailable.
 func (w *Worker) Start(ctx context.Context, t infra.TaskStart) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,8 +209,8 @@
 	if w.opts.Actual != nil {
 		r.actual = w.opts.Actual(t)
 	}
-	// The worker itself stops a task whose lease lapses, so that no task
-	// continues to run while its holder is frozen or cut off.
+	// The worker itself stops a task whose lease lapses, so that a frozen or
+	// disconnected holder can't keep it running.
 	r.lease = time.AfterFunc(t.Lease, r.stop)
 	go r.execute(ctx)
 	return r
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -16,7 +16,7 @@
 
 const assay structs.Kind = "assay"
 
-// endless is a program that works until it has to stop.
+// endless works until it has to stop.
 func endless(ctx context.Context, t Task) ([]byte, error) {
 	return nil, t.Step(ctx, 1000*time.Hour)
 }
@@ -106,8 +106,7 @@
 		check(t, w.Start(t.Context(), long), nil)
 		time.Sleep(time.Second)
 		check(t, w.Throttle(t.Context(), "job", 1, 0.5), nil)
-		// Half a second of the work is done; at a quarter of full speed, the
-		// rest ends 5 s after the start.
+		// Half a second of the work is done, the rest runs at a quarter: 5 s.
 		time.Sleep(1999 * time.Millisecond)
 		if early, _ := w.Usage(t.Context()); len(early) != 0 {
 			t.Errorf("reports before their lag: %v", early)
--- a/infra/policy/policy.go
+++ b/infra/policy/policy.go
@@ -21,7 +21,7 @@
 type Answer struct {
 	// Tickets holds the permission of each permitted worker.
 	Tickets map[workload.WorkerID]string
-	// Valid is the time for which the tickets are valid.
+	// Valid is the lifetime of the tickets.
 	Valid time.Duration
 }
 
--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -1,6 +1,5 @@
-// Package progress bounds the time without data from the peer of a call rather
-// than the time of the whole call: a call does not time out while its answer
-// arrives.
+// Package progress bounds the time without data from the peer rather than the
+// time of the whole call: a call does not time out while its answer arrives.
 package progress
 
 import (
@@ -15,22 +14,20 @@
 
 type key struct{}
 
-// watch is a callback for data from a peer; parent is the watch of the enclosing
-// context.
+// watch is a callback for data from a peer; parent is that of the outer context.
 type watch struct {
 	onData func()
 	parent *watch
 }
 
-// Watch returns a context for a call in which onData is called for all data from
-// the peer. onData is called from the goroutine that reads, and must not block.
+// Watch returns a context in which onData is called for all data from the peer of
+// a call. onData runs in the goroutine that reads, and must not block.
 func Watch(ctx context.Context, onData func()) context.Context {
 	parent, _ := ctx.Value(key{}).(*watch)
 	return context.WithValue(ctx, key{}, &watch{onData: onData, parent: parent})
 }
 
-// Bound returns a context that ends once the peer has sent nothing for the
-// duration idle.
+// Bound returns a context that ends once the peer has sent nothing for idle.
 func Bound(ctx context.Context, idle time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(idle, func() { cancel(ErrIdle) })
@@ -48,8 +45,7 @@
 	}
 }
 
-// Reader returns a reader of r that notifies the watches of ctx of each read that
-// returns data.
+// Reader returns r, notifying the watches of ctx of each read that returns data.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx: ctx, from: r} }
 
 type reader struct {
--- a/infra/progress/progress_test.go
+++ b/infra/progress/progress_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// Guards against a call that times out while its answer arrives, or that
-// continues while nothing arrives.
+// Guards against a call that times out while its answer arrives, or never does.
 func TestBoundEndsOnlyWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := Bound(t.Context(), time.Second)
@@ -28,8 +27,7 @@
 	})
 }
 
-// Guards against an outer bound that ends a call whose progress notifies only
-// the inner one.
+// Guards against an outer bound that ignores the progress of an inner one.
 func TestInnerProgressExtendsOuterBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outer, cancelOuter := Bound(t.Context(), time.Second)
--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -33,8 +33,8 @@
 		c = http.DefaultClient
 	}
 	httpClient := *c
-	// Following a redirect would send the request a second time; the redirect
-	// counts as an answer that does not follow the protocol.
+	// A followed redirect would send the request a second time; it is an
+	// answer that does not follow the protocol.
 	httpClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	created := &client{base: strings.TrimRight(base, "/"), http: httpClient, counters: NewCounters()}
 	for _, o := range options {
@@ -43,7 +43,7 @@
 	return created
 }
 
-// exchange is one HTTP request; step names its operation in errors.
+// exchange is one request; step names it in errors.
 type exchange struct {
 	step, method, path, content string
 	body                        []byte
@@ -107,8 +107,8 @@
 	return c.fail(x, cause, errors.New(p.Detail))
 }
 
-// unanswered returns the error of a request that was sent and has no valid
-// answer: ErrUnknown for a write, ErrUnavailable for a read, which has no effect.
+// unanswered returns the error of a sent request without a valid answer:
+// ErrUnknown for a write, ErrUnavailable for a read, which has no effect.
 func (c *client) unanswered(x exchange, err error) error {
 	if x.write {
 		return c.fail(x, infra.ErrUnknown, err)
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// kind distinguishes calls that may change something from those that can't.
+// kind is the kind of a call: only writing may change something.
 type kind bool
 
 const (
--- a/infra/remote/compress.go
+++ b/infra/remote/compress.go
@@ -47,9 +47,8 @@
 	return b.Bytes(), b.Len() < len(body)
 }
 
-// readAnswer reads the whole body of an answer, which may be compressed.
-// MaxBody bounds the expanded size, so that a short answer can't expand without
-// limit.
+// readAnswer reads the whole body of an answer, which may be compressed. MaxBody
+// bounds the expanded size, so that a short answer can't expand without limit.
 func readAnswer(resp *http.Response) ([]byte, error) {
 	if resp.Header.Get(headerEncoding) != encodingGzip {
 		return readAll(resp.Body)
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -8,13 +8,13 @@
 	"persimmonrock.example/infra"
 )
 
-// Counters counts the requests of one or more clients to the platform and their
-// failures. The zero value is ready to count, but only NewCounters sets the time
-// base of SinceAnswerMillis. Counters is safe for concurrent use.
+// Counters counts the requests and failures of one or more clients. The zero
+// value lacks only the time base of SinceAnswerMillis. Counters is safe for
+// concurrent use.
 type Counters struct {
 	reads, writes, conflicts, unavailable, unknown atomic.Uint64
 	// lastAnswer is the time of the service's last answer in its own protocol,
-	// in nanoseconds since began.
+	// in ns since began.
 	lastAnswer atomic.Int64
 	began      time.Time
 }
@@ -33,12 +33,12 @@
 	// unavailable, Unknown writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SinceAnswerMillis is the time since the service's last answer; it grows
-	// also while the service gets no requests.
+	// SinceAnswerMillis is the time since the service's last answer; without
+	// requests it grows, too.
 	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
-// Vars returns the present values as CounterVars, for expvar.
+// Vars returns the present values, for expvar.
 func (c *Counters) Vars() any {
 	sinceAnswer := time.Since(c.began) - time.Duration(c.lastAnswer.Load())
 	return CounterVars{
@@ -65,7 +65,7 @@
 	c.reads.Add(1)
 }
 
-// recordAnswer records the time of an recordAnswer in the service's own protocol.
+// recordAnswer records an answer in the service's own protocol.
 func (c *Counters) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.began))) }
 
 // countFailure counts the error of a request.
--- a/infra/remote/errors_test.go
+++ b/infra/remote/errors_test.go
@@ -16,8 +16,7 @@
 	"persimmonrock.example/infra/remote"
 )
 
-// answer returns a handler that replies with a status, a content type and a
-// body, and with a success to a client that follows its redirect.
+// answer replies with a status, a content type and a body.
 func answer(status int, content, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/table/elsewhere" {
@@ -32,10 +31,9 @@
 
 const unavailableProblem = `{"type":"urn:persimmonrock:platform:unavailable","title":"","status":503}`
 
-// Guards against a customer's submission that is reported as without effect
-// although its job was stored: the connection broke, or an intermediary between
-// the entry and the store answered in its place, and any failed request counted
-// as one without effect.
+// Guards against a stored job that is reported as refused to its customer: the
+// connection breaks, or an intermediary between the entry and the store answers
+// in its place, and any failed request counts as one without effect.
 func TestErrorsWithoutProofAreUnknown(t *testing.T) {
 	const problemJSON, plainJSON = "application/problem+json", "application/json"
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -131,8 +131,8 @@
 	reply(w, r, p.Status, contentProblem, p)
 }
 
-// reply answers with a JSON body. An answer that is too large is replaced by a
-// problem document of unknown outcome.
+// reply answers with a JSON body. An answer that is too large is replaced by an
+// unknown outcome.
 func reply(w http.ResponseWriter, r *http.Request, code int, content string, answer any) {
 	body, err := json.Marshal(answer)
 	if err == nil && len(body) > MaxBody {
@@ -153,6 +153,6 @@
 	}
 	w.WriteHeader(code)
 	// A write error means that the client has disconnected; it treats the
-	// missing answer as an unknown outcome.
+	// missing answer as unknown.
 	_, _ = w.Write(body)
 }
--- a/infra/remote/protocol.go
+++ b/infra/remote/protocol.go
@@ -66,7 +66,7 @@
 }
 
 // problemOf returns the document for an error of a platform service. An error
-// that the protocol has no type for becomes one of unknown outcome.
+// without a type in the protocol has an unknown outcome.
 func problemOf(err error) problem {
 	p := problem{Type: problemUnknown, Status: http.StatusGatewayTimeout}
 	var conflict *infra.ConflictError
@@ -122,7 +122,7 @@
 func (r row) row() infra.Row     { return infra.Row(r) }
 func rowsOf(rs []infra.Row) rows { return rows{Rows: mapSlice(rs, rowOf)} }
 
-// mapSlice returns the results of f for the elements of in.
+// mapSlice returns f of each element.
 func mapSlice[A, B any](in []A, f func(A) B) []B {
 	out := make([]B, len(in))
 	for i, a := range in {
--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -22,7 +22,7 @@
 const (
 	// Healthy calls are served.
 	Healthy Fault = iota
-	// Refused calls are refused after the usual answer time.
+	// Refused calls fail after the answer time.
 	Refused
 	// Silent calls get no answer and have no effect.
 	Silent
@@ -32,12 +32,12 @@
 const AnswerTime = 4 * time.Millisecond
 
 const (
-	// txnTime and answerTime are the times of the users' store to execute a
-	// transaction and to answer a call.
+	// txnTime and answerTime are the users' store's times for a transaction
+	// and for an answer.
 	txnTime    = 8 * time.Millisecond
 	answerTime = AnswerTime
-	// maxQueueTime is the waiting time in the queue of a part above which the
-	// store refuses further transactions of that part.
+	// maxQueueTime is the waiting time of a part's transactions above which
+	// further ones are refused.
 	maxQueueTime = time.Second
 	// defaultIdle is the time after which most clients time out.
 	defaultIdle = 1500 * time.Millisecond
@@ -61,21 +61,20 @@
 	slowdown  float64
 	lostShare float64
 	applyLate bool
-	// muteShare is the share of the reads without an answer; failedUntil is the
-	// end of the last time in which reads had no answer or a very late one.
+	// muteShare is the share of reads without an answer, failedUntil the last
+	// time at which reads had none or a very late one.
 	muteShare   float64
 	failedUntil time.Time
-	// rate is the speed of each client's link in bytes a second, 0 unbounded;
-	// linkBusyUntil is the time until which each link is busy.
+	// rate is the speed of each client's link in bytes a second, 0 unbounded.
 	rate          float64
 	linkBusyUntil map[string]time.Time
-	// partBusyUntil is the time at which the queue of each part is empty.
+	// partBusyUntil is the end of the last transaction of each part.
 	partBusyUntil map[string]time.Time
 
 	reads, writes int
 }
 
-// New returns an empty store that draws its random values from seed.
+// New returns an empty store whose random values follow seed.
 func New(seed uint64) *Store {
 	return &Store{
 		rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), rows: map[rowstore.Key]rowstore.Row{},
@@ -189,7 +188,7 @@
 func (s *Store) Client(name string) rowstore.Store { return s.PatientClient(name, defaultIdle) }
 
 // PatientClient returns the store as the named client sees it; a call times out
-// once no data of its answer has arrived for the duration idle.
+// once no data of its answer has arrived for idle.
 func (s *Store) PatientClient(name string, idle time.Duration) rowstore.Store {
 	return &client{store: s, name: name, idle: idle}
 }
@@ -200,8 +199,7 @@
 	idle  time.Duration
 }
 
-// bound returns a context that ends a read when the client's adapter would time
-// out.
+// bound ends a read when the client's adapter would time out.
 func (c *client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	return progress.Bound(ctx, wait+c.idle)
 }
@@ -224,8 +222,7 @@
 	return nil
 }
 
-// reserveLink returns the time that the link takes until it has transferred n
-// bytes more.
+// reserveLink returns the time until the link has transferred n bytes more.
 func (c *client) reserveLink(n int) time.Duration {
 	s := c.store
 	s.mu.Lock()
@@ -241,8 +238,7 @@
 	return s.linkBusyUntil[c.name].Sub(now)
 }
 
-// startCall counts a call, waits for its answer time and returns the error of its
-// fault.
+// startCall counts a call, waits for its duration and returns a fault's error.
 func (c *client) startCall(ctx context.Context, duration time.Duration, write bool) error {
 	s := c.store
 	s.mu.Lock()
@@ -282,8 +278,7 @@
 		return rowstore.Stamp{}, err
 	}
 	if queueTime > c.idle-answerTime || !wait.For(ctx, queueTime) {
-		// The client times out; the transaction is executed in its turn
-		// nevertheless.
+		// The client times out; the transaction is executed nevertheless.
 		wait.For(ctx, c.idle-answerTime)
 		s.applyLater(t, queueTime)
 		return rowstore.Stamp{}, rowstore.ErrUnknown
@@ -305,8 +300,8 @@
 	return err
 }
 
-// execute applies a transaction, now or later, and reports whether the answer to
-// its client is lost.
+// execute applies a transaction, now or later, and reports whether its answer is
+// lost.
 func (s *Store) execute(t rowstore.Txn) (stamp rowstore.Stamp, err error, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -354,8 +349,7 @@
 	return ""
 }
 
-// applyLater applies a transaction after a delay, without an answer to its
-// client.
+// applyLater applies a transaction after a delay, without an answer.
 func (s *Store) applyLater(t rowstore.Txn, after time.Duration) {
 	time.AfterFunc(after, func() {
 		s.mu.Lock()
--- a/infra/rowstore/rowstore.go
+++ b/infra/rowstore/rowstore.go
@@ -49,14 +49,14 @@
 	Value []byte
 }
 
-// Txn is a transaction, applied whole or not at all.
+// Txn is applied whole or not at all.
 type Txn struct {
 	Conds   []Cond
 	Puts    []Put
 	Deletes []Key
 }
 
-// Limits of one transaction, from the documentation of the users' store.
+// Documented limits of one transaction in the users' store.
 const (
 	MaxTxnEntries = 100
 	MaxTxnBytes   = 1 << 20
@@ -70,9 +70,9 @@
 }
 
 // Store is the client's view of the store. Errors: *ConflictError,
-// ErrUnavailable and ErrCompacted prove that nothing was done. After ErrUnknown,
-// a transaction may have been applied, or may still be applied seconds later, if
-// its conditions hold then.
+// ErrUnavailable and ErrCompacted prove that nothing was done; ErrUnknown
+// proves nothing: a transaction may still be applied seconds later, if its
+// conditions hold then.
 type Store interface {
 	Reader
 	// Apply applies t and returns the version of all rows that it put.
@@ -96,8 +96,7 @@
 	ErrUnavailable = errors.New("row store: unavailable")
 	// ErrUnknown means that the effect is not known and may come later.
 	ErrUnknown = errors.New("row store: outcome unknown")
-	// ErrCompacted means that the feed no longer holds all changes after the
-	// version.
+	// ErrCompacted means that the feed no longer has all of the changes.
 	ErrCompacted = errors.New("row store: history dropped")
 )
 
--- a/infra/rowstore/settle/settle.go
+++ b/infra/rowstore/settle/settle.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// minTimeout and maxTimeout bound the time without an answer after which
-	// the row is read; it is estimated from the times of earlier answers.
+	// minTimeout and maxTimeout bound the time-out of an answer, after which
+	// the row is read; it follows the times of earlier answers.
 	minTimeout = 60 * time.Millisecond
 	maxTimeout = 600 * time.Millisecond
-	// quickRead is the time within which an answered read shows that the store
-	// is not slow, so that an answer that is still missing is likely lost.
+	// quickRead is the time within which a read shows that the store is not
+	// slow, so that an answer that is still missing is likely lost.
 	quickRead = 100 * time.Millisecond
 	// readTimeout bounds a read of the row.
 	readTimeout = 500 * time.Millisecond
@@ -30,13 +30,12 @@
 // while the answer is missing.
 //
 // Failure guarded against: the store executes a transaction and its answer is
-// lost. Without the reads, the caller waits for a time-out that has to be long
-// enough for the slowest store, and a scheduler places nothing meanwhile. If the
-// row has another version than the condition requires, the transaction has been
-// executed or never will be, and the caller determines which from the row's
-// value. If the row has the required version, and the read was answered quickly,
-// another attempt is made: under the same condition at most one takes effect. A
-// store that answers reads slowly receives no further attempts.
+// lost. The caller would wait for a time-out that fits the slowest store, and a
+// scheduler would place nothing meanwhile. If the row has another version than
+// the condition requires, the transaction has been executed or never will be, and
+// the row's value shows which. Otherwise, if the read was quick, another attempt
+// is made: under the same condition at most one takes effect. A store that
+// answers reads slowly gets no further attempts.
 type Store struct {
 	rowstore.Store
 
@@ -44,12 +43,11 @@
 	times rtt.Estimator
 }
 
-// New returns a store that determines the outcome of transactions of inner.
+// New returns a Store for the transactions of inner.
 func New(inner rowstore.Store) *Store { return &Store{Store: inner} }
 
-// Apply implements rowstore.Store. A conflict names only the row of one
-// condition, so transactions with more or no conditions go to the inner store
-// directly.
+// Apply implements rowstore.Store. A conflict names only one row, so transactions
+// with several conditions, or none, go to the inner store directly.
 func (s *Store) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
 	if len(t.Conds) != 1 {
 		return s.Store.Apply(ctx, t)
@@ -66,7 +64,7 @@
 	reads   chan readResult
 	// pending counts the attempts without an answer.
 	pending int
-	// failure is the error of the failure attempts: ErrUnknown if any of them
+	// failure is the error of the failed attempts: ErrUnknown if any of them
 	// may still take effect.
 	failure error
 }
@@ -115,8 +113,8 @@
 	}
 }
 
-// uncertain reports whether err leaves the outcome of the transaction open: the
-// outcome of the attempt is unknown, or the attempt had no effect.
+// uncertain reports whether err leaves the transaction's outcome open: that of
+// the attempt is unknown, or the attempt had no effect.
 func uncertain(err error) bool {
 	return errors.Is(err, rowstore.ErrUnknown) || errors.Is(err, rowstore.ErrUnavailable)
 }
@@ -155,7 +153,7 @@
 	s.times.Observe(took)
 }
 
-// timeout returns the time without an answer after which the row is read.
+// timeout returns the time-out of an answer.
 func (s *Store) timeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/infra/rowstore/settle/settle_test.go
+++ b/infra/rowstore/settle/settle_test.go
@@ -57,7 +57,7 @@
 }
 
 // The transaction is delayed and would be applied seconds later: another attempt
-// takes effect, and the late one has no effect.
+// takes effect, and the late one doesn't.
 func TestRepeatOvertakesLateTransaction(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetLost(1, true)
@@ -92,8 +92,8 @@
 	})
 }
 
-// Guards against a call whose context ends while an attempt is in flight, and
-// which reports that nothing was done.
+// Guards against a call that ends with an attempt in flight and reports that
+// nothing was done.
 func TestCancelledCallHasUnknownOutcome(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
@@ -105,8 +105,8 @@
 	})
 }
 
-// The store refuses all calls: the caller receives the refusal, which proves that
-// nothing was done, without delay.
+// The store refuses all calls: the refusal, which proves that nothing was done,
+// is returned without delay.
 func TestRefusalIsReturnedAtOnce(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetFault("", memstore.Refused)
--- a/infra/rtt/rtt.go
+++ b/infra/rtt/rtt.go
@@ -6,8 +6,8 @@
 
 const (
 	// meanWeight and spreadWeight are the weights of a new answer in the mean
-	// and in the spread; spreads is the number of spreads by which the time-out
-	// exceeds the mean.
+	// and in the spread, spreads the number of spreads beyond the mean in a
+	// time-out.
 	meanWeight   = 1.0 / 8
 	spreadWeight = 1.0 / 4
 	spreads      = 4
@@ -20,8 +20,7 @@
 	mean, spread time.Duration
 }
 
-// Observe records the time of an answer to a call that the peer did not hold
-// back by design, as it does a long poll.
+// Observe records the time of an answer to a call that is no long poll.
 func (e *Estimator) Observe(took time.Duration) {
 	if !e.known {
 		e.known, e.mean, e.spread = true, took, took/2
--- a/infra/txn.go
+++ b/infra/txn.go
@@ -16,7 +16,7 @@
 // Failure guarded against: two keys that differ in a byte that isn't UTF-8,
 // such as two Idempotency-Keys of a customer, become one on their way to the
 // store, because JSON replaces such bytes. A request would then receive the
-// answer to another one. No key that fails CheckKey is ever sent or stored.
+// answer to another one. No such key is ever sent or stored.
 func CheckKey(key string) error {
 	if !utf8.ValidString(key) {
 		return eris.Wrapf(ErrInvalid, "key %q is not UTF-8", key)
@@ -25,8 +25,7 @@
 }
 
 // Validate returns ErrInvalid if t touches more than MaxTxnRows rows, names
-// one key twice in its conditions or twice in its changes, or has a key or an
-// operation ID that fails CheckKey.
+// one key twice in its conditions or twice in its changes, or fails CheckKey.
 func (t Txn) Validate() error {
 	if err := CheckKey(t.Op); err != nil {
 		return eris.Wrap(err, "operation ID")
--- a/infra/workerctl/workerctl.go
+++ b/infra/workerctl/workerctl.go
@@ -31,8 +31,7 @@
 	Ticket string
 }
 
-// HoldOrder renews the lease, acknowledges ends and requests the lists of
-// running and ended runs.
+// HoldOrder renews the lease, acknowledges ends and requests a Listing.
 type HoldOrder struct {
 	// Lease is the new end of the lease; 0 does not renew it.
 	Lease Clock
@@ -64,8 +63,8 @@
 
 // Control gives orders to one worker. Each call names the incarnation of the
 // worker for which it is meant. Errors: ErrGone, *RefusedError and ErrNotDone
-// prove that nothing was done and never will be. After ErrUnknown, the order may
-// have been executed, or may still be executed seconds later, after newer ones.
+// prove that nothing was done and never will be; ErrUnknown proves nothing: the
+// order may be executed seconds later, after newer ones.
 type Control interface {
 	Start(ctx context.Context, incarnation workload.WorkerID, o StartOrder) (Clock, error)
 	Stop(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, token uint64) (Clock, error)
@@ -93,11 +92,11 @@
 const (
 	// RefusedFence: a newer agent has shown a higher token.
 	RefusedFence Reason = "fence"
-	// RefusedOld: the run was stopped, has ended or was superseded on the worker.
+	// RefusedOld: the run was stopped, has ended or was superseded.
 	RefusedOld Reason = "old"
 	// RefusedLate: the lease of the order has expired.
 	RefusedLate Reason = "late"
-	// RefusedCapacity: the run does not fit into the worker's free capacity.
+	// RefusedCapacity: the run exceeds the free capacity.
 	RefusedCapacity Reason = "room"
 	// RefusedTicket: the permission is missing or too old.
 	RefusedTicket Reason = "ticket"
--- a/infra/workload_test.go
+++ b/infra/workload_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// send sends one request to the last entry and returns the status and the body.
+// send sends one request to the last entry.
 func (d *deployment) send(method, path, key, idempotency, body string) (int, string) {
 	request, err := http.NewRequestWithContext(d.ctx, method, d.front+path, strings.NewReader(body))
 	if err != nil {
@@ -117,7 +117,7 @@
 	return answer.StatusCode, string(text)
 }
 
-// sendUntil repeats a request sendUntil its answer has the status.
+// sendUntil repeats a request until its answer has the status.
 func (d *deployment) sendUntil(status int, method, path, key, idempotency, body string) string {
 	d.t.Helper()
 	got, text := 0, ""
@@ -130,8 +130,8 @@
 	return ""
 }
 
-// measure logs the store operations during do, background included, and their
-// number for each of the n operations in do.
+// measure logs the store operations of do, background included, in total and
+// for each of the n operations in do.
 func (d *deployment) measure(label string, n int, do func()) map[string]uint64 {
 	before, began := d.table.Operations(), time.Now()
 	objects := d.objects.Writes()
