--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -10,7 +10,7 @@
 )
 
 // ErrIdle is the cause of a context that ended because its peer sent no data.
-var ErrIdle = errors.New("peer sent no data within the idle time-out")
+var ErrIdle = errors.New("the peer has fallen silent")
 
 type key struct{}
 
--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -18,7 +18,7 @@
 
 var (
 	errTooLarge = errors.New("body greater than the protocol allows")
-	errProtocol = errors.New("answer does not follow the protocol")
+	errProtocol = errors.New("answer isn't of this protocol")
 )
 
 // client sends requests to one base URL.
--- a/infra/remote/table.go
+++ b/infra/remote/table.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	if len(answer.Versions) != len(txn.Puts) {
-		err := errors.New("number of versions differs from number of puts")
+		err := errors.New("another number of versions than of puts")
 		return nil, t.client.fail(exchange{step: step}, infra.ErrUnknown, err)
 	}
 	return answer.Versions, nil
