--- a/infra/race_test.go
+++ b/infra/race_test.go
@@ -10,7 +10,7 @@
 // synctest bubble on whichever thread polls them, all with the bubble's one
 // race context, without a lock. Two at once leave its stack of frames one too
 // short, and the next goroutine that a timer starts makes the detector read
-// from outside of it: SIGSEGV in StackDepotBase::Put, with a size of
-// 0xffffffff. One processor runs one of them at a time. The detector needs no
-// parallel threads to see accesses without order.
+// outside of the stack: SIGSEGV in StackDepotBase::Put, with a size of
+// 0xffffffff. One processor runs one timer at a time. The detector needs no
+// parallel threads to find unordered accesses.
 func init() { runtime.GOMAXPROCS(1) }
