--- a/backend/announce.go
+++ b/backend/announce.go
@@ -16,11 +16,11 @@
 // maxAnswer bounds an answer of the agent in bytes.
 const maxAnswer = 4 << 20
 
-// errRefused says that the agent did not take an announcement.
+// errRefused says that the agent did not accept an announcement.
 var errRefused = errors.New("backend: announcement refused")
 
-// Run announces the server until ctx ends. A failed announcement is repeated
-// at the next interval: the agent may be about to be replaced.
+// Run announces the server until ctx ends. It repeats a failed announcement
+// after Config.Interval: the agent may be about to be replaced.
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		next, err := s.Announce(ctx)
@@ -31,18 +31,19 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.kick:
+		case <-s.wake:
 		case <-time.After(next):
 		}
 	}
 }
 
-// Announce sends one announcement and carries the answer out. It returns when
-// the next one is due: at once when the agent's incarnation is new to us,
-// since that agent admits nothing before the list of what runs at that moment.
+// Announce sends one announcement and carries out the answer. It returns the
+// time until the next one is due: 0 if the agent's incarnation is new to the
+// server, since that agent admits no request before it has the list of requests
+// that run then.
 func (s *Server) Announce(ctx context.Context) (time.Duration, error) {
-	s.announcing.Lock()
-	defer s.announcing.Unlock()
+	s.announceMu.Lock()
+	defer s.announceMu.Unlock()
 	answer, problem, err := s.put(ctx, s.announcement())
 	if err != nil {
 		return 0, err
@@ -65,10 +66,10 @@
 	})
 }
 
-// next is when the announcement after answer a is due.
-func (s *Server) next(a Answer, changed bool) time.Duration {
+// next returns the time until the announcement after answer a is due.
+func (s *Server) next(a Answer, newAgent bool) time.Duration {
 	switch {
-	case changed:
+	case newAgent:
 		return 0
 	case a.Next > 0:
 		return a.Next.Std()
@@ -115,9 +116,9 @@
 	return resp.StatusCode, answer, nil
 }
 
-// tellLeaving repeats the DELETE until the agent says that it is safe to stop,
-// or until nothing runs here and the agent can't be reached.
-func (s *Server) tellLeaving(ctx context.Context) error {
+// announceLeaving repeats the DELETE until the agent answers that it is safe to
+// stop, or until no request runs here and the agent is unreachable.
+func (s *Server) announceLeaving(ctx context.Context) error {
 	for {
 		_, answer, err := s.exchange(ctx, http.MethodDelete, nil)
 		var status Status
@@ -131,7 +132,7 @@
 			return nil
 		}
 		select {
-		case s.kick <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 		select {
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -8,25 +8,26 @@
 	"persimmonrock.example/structs"
 )
 
-// maxVoid bounds the remembered void requests.
+// maxVoid bounds the number of void requests that a guard stores.
 const maxVoid = 16384
 
-// GuardCounters are what a guard counts.
+// GuardCounters are the counters of a guard: requests that ended, and refused
+// requests by reason.
 type GuardCounters struct {
 	Served, Fenced, Void, Duplicate, Full, Leaving atomic.Int64
 	// HighWater is the greatest number of requests that ran at once.
 	HighWater atomic.Int64
 }
 
-// Guard decides which requests a backend server runs and says which do. It is
-// what Server is built on; use it alone to guard something that is no
-// http.Handler. It is safe for use by many goroutines.
+// Guard decides which requests a backend server runs and lists those that run.
+// Server is built on it; use it alone for a server that is not an http.Handler.
+// It is safe for concurrent use.
 //
-// Failure guarded against: an agent that was killed, or a connection that was
-// cut, leaves a request in a socket's buffer; it is read seconds later and
-// runs beside the work that the new agent admitted. The guard holds because
-// both incarnations are compared, and void requests looked up, under the lock
-// under which the active requests are listed.
+// Failure guarded against: after an agent was killed or a connection was cut, a
+// request remains in a socket's buffer; the server reads it seconds later and
+// runs it beside the work that the new agent admitted. The guard prevents this
+// because it compares both incarnations, and looks up void requests, under the
+// lock under which it lists the active requests.
 type Guard struct {
 	// Counters may be read at any time.
 	Counters GuardCounters
@@ -48,7 +49,7 @@
 }
 
 // NewGuard returns a guard of a server process with the given incarnation and
-// number of slots. It refuses everything until an agent has answered.
+// number of slots. It refuses all requests until an agent has answered.
 func NewGuard(incarnation uint64, slots int) *Guard {
 	return &Guard{
 		slots: slots, incarnation: incarnation,
@@ -58,8 +59,8 @@
 	}
 }
 
-// Begin admits a request that arrived whole with both incarnations, or says
-// why it must not run. An admitted request ends by End.
+// Begin admits a request that arrived whole with both incarnations, or returns
+// the reason why it must not run. Each admitted request needs a call of End.
 func (g *Guard) Begin(id structs.RequestID, agent structs.Incarnation, server uint64) Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +90,7 @@
 	return ""
 }
 
-// End says that the request's work is over.
+// End records that the request's work has ended.
 func (g *Guard) End(id structs.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Fill puts the guard's state into the next announcement.
+// Fill returns a, the next announcement, with the guard's state.
 func (g *Guard) Fill(a Announcement) Announcement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,30 +116,30 @@
 	return a
 }
 
-// CarryOut fences earlier agents and remembers the void requests, in one step
-// as seen by Begin and Fill. It reports whether the agent's incarnation is
-// new: the next announcement is then due at once, since that agent admits
-// nothing before. An answer that an earlier agent gave is ignored, and so is
-// one of another agent that chose the incarnation which is accepted already.
-func (g *Guard) CarryOut(a Answer) (changed bool) {
+// CarryOut fences earlier agents and stores the void requests, atomically for
+// Begin and Fill. It reports whether the agent's incarnation is new: the next
+// announcement is then due at once, since that agent admits no request before.
+// It ignores an answer of an earlier agent, an answer of another agent that
+// chose the incarnation which is accepted already, and one with a lower number.
+func (g *Guard) CarryOut(a Answer) (newAgent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.accepted = true
-	changed = a.AgentIncarnation > g.agent
+	newAgent = a.AgentIncarnation > g.agent
 	same := a.AgentIncarnation == g.agent && a.AgentSession == g.session
-	if !changed && (!same || a.Number < g.answered) {
+	if !newAgent && (!same || a.Number < g.answered) {
 		return false
 	}
 	g.agent, g.session = a.AgentIncarnation, a.AgentSession
 	g.answered, g.peers = a.Number, a.Peers
 	for _, id := range a.Void {
-		g.remember(id)
+		g.addVoid(id)
 	}
-	return changed
+	return newAgent
 }
 
-// remember makes id void; g.mu is held.
-func (g *Guard) remember(id structs.RequestID) {
+// addVoid declares id void; the caller holds g.mu.
+func (g *Guard) addVoid(id structs.RequestID) {
 	if _, ok := g.void[id]; ok {
 		return
 	}
@@ -150,9 +151,9 @@
 	g.voidOrder = append(g.voidOrder, id)
 }
 
-// Supersede raises the incarnation above one that the agent knows, if no
-// announcement was ever accepted: no request can have been sent to this
-// process. It reports whether it did.
+// Supersede raises the incarnation above known, the highest one that the agent
+// has observed, if the agent has accepted no announcement: then no request can
+// have been sent to this process. It reports whether the incarnation changed.
 func (g *Guard) Supersede(known uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,7 +165,7 @@
 	return true
 }
 
-// Leave refuses new requests from now on.
+// Leave makes the guard refuse all new requests.
 func (g *Guard) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,7 +196,7 @@
 	}
 }
 
-// closeIdle wakes AwaitIdle; g.mu is held.
+// closeIdle lets AwaitIdle return; the caller holds g.mu.
 func (g *Guard) closeIdle() {
 	if !g.Idle() {
 		close(g.idle)
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -8,22 +8,22 @@
 	HeaderRequest = "Persimmonrock-Request"
 	// HeaderAgent carries the agent's incarnation.
 	HeaderAgent = "Persimmonrock-Agent-Incarnation"
-	// HeaderBackend carries the incarnation of the server that is meant.
+	// HeaderBackend carries the incarnation of the server to which it is sent.
 	HeaderBackend = "Persimmonrock-Backend-Incarnation"
-	// HeaderCustomer carries the customer that the request is for.
+	// HeaderCustomer carries the customer for which the request runs.
 	HeaderCustomer = "Persimmonrock-Customer"
 	// HeaderRefused is set on a refusal by the server's guard, to a Refusal.
 	HeaderRefused = "Persimmonrock-Refused"
 )
 
-// Refusal is why the guard of a backend server did not run a request.
+// Refusal is the reason why a backend server's guard did not run a request.
 type Refusal string
 
 // The guard's refusals. All but RefusedActive prove that this request has not
 // run and never will on this server.
 const (
-	// RefusedFenced: the request comes from, or is meant for, an incarnation
-	// other than the present one.
+	// RefusedFenced: the request comes from, or was sent to, an incarnation
+	// other than the current one.
 	RefusedFenced Refusal = "fenced"
 	// RefusedVoid: the agent has declared the request void before it arrived.
 	RefusedVoid Refusal = "void"
@@ -31,7 +31,7 @@
 	RefusedActive Refusal = "active"
 	// RefusedLeaving: the server is leaving.
 	RefusedLeaving Refusal = "leaving"
-	// RefusedFull: all slots are taken.
+	// RefusedFull: all slots are in use.
 	RefusedFull Refusal = "full"
 	// RefusedBody: the request's body did not arrive whole.
 	RefusedBody Refusal = "body"
@@ -53,45 +53,45 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Sequence rises with each announcement of one incarnation.
 	Sequence uint64 `json:"sequence"`
-	// AgentIncarnation is the one that the server accepts requests from.
+	// AgentIncarnation is the agent incarnation whose requests are accepted.
 	AgentIncarnation structs.Incarnation `json:"agent_incarnation"`
-	// AgentSession repeats that of the agent with this incarnation.
+	// AgentSession repeats the session of the agent with this incarnation.
 	AgentSession string `json:"agent_session,omitempty"`
-	// Peers repeats those of the last answer.
+	// Peers repeats the peers of the last answer.
 	Peers map[string]int `json:"peers,omitempty"`
-	// Answered is the number of the last answer that the server had carried
-	// out before it made the list Active.
+	// Answered is the number of the last answer that the server had carried out
+	// when it listed Active.
 	Answered uint64 `json:"answered"`
 	// Active are the IDs of all requests that run.
 	Active []structs.RequestID `json:"active"`
-	// Leaving asks for no new requests.
+	// Leaving asks the agent to send no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
 // Answer is the agent's answer to an announcement.
 type Answer struct {
-	// AgentIncarnation is the only one that the server accepts from now on.
+	// AgentIncarnation is the only agent incarnation to accept requests from.
 	AgentIncarnation structs.Incarnation `json:"agent_incarnation"`
-	// AgentSession is unique to the agent's process. It tells an agent that a
-	// server has accepted it, and not another that chose the same number.
+	// AgentSession is unique to the agent's process. It distinguishes the agent
+	// that a server has accepted from another with the same incarnation.
 	AgentSession string `json:"agent_session"`
 	// Number rises with each answer.
 	Number uint64 `json:"number"`
 	// Void are requests that the server must refuse if they arrive later.
 	Void []structs.RequestID `json:"void,omitempty"`
-	// Peers are the other servers of the instance, by name, with their slots.
-	// A new agent learns from them whom it has to hear first.
+	// Peers are the other servers of the instance, by name, with their slots. A
+	// new agent reserves the slots of those whose announcements it still lacks.
 	Peers map[string]int `json:"peers,omitempty"`
 	// Ready says that the agent sends requests to the server.
 	Ready bool `json:"ready"`
-	// Next is when the agent expects the next announcement.
+	// Next is the time until the agent expects the next announcement.
 	Next structs.Duration `json:"next"`
 }
 
 // Status is the answer to GET and DELETE of /v1/backends/{name}.
 type Status struct {
 	Leaving bool `json:"leaving"`
-	// InUse is the number of slots that are taken.
+	// InUse is the number of slots in use.
 	InUse int `json:"in_use"`
 	// Safe says that the server is leaving and nothing runs on it.
 	Safe bool `json:"safe"`
@@ -100,7 +100,7 @@
 // Problem is the body of an error of the announcement API.
 type Problem struct {
 	Detail string `json:"detail"`
-	// Incarnation is the highest incarnation that the agent has seen under
-	// the name, where the announced one was lower.
+	// Incarnation is the highest incarnation that the agent has observed under
+	// the name, if the announced one was lower.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
--- a/backend/server.go
+++ b/backend/server.go
@@ -16,9 +16,9 @@
 // Config describes one backend server. Agent, Name, Service, Address and Slots
 // are required.
 type Config struct {
-	// Agent is the base URL of the announce API of the agent beside it.
+	// Agent is the base URL of the announcement API of the instance's agent.
 	Agent string
-	// Name identifies the server on its instance, over restarts.
+	// Name identifies the server on its instance, across restarts.
 	Name    string
 	Service structs.Service
 	// Address is the server's own base URL and CallPath the path of calls,
@@ -32,23 +32,23 @@
 	MemoryBytes int64
 	// MaxBody bounds a request's body in bytes; the default is 16 MiB.
 	MaxBody int64
-	// Interval between announcements until the agent says otherwise; the
-	// default is one second.
+	// Interval is the time between announcements unless the agent sets another;
+	// the default is one second.
 	Interval time.Duration
-	// Incarnation must be above that of the process before under this name.
-	// The default is taken from the clock and corrected by the agent.
+	// Incarnation must be above that of the previous process with this name.
+	// The default is the clock's time, raised if the agent knows a higher one.
 	Incarnation uint64
 	// HTTP is the client for announcements.
 	HTTP *http.Client
 }
 
-// Limits of a server.
+// Defaults of a Config.
 const (
 	defaultMaxBody  = 16 << 20
 	defaultInterval = time.Second
 )
 
-// Counters are what a server counts beside its guard.
+// Counters are the counters of a server outside its guard.
 type Counters struct {
 	CutBody, Announced, AnnounceFailed atomic.Int64
 }
@@ -60,12 +60,12 @@
 	Counters Counters
 	config   Config
 	handler  http.Handler
-	kick     chan struct{}
-	// announcing is held over one exchange with the agent.
-	announcing sync.Mutex
+	wake     chan struct{}
+	// announceMu is held during an announcement and its answer.
+	announceMu sync.Mutex
 }
 
-// New returns a guard around handler. Run announces it.
+// New returns a server that guards handler. Run announces the server.
 func New(c Config, handler http.Handler) *Server {
 	if c.Connections == 0 {
 		c.Connections = c.Slots
@@ -86,13 +86,13 @@
 		c.HTTP = &http.Client{Timeout: 5 * time.Second}
 	}
 	return &Server{
-		Guard: NewGuard(c.Incarnation, c.Slots), config: c, handler: handler, kick: make(chan struct{}, 1),
+		Guard: NewGuard(c.Incarnation, c.Slots), config: c, handler: handler, wake: make(chan struct{}, 1),
 	}
 }
 
-// ServeHTTP runs the request unless the guard refuses it. The body is read
-// whole first, so that a request that was cut off on its way never runs. A
-// request counts as active until the handler has returned.
+// ServeHTTP runs the request unless the guard refuses it. It first reads the
+// whole body, so that a truncated request never runs. A request counts as
+// active until the handler has returned.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := structs.RequestID(r.Header.Get(HeaderRequest))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.config.MaxBody))
@@ -110,7 +110,7 @@
 	defer s.Guard.End(id)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	w.Header().Set(HeaderRequest, string(id))
-	s.handler.ServeHTTP(&heldEnd{ResponseWriter: w}, r)
+	s.handler.ServeHTTP(&chunkedWriter{ResponseWriter: w}, r)
 }
 
 func refuse(w http.ResponseWriter, id structs.RequestID, why Refusal) {
@@ -119,42 +119,42 @@
 	http.Error(w, "refused: "+string(why), http.StatusConflict)
 }
 
-// heldEnd removes Content-Length, so that a large answer ends only when the
-// handler has returned, and HeaderRefused, which is the guard's own.
+// chunkedWriter removes Content-Length, so that a large answer ends only when
+// the handler has returned, and HeaderRefused, which only the guard may set.
 //
-// Failure guarded against: a handler sends its whole body and works on; the
-// agent sees a whole answer and frees the slot under running work. The last
-// chunk is written by net/http after the handler has returned.
-type heldEnd struct {
+// Failure guarded against: a handler sends its whole body and continues to
+// work; the agent reads a complete answer and frees the slot although the work
+// runs. net/http writes the last chunk after the handler has returned.
+type chunkedWriter struct {
 	http.ResponseWriter
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (h *heldEnd) WriteHeader(status int) {
+func (h *chunkedWriter) WriteHeader(status int) {
 	h.strip()
 	h.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (h *heldEnd) Write(p []byte) (int, error) {
+func (h *chunkedWriter) Write(p []byte) (int, error) {
 	h.strip()
 	return h.ResponseWriter.Write(p)
 }
 
-func (h *heldEnd) strip() {
+func (h *chunkedWriter) strip() {
 	h.Header().Del("Content-Length")
 	h.Header().Del(HeaderRefused)
 }
 
 // Unwrap serves http.ResponseController.
-func (h *heldEnd) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+func (h *chunkedWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// Leave refuses new requests at once, tells the agent, and returns when no
-// request runs any more and the agent has agreed, or with ctx's error. A dead
-// agent does not hold it up once nothing runs.
+// Leave refuses new requests at once, notifies the agent, and returns when no
+// request runs and the agent has agreed, or with ctx's error. An unreachable
+// agent does not delay it once no request runs.
 func (s *Server) Leave(ctx context.Context) error {
 	s.Guard.Leave()
-	if err := s.tellLeaving(ctx); err != nil {
+	if err := s.announceLeaving(ctx); err != nil {
 		return err
 	}
 	return s.Guard.AwaitIdle(ctx)
