--- a/report/comparison/plot.go
+++ b/report/comparison/plot.go
@@ -20,9 +20,9 @@
 	boxWidth    = 1 * vg.Centimeter
 )
 
-// panel is one plot: a box over all seeds for each policy.
+// panel is one box plot, with a box over all seeds for each policy.
 type panel struct {
-	title, unit, figure string
+	title, unit, metric string
 }
 
 func panels() []panel {
@@ -34,8 +34,8 @@
 	}
 }
 
-// drawPlots writes one SVG with all panels below each other.
-func drawPlots(all []outcome, path string) error {
+// drawPlots writes one SVG file with all panels, one below the other.
+func drawPlots(all []seedResults, path string) error {
 	ps := panels()
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(ps)))
 	dc := draw.New(canvas)
@@ -59,7 +59,7 @@
 	return eris.Wrapf(err, "write %s", path)
 }
 
-func drawPanel(all []outcome, p panel) (*plot.Plot, error) {
+func drawPanel(all []seedResults, p panel) (*plot.Plot, error) {
 	out := plot.New()
 	out.Title.Text = fmt.Sprintf("%s (%d seeds)", p.title, len(all))
 	out.Y.Label.Text = p.unit
@@ -67,10 +67,10 @@
 	var names []string
 	for i, c := range contenders() {
 		names = append(names, c.name)
-		values := plotter.Values(figureNamed(p.figure).values(all, i))
+		values := plotter.Values(metricNamed(p.metric).values(all, i))
 		box, err := plotter.NewBoxPlot(boxWidth, float64(i), values)
 		if err != nil {
-			return nil, eris.Wrapf(err, "plot %s", p.figure)
+			return nil, eris.Wrapf(err, "plot %s", p.metric)
 		}
 		out.Add(box)
 	}
@@ -78,11 +78,11 @@
 	return out, nil
 }
 
-func figureNamed(name string) figure {
-	for _, f := range figures() {
-		if f.name == name {
-			return f
+func metricNamed(name string) metric {
+	for _, m := range metrics() {
+		if m.name == name {
+			return m
 		}
 	}
-	return figures()[0]
+	return metrics()[0]
 }
--- a/report/comparison/run.go
+++ b/report/comparison/run.go
@@ -1,5 +1,5 @@
-// Package comparison runs policies side by side on the same seeds and reports
-// median and worst of each figure.
+// Package comparison runs several policies on the same seeds and reports the
+// median and the worst value of each metric.
 package comparison
 
 import (
@@ -21,58 +21,59 @@
 	Load float64
 	// NoBatch leaves out all batch jobs and the flood.
 	NoBatch bool
-	// Docs is where files are written; "" writes none.
+	// Docs is the directory for written files; "" writes none.
 	Docs string
 }
 
-// build makes a policy for a fleet.
-type build func(instances int, contracts map[structs.Customer]structs.Contract) policy.Policy
+// policyBuilder makes a policy for a fleet.
+type policyBuilder func(instances int, contracts map[structs.Customer]structs.Contract) policy.Policy
 
 type contender struct {
-	name  string
-	build build
+	name      string
+	newPolicy policyBuilder
 }
 
-// batchPart is the part of the slots that the static split gives to batch
+// batchShare is the share of the slots that the static split gives to batch
 // tasks; the urgent load of the workload needs about the other half.
-const batchPart = 0.5
+const batchShare = 0.5
 
 func contenders() []contender {
 	type contracts = map[structs.Customer]structs.Contract
 	return []contender{
 		{"persimmonrock", func(n int, c contracts) policy.Policy { return policy.NewPredictive(n, c) }},
 		{"least loaded", func(int, contracts) policy.Policy { return baseline.LeastLoaded{} }},
-		{"static split", func(int, contracts) policy.Policy { return baseline.StaticSplit{Batch: batchPart} }},
+		{"static split", func(int, contracts) policy.Policy { return baseline.StaticSplit{Batch: batchShare} }},
 		{"threshold eviction", func(int, contracts) policy.Policy { return baseline.NewThresholdEviction() }},
 	}
 }
 
-// outcome is one seed's results: without and with the flood, per contender.
-type outcome struct {
+// seedResults holds the results of one seed without and with the flood, in the
+// order of the contenders.
+type seedResults struct {
 	plain, flood []*model.Result
 }
 
-func runAll(o Options) []outcome {
-	outcomes := make([]outcome, o.Seeds)
-	work := make(chan int)
+func runAll(o Options) []seedResults {
+	results := make([]seedResults, o.Seeds)
+	indices := make(chan int)
 	var wg sync.WaitGroup
 	for range max(o.Parallel, 1) {
 		wg.Go(func() {
-			for i := range work {
-				outcomes[i] = runSeed(uint64(i+1), o)
+			for i := range indices {
+				results[i] = runSeed(uint64(i+1), o)
 			}
 		})
 	}
-	for i := range outcomes {
-		work <- i
+	for i := range results {
+		indices <- i
 	}
-	close(work)
+	close(indices)
 	wg.Wait()
-	return outcomes
+	return results
 }
 
-func runSeed(seed uint64, o Options) outcome {
-	var out outcome
+func runSeed(seed uint64, o Options) seedResults {
+	var out seedResults
 	for _, flood := range []bool{false, true} {
 		if flood && o.NoBatch {
 			out.flood = out.plain
@@ -80,7 +81,7 @@
 		}
 		w := model.Generate(model.Options{Seed: seed, Duration: o.Duration, Load: o.Load, NoBatch: o.NoBatch, Flood: flood})
 		for _, c := range contenders() {
-			r := model.Run(w, c.build)
+			r := model.Run(w, c.newPolicy)
 			if flood {
 				out.flood = append(out.flood, r)
 			} else {
--- a/report/comparison/table.go
+++ b/report/comparison/table.go
@@ -8,22 +8,22 @@
 	"persimmonrock.example/decide/model"
 )
 
-// figure is one row of the table.
-type figure struct {
+// metric is one row of the table; value computes it for one seed.
+type metric struct {
 	name   string
 	format string
-	// higherBetter decides which end is the worst.
+	// higherBetter means that the lowest value is the worst.
 	higherBetter bool
-	of           func(plain, flood *model.Result) float64
+	value        func(plain, flood *model.Result) float64
 }
 
-func millis(q float64) func(plain, flood *model.Result) float64 {
+func quantileMillis(q float64) func(plain, flood *model.Result) float64 {
 	return func(r, _ *model.Result) float64 { return float64(r.Quantile(q).Milliseconds()) }
 }
 
-// floodP99 is the greatest relative rise of another customer's p99 by the
+// floodP99Rise is the greatest relative rise of another customer's p99 by the
 // flood, in percent.
-func floodP99(plain, flood *model.Result) float64 {
+func floodP99Rise(plain, flood *model.Result) float64 {
 	worst := -100.0
 	for c := 1; c < model.Customers; c++ {
 		a, b := plain.CustomerQuantile(c, 99), flood.CustomerQuantile(c, 99)
@@ -32,9 +32,9 @@
 	return worst
 }
 
-// floodWork is the greatest relative loss of another customer's batch work by
-// the flood, in percent.
-func floodWork(plain, flood *model.Result) float64 {
+// floodWorkLoss is the greatest relative loss of another customer's batch work
+// by the flood, in percent.
+func floodWorkLoss(plain, flood *model.Result) float64 {
 	worst := -100.0
 	for c := 1; c < model.Customers; c++ {
 		worst = max(worst, 100*(1-flood.CustomerWork(c)/plain.CustomerWork(c)))
@@ -42,12 +42,12 @@
 	return worst
 }
 
-func figures() []figure {
+func metrics() []metric {
 	type res = *model.Result
-	return []figure{
-		{"urgent p50, ms", "%.0f", false, millis(50)},
-		{"urgent p99, ms", "%.0f", false, millis(99)},
-		{"urgent p99.9, ms", "%.0f", false, millis(99.9)},
+	return []metric{
+		{"urgent p50, ms", "%.0f", false, quantileMillis(50)},
+		{"urgent p99, ms", "%.0f", false, quantileMillis(99)},
+		{"urgent p99.9, ms", "%.0f", false, quantileMillis(99.9)},
 		{"urgent in time, %", "%.3f", true, func(r, _ res) float64 { return 100 * r.InTimeShare() }},
 		{"urgent without answer", "%.0f", false, func(r, _ res) float64 { return float64(r.Unanswered) }},
 		{"attempts a call", "%.3f", false, func(r, _ res) float64 { return r.AttemptsPerCall() }},
@@ -62,17 +62,17 @@
 		{"starts refused", "%.0f", false, func(r, _ res) float64 { return float64(r.NotStarted) }},
 		{"jobs parked", "%.0f", false, func(r, _ res) float64 { return float64(r.Parked) }},
 		{"Jain's index", "%.3f", true, func(r, _ res) float64 { return r.Jain }},
-		{"flood: rise of another's p99, %", "%.1f", false, floodP99},
-		{"flood: loss of another's batch work, %", "%.1f", false, floodWork},
+		{"flood: rise of another's p99, %", "%.1f", false, floodP99Rise},
+		{"flood: loss of another's batch work, %", "%.1f", false, floodWorkLoss},
 		{"instance over its limit", "%.0f", false, func(r, f res) float64 { return float64(r.Broken + f.Broken) }},
 	}
 }
 
-// values returns one value a seed.
-func (f figure) values(all []outcome, contender int) []float64 {
+// values returns one value per seed.
+func (m metric) values(all []seedResults, contender int) []float64 {
 	var vs []float64
 	for _, o := range all {
-		vs = append(vs, f.of(o.plain[contender], o.flood[contender]))
+		vs = append(vs, m.value(o.plain[contender], o.flood[contender]))
 	}
 	return vs
 }
@@ -86,26 +86,26 @@
 	return (s[n/2-1] + s[n/2]) / 2
 }
 
-func (f figure) worst(vs []float64) float64 {
-	if f.higherBetter {
+func (m metric) worst(vs []float64) float64 {
+	if m.higherBetter {
 		return slices.Min(vs)
 	}
 	return slices.Max(vs)
 }
 
-// table is a Markdown table: median and, in brackets, the worst seed.
-func table(all []outcome) string {
+// table returns a Markdown table of the median and, in brackets, the worst seed.
+func table(all []seedResults) string {
 	var b strings.Builder
 	b.WriteString("| figure: median (worst) |")
 	for _, c := range contenders() {
 		fmt.Fprintf(&b, " %s |", c.name)
 	}
 	b.WriteString("\n|---|" + strings.Repeat("---:|", len(contenders())) + "\n")
-	for _, f := range figures() {
-		fmt.Fprintf(&b, "| %s |", f.name)
+	for _, m := range metrics() {
+		fmt.Fprintf(&b, "| %s |", m.name)
 		for i := range contenders() {
-			vs := f.values(all, i)
-			fmt.Fprintf(&b, " "+f.format+" ("+f.format+") |", median(vs), f.worst(vs))
+			vs := m.values(all, i)
+			fmt.Fprintf(&b, " "+m.format+" ("+m.format+") |", median(vs), m.worst(vs))
 		}
 		b.WriteString("\n")
 	}
--- a/report/comparison/write.go
+++ b/report/comparison/write.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Run plays all seeds, writes the table into MEASUREMENTS.md and the plots
-// beside it, and returns the table.
+// Run simulates all seeds, writes the table into MEASUREMENTS.md and the plots
+// into the directory plots beside it, and returns the table.
 func Run(o Options) (string, error) {
 	all := runAll(o)
 	out := fmt.Sprintf("%d seeds (1 to %d), %s of virtual time each, load %.1f.\n\n%s",
@@ -25,8 +25,8 @@
 	return out, replaceSection(filepath.Join(o.Docs, "MEASUREMENTS.md"), name, out)
 }
 
-// replaceSection puts text between the comments that mark the named section;
-// a file without it gets one at its end.
+// replaceSection writes text between the comments that mark the named section.
+// It appends the section to a file without one.
 func replaceSection(path, name, text string) error {
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->\n"
 	old, err := os.ReadFile(path)
