--- a/report/cmd/compare/main.go
+++ b/report/cmd/compare/main.go
@@ -1,5 +1,5 @@
-// Command compare plays the same workloads against the project's policy and
-// three plain ones, and writes the table and the plots of
+// Command compare simulates the same workloads with the project's policy and
+// three baselines, and writes the table and the plots of
 // docs/MEASUREMENTS.md.
 //
 //	go run ./report/cmd/compare
@@ -16,10 +16,10 @@
 
 func main() {
 	var o comparison.Options
-	flag.IntVar(&o.Seeds, "seeds", 24, "number of seeds, from 1 on")
+	flag.IntVar(&o.Seeds, "seeds", 24, "number of seeds, counted from 1")
 	flag.DurationVar(&o.Duration, "duration", 10*time.Minute, "virtual time of each run")
 	flag.IntVar(&o.Parallel, "parallel", 2, "runs at once")
-	flag.Float64Var(&o.Load, "load", 1, "multiplies the rate of batch jobs")
+	flag.Float64Var(&o.Load, "load", 1, "factor of the rate of batch jobs")
 	flag.BoolVar(&o.NoBatch, "nobatch", false, "leave out all batch jobs and the flood")
 	flag.StringVar(&o.Docs, "docs", "docs", "directory for the table and plots; empty writes none")
 	flag.Parse()
