--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Cause is what a stretch of a job's time was spent on.
+// Cause is a category to which a part of a job's time is attributed.
 type Cause uint8
 
 // The causes.
 const (
-	// Working at full pace, as long as the step's tasks in the middle.
+	// Working is the time at full pace, up to the median of the step's tasks.
 	Working Cause = iota
-	// Longest is what the slowest task worked beyond those in the middle.
-	Longest
-	// Waiting for a worker, before the first run of the task.
+	// Straggling is the work of the slowest task beyond the median of its step.
+	Straggling
+	// Waiting is the time without a worker before the first run of the task.
 	Waiting
 	// Paced is the time lost to a pace below full.
 	Paced
-	// Again is the time of runs whose work was lost, and the wait for a worker
-	// after any run that did not end the task.
-	Again
-	// Recording is the time from a decision to the start at the worker, and
-	// from the last end to the end of the job.
+	// Repeating is the time of runs whose work was lost, and the wait for a
+	// worker after any run that did not end the task.
+	Repeating
+	// Recording is the time from a placement decision to the start at the
+	// worker, and from the last end of a task to the end of the job.
 	Recording
 	causes
 )
 
-// Name is the cause in words.
+// Name returns the cause as shown in the tables.
 func (c Cause) Name() string {
-	return [causes]string{"working", "longest task of a step", "waiting for a worker", "paced down", "runs again", "recording"}[c]
+	return [causes]string{"working", "slowest task of a step", "waiting for a worker", "paced down", "repeated runs", "recording"}[c]
 }
 
-// Class is how a job ended by the objective that was known at its start.
+// Class rates a completed job by the objective that was known at its start.
 type Class uint8
 
 // The classes. Late jobs took up to three times their objective.
@@ -43,54 +43,56 @@
 	classes
 )
 
-// Name is the class in words.
+// Name returns the class as shown in the tables.
 func (c Class) Name() string {
 	return [classes]string{"in time", "late", "overdue"}[c]
 }
 
-// lateFactor is the multiple of its objective within which a job is of some
-// use to its client.
+// lateFactor is the multiple of its objective up to which a job is still of
+// some use to its client.
 const lateFactor = 3
 
-// Sum is the time of some jobs by cause, in seconds.
+// Sum is the time of a set of jobs by cause, in seconds.
 type Sum struct {
 	Jobs    int
 	Seconds [causes]float64
-	// Core is the same, weighed by the cores that the task asks for.
-	Core [causes]float64
+	// CoreSeconds is Seconds weighted by the cores that each task requests.
+	CoreSeconds [causes]float64
 }
 
-// Report is where the time of the jobs with filling work went.
+// Report sums up the time of the jobs that have filling work.
 type Report struct {
 	ByClass [classes]Sum
-	// ByMoment sums the jobs by when they were known, momentLength long each.
-	ByMoment []Sum
-	// Unfinished are the jobs that had not ended, Failed and Cancelled those
-	// that ended so.
+	// ByInterval sums the jobs by the time at which they became known, in
+	// intervals of intervalLength.
+	ByInterval []Sum
+	// Unfinished counts the jobs that had not ended; Failed and Cancelled count
+	// those that ended in these states.
 	Unfinished, Failed, Cancelled int
-	// Over is how long serving tasks were over their targets, in seconds,
-	// OverFilled that of it with filling work beside them.
-	Over, OverFilled float64
-	// LeftOut counts the lines that the processes left out, by message: what
-	// they would have told is missing from the figures.
+	// OverTarget is the time for which serving tasks exceeded their targets, in
+	// seconds; OverTargetFilled is the part of it with filling work beside
+	// them.
+	OverTarget, OverTargetFilled float64
+	// LeftOut counts the lines that the processes left out of their logs, by
+	// message. The figures lack the content of these lines.
 	LeftOut map[string]int
-	// Untied are the processes whose lines stand where their wall clocks put
-	// them, since no other process tells of what they tell.
+	// Untied lists the processes whose lines are placed by their wall clocks
+	// alone, since no event links them to another process.
 	Untied []string
 }
 
 const (
-	// momentLength is the length of a moment in milliseconds.
-	momentLength = 10000
-	// maxMoments bounds the moments, whatever times the lines bear; what is
-	// later counts in the last.
-	maxMoments = 1000
+	// intervalLength is in milliseconds.
+	intervalLength = 10000
+	// maxIntervals bounds the memory whatever times the lines carry; later jobs
+	// count in the last interval.
+	maxIntervals = 1000
 )
 
-// Report works the log out.
+// Report evaluates the log.
 func (l *Log) Report() Report {
 	h := l.history()
-	r := Report{Over: h.over / 1000, OverFilled: h.overFilled / 1000, LeftOut: h.leftOut, Untied: h.untied}
+	r := Report{OverTarget: h.overTarget / 1000, OverTargetFilled: h.overTargetFilled / 1000, LeftOut: h.leftOut, Untied: h.untied}
 	for _, j := range h.jobs {
 		if !j.fills || j.known == 0 {
 			continue
@@ -111,7 +113,7 @@
 
 func (r *Report) add(h *history, j *job) {
 	var s Sum
-	h.follow(j, &s)
+	h.addCriticalPath(j, &s)
 	class := Overdue
 	switch took := j.ended - j.known; {
 	case took <= j.objective:
@@ -119,36 +121,37 @@
 	case took <= lateFactor*j.objective:
 		class = Late
 	}
-	r.ByClass[class].join(s)
-	moment := int(min(maxMoments-1, max(0, (j.known-h.first)/momentLength)))
-	for len(r.ByMoment) <= moment {
-		r.ByMoment = append(r.ByMoment, Sum{})
+	r.ByClass[class].merge(s)
+	interval := int(min(maxIntervals-1, max(0, (j.known-h.first)/intervalLength)))
+	for len(r.ByInterval) <= interval {
+		r.ByInterval = append(r.ByInterval, Sum{})
 	}
-	r.ByMoment[moment].join(s)
+	r.ByInterval[interval].merge(s)
 }
 
-func (s *Sum) join(o Sum) {
+func (s *Sum) merge(o Sum) {
 	s.Jobs++
 	for c := range o.Seconds {
 		s.Seconds[c] += o.Seconds[c]
-		s.Core[c] += o.Core[c]
+		s.CoreSeconds[c] += o.CoreSeconds[c]
 	}
 }
 
-// add gives milliseconds of a task that asks for cpu thousandths of a core to
-// a cause.
+// add attributes milliseconds of a task that requests cpu thousandths of a core
+// to a cause.
 func (s *Sum) add(c Cause, milliseconds, cpu float64) {
 	if milliseconds <= 0 {
 		return
 	}
 	s.Seconds[c] += milliseconds / 1000
-	s.Core[c] += milliseconds / 1000 * cpu / 1000
+	s.CoreSeconds[c] += milliseconds / 1000 * cpu / 1000
 }
 
-// follow adds the time of j, from its end back along the slowest tasks. Where a
-// line's time is later than that of its effect, the task's own end still bounds
-// the next step back, so that each task is met once at most.
-func (h *history) follow(j *job, s *Sum) {
+// addCriticalPath adds the time of j, from its end back along the slowest
+// tasks. Where a line's time is later than that of its effect, the task's own
+// end still bounds the next step back, so that each task is visited at most
+// once.
+func (h *history) addCriticalPath(j *job, s *Sum) {
 	before := math.Inf(1)
 	for {
 		t := j.lastTask(before)
@@ -158,13 +161,13 @@
 		if math.IsInf(before, 1) {
 			s.add(Recording, j.ended-t.end(), t.last().cpu)
 		}
-		opened := j.opened(t)
-		h.followTask(j, t, opened, s)
+		ready := j.stepReady(t)
+		h.addTask(j, t, ready, s)
 		before = min(t.firstPlaced(), math.Nextafter(t.end(), 0))
 	}
 }
 
-// lastTask is the task that was done last before a time.
+// lastTask returns the task with the latest end at or before a time.
 func (j *job) lastTask(before float64) *task {
 	var last *task
 	for _, t := range j.tasks {
@@ -175,8 +178,8 @@
 	return last
 }
 
-// firstPlaced is when the first run was placed of which that is known; a
-// process that was killed took its last lines with it.
+// firstPlaced returns the first placement time in the log, or else the start of
+// the last run: a killed process loses its last log lines.
 func (t *task) firstPlaced() float64 {
 	for _, r := range t.runs {
 		if r.placed > 0 {
@@ -186,36 +189,37 @@
 	return t.last().started
 }
 
-// opened is when the turn of a task's step had come: at the last end of
-// another step before any of its tasks was placed, or at the start.
-func (j *job) opened(t *task) float64 {
+// stepReady returns the time from which the step of t could run: the last end
+// of a task of another step before any task of this step was placed, or the
+// time at which the job became known.
+func (j *job) stepReady(t *task) float64 {
 	first := math.Inf(1)
 	for _, o := range j.tasks {
 		if o.step == t.step && o.firstPlaced() > 0 {
 			first = min(first, o.firstPlaced())
 		}
 	}
-	opened := j.known
+	ready := j.known
 	for _, o := range j.tasks {
 		if end := o.end(); o.step != t.step && end <= first {
-			opened = max(opened, end)
+			ready = max(ready, end)
 		}
 	}
-	return opened
+	return ready
 }
 
-func (h *history) followTask(j *job, t *task, opened float64, s *Sum) {
+func (h *history) addTask(j *job, t *task, ready float64, s *Sum) {
 	cpu := t.last().cpu
-	s.add(Waiting, t.firstPlaced()-opened, cpu)
-	free := t.firstPlaced()
+	s.add(Waiting, t.firstPlaced()-ready, cpu)
+	previousEnd := t.firstPlaced()
 	useful := 0.0
 	for _, r := range t.runs {
 		if r.placed == 0 || r.started == 0 || r.ended == 0 {
-			// A run that never began, or of which only one side told.
+			// The run never started, or the log has the lines of one side only.
 			continue
 		}
-		s.add(Again, r.placed-free, cpu)
-		free = r.ended
+		s.add(Repeating, r.placed-previousEnd, cpu)
+		previousEnd = r.ended
 		s.add(Recording, r.started-r.placed, cpu)
 		worked := h.worked(j.id, r, r.started, r.ended)
 		s.add(Paced, r.ended-r.started-worked, cpu)
@@ -223,18 +227,18 @@
 			useful += worked
 			continue
 		}
-		s.add(Again, worked, cpu)
+		s.add(Repeating, worked, cpu)
 	}
-	usual := min(useful, h.usual(j, t.step))
-	s.add(Working, usual, cpu)
-	s.add(Longest, useful-usual, cpu)
+	upToMedian := min(useful, h.medianWork(j, t.step))
+	s.add(Working, upToMedian, cpu)
+	s.add(Straggling, useful-upToMedian, cpu)
 }
 
-// useful reports whether what the run worked brought its task on.
+// useful reports whether the work of the run contributed to its task.
 func (r *run) useful() bool { return r.how == "done" || r.saved }
 
-// useful is how long the runs of the task worked to its end.
-func (h *history) useful(j *job, t *task) float64 {
+// usefulWork returns the useful working time of all runs of the task.
+func (h *history) usefulWork(j *job, t *task) float64 {
 	sum := 0.0
 	for _, r := range t.runs {
 		if r.started > 0 && r.ended > 0 && r.useful() {
@@ -244,12 +248,12 @@
 	return sum
 }
 
-// usual is how long the tasks of a step worked in the middle.
-func (h *history) usual(j *job, step int) float64 {
+// medianWork returns the median useful working time of a step's tasks.
+func (h *history) medianWork(j *job, step int) float64 {
 	var all []float64
 	for _, t := range j.tasks {
 		if t.step == step && t.end() > 0 {
-			all = append(all, h.useful(j, t))
+			all = append(all, h.usefulWork(j, t))
 		}
 	}
 	if len(all) == 0 {
--- a/ops/breakdown/breakdown_test.go
+++ b/ops/breakdown/breakdown_test.go
@@ -13,10 +13,11 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// A job of two steps, on an objective of 12 s. Its first step has one task
-// that waits a second; the second step waits for it. Of its three tasks two
-// work for two seconds; the third is stopped after one, starts elsewhere half a
-// second later, stands still for two and works for three.
+// A job of two steps with an objective of 12 s. Its first step has one task
+// that waits for a second; the second step waits for the first. Of the three
+// tasks of the second step, two work for two seconds; the third is stopped
+// after one second, starts elsewhere half a second later, stands still for two
+// seconds and works for three.
 const sampleLog = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
 {"process":"entry-1","run":"j1.0.0.0#1","worker":"w1","time":11000,"message":"placed"}
@@ -53,17 +54,17 @@
 		t.Fatal(err)
 	}
 	r := l.Report()
-	if r.ByClass[InTime].Jobs != 1 || r.Unfinished != 1 || r.Over != 2.5 || r.OverFilled != 1.5 {
-		t.Errorf("%d in time, %d not ended, over %.1f and %.1f s", r.ByClass[InTime].Jobs, r.Unfinished, r.Over, r.OverFilled)
+	if r.ByClass[InTime].Jobs != 1 || r.Unfinished != 1 || r.OverTarget != 2.5 || r.OverTargetFilled != 1.5 {
+		t.Errorf("%d in time, %d not ended, targets exceeded for %.1f and %.1f s", r.ByClass[InTime].Jobs, r.Unfinished, r.OverTarget, r.OverTargetFilled)
 	}
-	want := [causes]float64{Working: 4, Longest: 1, Waiting: 1, Paced: 2, Again: 1.5, Recording: 0.2}
+	want := [causes]float64{Working: 4, Straggling: 1, Waiting: 1, Paced: 2, Repeating: 1.5, Recording: 0.2}
 	total := 0.0
 	for c, seconds := range r.ByClass[InTime].Seconds {
 		total += seconds
 		if math.Abs(seconds-want[c]) > 1e-9 {
 			t.Errorf("%s: %.2f s, want %.2f", Cause(c).Name(), seconds, want[c])
 		}
-		if core := r.ByClass[InTime].Core[c]; math.Abs(core-4*seconds) > 1e-9 {
+		if core := r.ByClass[InTime].CoreSeconds[c]; math.Abs(core-4*seconds) > 1e-9 {
 			t.Errorf("%s: %.2f core-seconds, want %.2f", Cause(c).Name(), core, 4*seconds)
 		}
 	}
@@ -76,9 +77,9 @@
 	}
 }
 
-// stepLog is sampleLog as a scheduler of hundreds of workers writes it: one
-// line for the placements of a step, none for ends that are done, which the
-// agents tell.
+// stepLog is sampleLog in the form that a scheduler with hundreds of workers
+// writes: one line for the placements of a step, and none for ends that are
+// done, which only the agents log.
 var stepLog = strings.NewReplacer(
 	`{"process":"entry-1","run":"j1.0.1.0#1","worker":"w1","time":13100,"message":"placed"}
 {"process":"entry-1","run":"j1.0.1.1#1","worker":"w1","time":13100,"message":"placed"}
@@ -90,9 +91,9 @@
 	`{"process":"entry-1","run":"j1.0.1.2#2","how":"done","ran":5000,`, `{"process":"agent-3","run":"j1.0.1.2#2","how":"done",`,
 ).Replace(sampleLog)
 
-// A scheduler with thousands of runs a second has no line for each: the report
-// must be the same from one line a step and the agents' ends.
-func TestReportOfLinesOfSteps(t *testing.T) {
+// A scheduler with thousands of runs a second does not log each run: the report
+// must be the same from one line per step and the ends logged by the agents.
+func TestReportFromStepLines(t *testing.T) {
 	if strings.Contains(stepLog, `"done","ran"`) || strings.Contains(stepLog, `1.1#1","worker"`) {
 		t.Fatal("the sample still has lines of single runs")
 	}
@@ -109,9 +110,9 @@
 	}
 }
 
-// A process had to leave lines out. Whoever reads the report must not take
-// its figures for the whole day.
-func TestReportTellsOfGaps(t *testing.T) {
+// A process had to leave lines out of its log. The report must show that its
+// figures are incomplete.
+func TestReportNamesGaps(t *testing.T) {
 	const gap = `{"process":"entry-1","lines":12,"kinds":{"placed":10,"step done":2},"time":14000,"message":"lines left out"}`
 	var l Log
 	if err := l.Read(strings.NewReader(sampleLog + gap + "\n" + gap)); err != nil {
@@ -124,14 +125,15 @@
 	}
 }
 
-// What a stopped run saved is not lost: its work counts with that of the next.
-func TestSavedWorkIsNotDoneAgain(t *testing.T) {
+// The work that a stopped run saved is not lost: it counts with that of the
+// next.
+func TestSavedWorkCountsAsUseful(t *testing.T) {
 	var l Log
 	if err := l.Read(strings.NewReader(strings.Replace(sampleLog, `"checkpoint":false`, `"checkpoint":true`, 1))); err != nil {
 		t.Fatal(err)
 	}
 	got := l.Report().ByClass[InTime].Seconds
-	want := [causes]float64{Working: 4, Longest: 2, Waiting: 1, Paced: 2, Again: 0.5, Recording: 0.2}
+	want := [causes]float64{Working: 4, Straggling: 2, Waiting: 1, Paced: 2, Repeating: 0.5, Recording: 0.2}
 	for c := range got {
 		if math.Abs(got[c]-want[c]) > 1e-9 {
 			t.Errorf("%s: %.2f s, want %.2f", Cause(c).Name(), got[c], want[c])
@@ -139,9 +141,9 @@
 	}
 }
 
-// An operator may give logs of an entry alone, or of a moment: what is missing
-// must not become a cause.
-func TestReportOfPartsOfALog(t *testing.T) {
+// An operator may pass the log of a single entry, or of a short period: missing
+// lines must not be attributed to a cause.
+func TestReportOfIncompleteLog(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(sampleLog), "\n")
 	for skip := range lines {
 		var l Log
@@ -160,7 +162,7 @@
 	}
 }
 
-// within fails the test if f takes longer than a whole day's log may.
+// within fails the test if f takes longer than reading a whole day's log may.
 func within(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -171,13 +173,14 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the report does not end")
+		t.Fatal("the report did not end within 5 s")
 	}
 }
 
-// An agent's clock jumps back, its run's end comes before its placement, and
-// the way back from the job's end comes to the same task for ever.
-func TestReportEndsWhereTimesRunBackwards(t *testing.T) {
+// An agent's clock jumps back, so that its run's end is earlier than its
+// placement, and the path back from the job's end returns to the same task
+// without end.
+func TestReportEndsWhenTimesRunBackwards(t *testing.T) {
 	const log = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
 {"process":"entry-1","run":"j1.0.0.0#1","worker":"w1","time":11000,"message":"placed"}
@@ -196,8 +199,8 @@
 	})
 }
 
-// Logs are cut, shuffled, and shifted by clocks that jump either way: whatever
-// the lines say, the report ends and can be printed.
+// Logs are cut, shuffled, and shifted by clocks that jump either way: the
+// report ends and can be printed for any content of the lines.
 func FuzzReportOfDisorderedLogs(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed, int64(seed)*1000)
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -9,7 +9,7 @@
 	"persimmonrock.example/ops/logtime"
 )
 
-// Log is what was read of all log files.
+// Log holds the lines of all log files.
 type Log struct {
 	lines  []line
 	clocks logtime.Log
@@ -22,11 +22,11 @@
 	how                    string
 	cpu                    float64
 	fills                  bool
-	// saved says that its work was not lost with it.
+	// saved reports whether the run left a checkpoint of its work.
 	saved bool
 }
 
-// task is the runs of one task, in the order in which they were placed.
+// task holds the runs of one task, in the order in which they were placed.
 type task struct {
 	step int
 	runs []*run
@@ -34,7 +34,7 @@
 
 func (t *task) last() *run { return t.runs[len(t.runs)-1] }
 
-// end is when the task was done, or 0.
+// end returns the time at which the task was done, or 0.
 func (t *task) end() float64 {
 	if r := t.last(); r.how == "done" {
 		return r.ended
@@ -52,8 +52,8 @@
 	byName           map[string]*run
 }
 
-// paceKey names what has one pace: the filling work of one job and image
-// beside an agent.
+// paceKey identifies the tasks that share one pace: the filling work of one job
+// and image on one agent.
 type paceKey struct {
 	process, job, image string
 }
@@ -62,17 +62,18 @@
 	at, pace float64
 }
 
-// history is the jobs and paces of a log.
+// history holds the jobs and paces of a log.
 type history struct {
 	jobs  map[string]*job
 	paces map[paceKey][]paceChange
-	// over sums, in milliseconds, how long serving tasks were over their
-	// targets, and overFilled that of it with filling work beside them.
-	over, overFilled float64
-	first            float64
+	// overTarget sums the time for which serving tasks exceeded their targets,
+	// in milliseconds; overTargetFilled is the part of it with filling work
+	// beside them.
+	overTarget, overTargetFilled float64
+	first                        float64
 	// leftOut counts the lines that processes left out, by message.
 	leftOut map[string]int
-	// untied are the processes that nothing but their wall clock places.
+	// untied lists the processes that are placed by their wall clocks alone.
 	untied []string
 }
 
@@ -84,7 +85,7 @@
 	slices.SortStableFunc(l.lines, func(a, b line) int { return cmp.Compare(a.Time, b.Time) })
 	h := &history{jobs: map[string]*job{}, paces: map[paceKey][]paceChange{}, first: math.Inf(1), leftOut: map[string]int{}, untied: axis.Untied()}
 	for i := range l.lines {
-		h.take(&l.lines[i])
+		h.addLine(&l.lines[i])
 	}
 	return h
 }
@@ -98,7 +99,7 @@
 	return j
 }
 
-func (h *history) take(l *line) {
+func (h *history) addLine(l *line) {
 	switch l.Message {
 	case "job known":
 		j := h.job(l.Job)
@@ -113,14 +114,14 @@
 		k := paceKey{l.Process, l.Job, l.Image}
 		h.paces[k] = append(h.paces[k], paceChange{l.Time, l.Pace})
 	case "tail was over its target":
-		h.over += l.Over
+		h.overTarget += l.Over
 		if l.Filled {
-			h.overFilled += l.Over
+			h.overTargetFilled += l.Over
 		}
 	case "placed":
-		h.takePlaced(l)
+		h.addPlacements(l)
 	case "start", "run ended":
-		h.takeRun(l)
+		h.addRunEvent(l)
 	case logs.MessageLeftOut:
 		for message, n := range l.Kinds {
 			h.leftOut[message] += n
@@ -128,8 +129,8 @@
 	}
 }
 
-// takePlaced takes the placements of a line: a run, or those of a step.
-func (h *history) takePlaced(l *line) {
+// addPlacements adds the placement of a run or of a step's runs.
+func (h *history) addPlacements(l *line) {
 	if r := h.run(l.Run); r != nil {
 		r.placed = l.Time
 	}
@@ -142,7 +143,7 @@
 	}
 }
 
-// run returns the run of that name, or nil if it is none.
+// run returns the run named full, or nil if full is not the name of a run.
 func (h *history) run(full string) *run {
 	name, ok := parseRun(full)
 	if !ok {
@@ -163,9 +164,9 @@
 	return r
 }
 
-// takeRun takes a start or an end. The scheduler tells only of ends that do
-// not bring a step on; an agent tells of all.
-func (h *history) takeRun(l *line) {
+// addRunEvent adds a start or an end. The scheduler logs only the ends that do
+// not advance a step; agents log all.
+func (h *history) addRunEvent(l *line) {
 	r := h.run(l.Run)
 	if r == nil {
 		return
@@ -186,7 +187,7 @@
 	}
 }
 
-// worked is how long a run worked between two times, counted as if at full
+// worked returns the time that a run worked between two times, weighted by its
 // pace.
 func (h *history) worked(id string, r *run, from, to float64) float64 {
 	sum, at, pace := 0.0, from, 1.0
--- a/ops/breakdown/print.go
+++ b/ops/breakdown/print.go
@@ -14,13 +14,13 @@
 		fmt.Fprintf(w, "the log has gaps: %d lines %q were left out\n", r.LeftOut[message], message)
 	}
 	for _, name := range r.Untied {
-		fmt.Fprintf(w, "the clock of %s is tied to no other: its lines stand where its wall clock puts them\n", name)
+		fmt.Fprintf(w, "no event links the clock of %s to another process: its lines are placed by its wall clock\n", name)
 	}
 	fmt.Fprintf(w, "jobs with filling work: %d in time, %d late, %d overdue, %d failed, %d cancelled, %d not ended\n\n",
 		r.ByClass[InTime].Jobs, r.ByClass[Late].Jobs, r.ByClass[Overdue].Jobs, r.Failed, r.Cancelled, r.Unfinished)
-	fmt.Fprintf(w, "serving tasks were over their targets for %.1f s, %.1f s of it beside filling work\n\n", r.Over, r.OverFilled)
+	fmt.Fprintf(w, "serving tasks exceeded their targets for %.1f s, %.1f s of it beside filling work\n\n", r.OverTarget, r.OverTargetFilled)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(table, "time of the slowest tasks, s\tjobs\t")
+	fmt.Fprint(table, "time of the slowest tasks (s)\tjobs\t")
 	for c := range causes {
 		fmt.Fprintf(table, "%s\t", c.Name())
 	}
@@ -30,14 +30,14 @@
 		s := &r.ByClass[c]
 		row(table, c.Name(), s.Jobs, s.Seconds)
 		jobs := all.Jobs + s.Jobs
-		all.join(*s)
+		all.merge(*s)
 		all.Jobs = jobs
 	}
 	row(table, "all", all.Jobs, all.Seconds)
-	row(table, "all, core-seconds", all.Jobs, all.Core)
-	for i := range r.ByMoment {
-		s := &r.ByMoment[i]
-		row(table, fmt.Sprintf("known from %d s", i*momentLength/1000), s.Jobs, s.Seconds)
+	row(table, "all, core-seconds", all.Jobs, all.CoreSeconds)
+	for i := range r.ByInterval {
+		s := &r.ByInterval[i]
+		row(table, fmt.Sprintf("known from %d s", i*intervalLength/1000), s.Jobs, s.Seconds)
 	}
 	return table.Flush()
 }
--- a/ops/breakdown/read.go
+++ b/ops/breakdown/read.go
@@ -10,7 +10,7 @@
 	"persimmonrock.example/ops/logtime"
 )
 
-// line is what is read of a structured line; times are in milliseconds.
+// line holds the fields read from a structured line; times are in milliseconds.
 type line struct {
 	stamp     logtime.Stamp
 	Time      float64 `json:"time"`
@@ -27,12 +27,12 @@
 	Objective float64 `json:"objective"`
 	Over      float64 `json:"over"`
 	Filled    bool    `json:"filled"`
-	// Checkpoint says that the run left one at its end.
+	// Checkpoint reports whether the run left a checkpoint at its end.
 	Checkpoint bool `json:"checkpoint"`
-	// Ran is set where the scheduler tells of an end.
+	// Ran is set only where the scheduler logs an end.
 	Ran *float64 `json:"ran"`
-	// Placements, with Occurrence and Step, are those of a job's step; see
-	// logs.PlacedRun.
+	// Placements, with Occurrence and Step, are the placements of a job's step;
+	// see logs.PlacedRun.
 	Occurrence int      `json:"occurrence"`
 	Step       int      `json:"step"`
 	Placements []string `json:"placements"`
@@ -40,19 +40,19 @@
 	Kinds map[string]int `json:"kinds"`
 }
 
-// Read takes the lines of one log file, in any order with others.
+// Read adds the lines of one log file. Files can be read in any order.
 func (l *Log) Read(r io.Reader) error {
 	return logs.EachObject(r, func(object []byte) {
-		var one line
+		var parsed line
 		stamp, ok := l.clocks.Read(object)
-		if ok && json.Unmarshal(object, &one) == nil {
-			one.stamp = stamp
-			l.lines = append(l.lines, one)
+		if ok && json.Unmarshal(object, &parsed) == nil {
+			parsed.stamp = stamp
+			l.lines = append(l.lines, parsed)
 		}
 	})
 }
 
-// runName is a run's name, taken apart: JOB.OCCURRENCE.STEP.INDEX#RUN.
+// runName is a parsed run name: JOB.OCCURRENCE.STEP.INDEX#RUN.
 type runName struct {
 	job  string
 	step int
