--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -32,7 +32,7 @@
 	return [causes]string{"working", "slowest task of a step", "waiting for a worker", "paced down", "repeated runs", "recording"}[c]
 }
 
-// Class rates a completed job by the objective that was known at its start.
+// Class rates a completed job by the objective known at its start.
 type Class uint8
 
 // The classes. Late jobs took up to three times their objective.
@@ -63,22 +63,20 @@
 // Report sums up the time of the jobs that have filling work.
 type Report struct {
 	ByClass [classes]Sum
-	// ByInterval sums the jobs by the time at which they became known, in
-	// intervals of intervalLength.
+	// ByInterval sums the jobs by the interval, intervalLength long, in which
+	// they became known.
 	ByInterval []Sum
-	// Unfinished counts the jobs that had not ended; Failed and Cancelled count
-	// those that ended in these states.
+	// Unfinished, Failed and Cancelled count the other jobs by state.
 	Unfinished, Failed, Cancelled int
-	// OverTarget is the time for which serving tasks exceeded their targets, in
-	// seconds; OverTargetFilled is the part of it with filling work beside
-	// them.
+	// OverTarget is the time, in seconds, for which serving tasks exceeded
+	// their targets, OverTargetFilled the part of it beside filling work.
 	OverTarget, OverTargetFilled float64
-	// LeftOut counts the lines that the processes left out of their logs, by
-	// message. The figures lack the content of these lines.
+	// LeftOut counts the lines that processes left out of their logs, by
+	// message; the figures lack their content.
 	LeftOut map[string]int
-	// Untied lists the processes whose lines are placed by their wall clocks
-	// alone, since no event links them to another process.
-	Untied []string
+	// Unaligned lists the processes placed by their wall clocks alone, since no
+	// event links them to others.
+	Unaligned []string
 }
 
 const (
@@ -92,7 +90,7 @@
 // Report evaluates the log.
 func (l *Log) Report() Report {
 	h := l.history()
-	r := Report{OverTarget: h.overTarget / 1000, OverTargetFilled: h.overTargetFilled / 1000, LeftOut: h.leftOut, Untied: h.untied}
+	r := Report{OverTarget: h.overTarget / 1000, OverTargetFilled: h.overTargetFilled / 1000, LeftOut: h.leftOut, Unaligned: h.unaligned}
 	for _, j := range h.jobs {
 		if !j.fills || j.known == 0 {
 			continue
@@ -190,8 +188,8 @@
 }
 
 // stepReady returns the time from which the step of t could run: the last end
-// of a task of another step before any task of this step was placed, or the
-// time at which the job became known.
+// of another step's task before any task of this step was placed, or the time
+// at which the job became known.
 func (j *job) stepReady(t *task) float64 {
 	first := math.Inf(1)
 	for _, o := range j.tasks {
@@ -237,7 +235,7 @@
 // useful reports whether the work of the run contributed to its task.
 func (r *run) useful() bool { return r.how == "done" || r.saved }
 
-// usefulWork returns the useful working time of all runs of the task.
+// usefulWork returns the useful working time of t.
 func (h *history) usefulWork(j *job, t *task) float64 {
 	sum := 0.0
 	for _, r := range t.runs {
--- a/ops/breakdown/breakdown_test.go
+++ b/ops/breakdown/breakdown_test.go
@@ -14,10 +14,9 @@
 )
 
 // A job of two steps with an objective of 12 s. Its first step has one task
-// that waits for a second; the second step waits for the first. Of the three
-// tasks of the second step, two work for two seconds; the third is stopped
-// after one second, starts elsewhere half a second later, stands still for two
-// seconds and works for three.
+// that waits for a second; the second step starts after it. Of its three tasks,
+// two work for two seconds; the third is stopped after one, starts elsewhere
+// half a second later, stands still for two and works for three.
 const sampleLog = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
 {"process":"entry-1","run":"j1.0.0.0#1","worker":"w1","time":11000,"message":"placed"}
@@ -77,9 +76,9 @@
 	}
 }
 
-// stepLog is sampleLog in the form that a scheduler with hundreds of workers
-// writes: one line for the placements of a step, and none for ends that are
-// done, which only the agents log.
+// stepLog is sampleLog as a scheduler with hundreds of workers writes it: one
+// line for the placements of a step, and none for ends that are done, which
+// only the agents log.
 var stepLog = strings.NewReplacer(
 	`{"process":"entry-1","run":"j1.0.1.0#1","worker":"w1","time":13100,"message":"placed"}
 {"process":"entry-1","run":"j1.0.1.1#1","worker":"w1","time":13100,"message":"placed"}
@@ -125,8 +124,7 @@
 	}
 }
 
-// The work that a stopped run saved is not lost: it counts with that of the
-// next.
+// The work that a stopped run saved counts with that of the next.
 func TestSavedWorkCountsAsUseful(t *testing.T) {
 	var l Log
 	if err := l.Read(strings.NewReader(strings.Replace(sampleLog, `"checkpoint":false`, `"checkpoint":true`, 1))); err != nil {
@@ -141,8 +139,8 @@
 	}
 }
 
-// An operator may pass the log of a single entry, or of a short period: missing
-// lines must not be attributed to a cause.
+// An operator may pass only an entry's log, or a short period: missing lines
+// must not be attributed to a cause.
 func TestReportOfIncompleteLog(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(sampleLog), "\n")
 	for skip := range lines {
@@ -162,7 +160,7 @@
 	}
 }
 
-// within fails the test if f takes longer than reading a whole day's log may.
+// within fails the test if f takes longer than a day's log may.
 func within(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -200,7 +198,7 @@
 }
 
 // Logs are cut, shuffled, and shifted by clocks that jump either way: the
-// report ends and can be printed for any content of the lines.
+// report always ends and can be printed.
 func FuzzReportOfDisorderedLogs(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed, int64(seed)*1000)
--- a/ops/breakdown/doc.go
+++ b/ops/breakdown/doc.go
@@ -1,8 +1,8 @@
 // Package breakdown attributes the time of jobs that end by themselves to
 // causes, from the logs of all processes.
 //
-// A job is as slow as the slowest task of each of its steps. The time between
-// the job becoming known and its end is therefore followed back along these
-// tasks, and each part of it is attributed to one cause. Times are those of the
-// processes' clocks, which are close to each other.
+// A job is as slow as the slowest task of each of its steps. Its time from
+// becoming known to its end is therefore followed back along these tasks, and
+// each part is attributed to one cause. Times are those of the processes'
+// clocks, which are close to each other.
 package breakdown
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -66,15 +66,11 @@
 type history struct {
 	jobs  map[string]*job
 	paces map[paceKey][]paceChange
-	// overTarget sums the time for which serving tasks exceeded their targets,
-	// in milliseconds; overTargetFilled is the part of it with filling work
-	// beside them.
+	// overTarget and overTargetFilled are in milliseconds; see Report.
 	overTarget, overTargetFilled float64
 	first                        float64
-	// leftOut counts the lines that processes left out, by message.
-	leftOut map[string]int
-	// untied lists the processes that are placed by their wall clocks alone.
-	untied []string
+	leftOut                      map[string]int
+	unaligned                    []string
 }
 
 func (l *Log) history() *history {
@@ -83,7 +79,7 @@
 		l.lines[i].Time = axis.Time(l.lines[i].stamp)
 	}
 	slices.SortStableFunc(l.lines, func(a, b line) int { return cmp.Compare(a.Time, b.Time) })
-	h := &history{jobs: map[string]*job{}, paces: map[paceKey][]paceChange{}, first: math.Inf(1), leftOut: map[string]int{}, untied: axis.Untied()}
+	h := &history{jobs: map[string]*job{}, paces: map[paceKey][]paceChange{}, first: math.Inf(1), leftOut: map[string]int{}, unaligned: axis.Unaligned()}
 	for i := range l.lines {
 		h.addLine(&l.lines[i])
 	}
@@ -129,7 +125,7 @@
 	}
 }
 
-// addPlacements adds the placement of a run or of a step's runs.
+// addPlacements adds the placement of a run, or of a step's runs.
 func (h *history) addPlacements(l *line) {
 	if r := h.run(l.Run); r != nil {
 		r.placed = l.Time
@@ -143,7 +139,7 @@
 	}
 }
 
-// run returns the run named full, or nil if full is not the name of a run.
+// run returns the run named full, or nil if full is no run's name.
 func (h *history) run(full string) *run {
 	name, ok := parseRun(full)
 	if !ok {
@@ -187,8 +183,7 @@
 	}
 }
 
-// worked returns the time that a run worked between two times, weighted by its
-// pace.
+// worked returns a run's working time between two times, weighted by its pace.
 func (h *history) worked(id string, r *run, from, to float64) float64 {
 	sum, at, pace := 0.0, from, 1.0
 	for _, c := range h.paces[paceKey{r.process, id, r.image}] {
--- a/ops/breakdown/print.go
+++ b/ops/breakdown/print.go
@@ -13,7 +13,7 @@
 	for _, message := range slices.Sorted(maps.Keys(r.LeftOut)) {
 		fmt.Fprintf(w, "the log has gaps: %d lines %q were left out\n", r.LeftOut[message], message)
 	}
-	for _, name := range r.Untied {
+	for _, name := range r.Unaligned {
 		fmt.Fprintf(w, "no event links the clock of %s to another process: its lines are placed by its wall clock\n", name)
 	}
 	fmt.Fprintf(w, "jobs with filling work: %d in time, %d late, %d overdue, %d failed, %d cancelled, %d not ended\n\n",
--- a/ops/breakdown/read.go
+++ b/ops/breakdown/read.go
@@ -27,12 +27,12 @@
 	Objective float64 `json:"objective"`
 	Over      float64 `json:"over"`
 	Filled    bool    `json:"filled"`
-	// Checkpoint reports whether the run left a checkpoint at its end.
+	// Checkpoint reports whether the run left one at its end.
 	Checkpoint bool `json:"checkpoint"`
 	// Ran is set only where the scheduler logs an end.
 	Ran *float64 `json:"ran"`
-	// Placements, with Occurrence and Step, are the placements of a job's step;
-	// see logs.PlacedRun.
+	// Placements, with Occurrence and Step, are those of a job's step; see
+	// logs.PlacedRun.
 	Occurrence int      `json:"occurrence"`
 	Step       int      `json:"step"`
 	Placements []string `json:"placements"`
@@ -40,7 +40,7 @@
 	Kinds map[string]int `json:"kinds"`
 }
 
-// Read adds the lines of one log file. Files can be read in any order.
+// Read adds the lines of one log file; files may come in any order.
 func (l *Log) Read(r io.Reader) error {
 	return logs.EachObject(r, func(object []byte) {
 		var parsed line
--- a/ops/logtime/logtime.go
+++ b/ops/logtime/logtime.go
@@ -1,8 +1,8 @@
 // Package logtime puts the lines of several processes' logs on one time axis.
-// Clocks of different machines are not compared where that can be helped: a
-// wall clock may be wrong and may jump. Each line carries its process's own
-// steady clock, and what one process logs as the cause of what another logs
-// bounds how the two clocks lie to each other.
+// It avoids comparing wall clocks of different machines, since these may be
+// wrong and may jump. Each line carries its process's steady clock, and a cause
+// in one process's log and its effect in another's bound the offset between the
+// two clocks.
 package logtime
 
 import (
@@ -15,16 +15,16 @@
 	"persimmonrock.example/ops/logs"
 )
 
-// Stamp is when a process wrote a line, on its own clock, in milliseconds.
+// Stamp is the time of a line on the clock of its process, in milliseconds.
 type Stamp struct {
 	source int
 	at     float64
 }
 
-// object is what is read of a line.
+// object holds the fields read from a line.
 type object struct {
 	Process string `json:"process"`
-	// Start names one start of the process: each has a steady clock of its own.
+	// Start identifies one start of the process: each has its own steady clock.
 	Start string `json:"start_id"`
 	// Wall is in milliseconds, Steady in microseconds.
 	Wall    float64  `json:"time"`
@@ -46,26 +46,26 @@
 // source is one start of a process.
 type source struct {
 	name string
-	// wall holds how far the wall clock was ahead of the steady one.
-	wall []float64
-	// steady is false if the lines carry the wall clock alone.
+	// wallLeads holds each line's wall clock minus its steady clock.
+	wallLeads []float64
+	// steady is false if the lines carry only the wall clock.
 	steady bool
 }
 
-// event is one thing that processes tell of: some as its cause, some as its
-// effect. Of each process the first line counts.
+// event is an event that several processes log: some as its cause, some as its
+// effect. The first line of each process counts.
 type event struct {
 	causes, effects map[int]float64
 }
 
-// Log collects the stamps of all lines.
+// Log collects the stamps and shared events of all lines.
 type Log struct {
 	sources []*source
 	index   map[string]int
 	events  map[string]*event
 }
 
-// Read takes one line.
+// Read adds one line. It returns false if the line can't be parsed.
 func (l *Log) Read(line []byte) (Stamp, bool) {
 	var o object
 	if json.Unmarshal(line, &o) != nil {
@@ -75,9 +75,9 @@
 	at := o.Wall
 	if o.Steady != nil {
 		at = *o.Steady / 1000
-		l.sources[s].wall = append(l.sources[s].wall, o.Wall-at)
+		l.sources[s].wallLeads = append(l.sources[s].wallLeads, o.Wall-at)
 	}
-	l.takeEvents(s, at, &o)
+	l.addEvents(s, at, &o)
 	return Stamp{source: s, at: at}, true
 }
 
@@ -98,8 +98,8 @@
 	return s
 }
 
-// takeEvents notes what the line tells of that another process tells of, too.
-func (l *Log) takeEvents(s int, at float64, o *object) {
+// addEvents records the line's events that other processes log, too.
+func (l *Log) addEvents(s int, at float64, o *object) {
 	switch o.Message {
 	case "placed":
 		l.cause("start "+o.Run, s, at)
@@ -159,35 +159,34 @@
 	return ok
 }
 
-// Axis is the time on which the lines of all processes stand, in milliseconds
-// of the wall clock of the process that ties in most others.
+// Axis is the common time of the lines of all processes, in milliseconds of the
+// wall clock of the process that shares events with most others.
 type Axis struct {
 	offsets []float64
-	// untied are the processes whose place follows from their wall clock.
-	untied map[int]bool
-	names  []string
+	// unaligned holds the processes that are placed by their wall clocks alone.
+	unaligned map[int]bool
+	names     []string
 }
 
-// Time is where a line stands.
+// Time returns the time of a line on the axis.
 func (a *Axis) Time(s Stamp) float64 { return s.at + a.offsets[s.source] }
 
-// Uncertain reports whether the line's place against other processes is only
-// that of its wall clock.
-func (a *Axis) Uncertain(s Stamp) bool { return a.untied[s.source] }
+// Uncertain reports whether the line is placed by its wall clock alone.
+func (a *Axis) Uncertain(s Stamp) bool { return a.unaligned[s.source] }
 
-// Untied names the processes whose lines are so.
-func (a *Axis) Untied() []string {
+// Unaligned names the processes whose lines are uncertain, in order.
+func (a *Axis) Unaligned() []string {
 	var names []string
-	for s := range a.untied {
+	for s := range a.unaligned {
 		names = append(names, a.names[s])
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Axis works the axis out from what was read so far.
+// Axis computes the axis from the lines read so far.
 func (l *Log) Axis() *Axis {
-	a := &Axis{offsets: make([]float64, len(l.sources)), untied: map[int]bool{}}
+	a := &Axis{offsets: make([]float64, len(l.sources)), unaligned: map[int]bool{}}
 	for _, s := range l.sources {
 		a.names = append(a.names, s.name)
 	}
@@ -195,7 +194,7 @@
 	placed := make([]bool, len(l.sources))
 	for i, s := range l.sources {
 		a.offsets[i] = s.wallOffset()
-		// Lines without a steady clock stay where their wall clock has them.
+		// Lines without a steady clock keep their wall clock's time.
 		placed[i] = !s.steady
 	}
 	for {
@@ -203,14 +202,14 @@
 		if first < 0 {
 			return a
 		}
-		if a.tieNext(first, bounds, placed) == 0 && len(l.sources) > 1 {
-			a.untied[first] = true
+		if a.alignWith(first, bounds, placed) == 0 && len(l.sources) > 1 {
+			a.unaligned[first] = true
 		}
 	}
 }
 
-// reference is the process not placed yet that has most to do with others, or
-// -1.
+// reference returns the process not placed yet that shares events with most
+// others, or -1.
 func (l *Log) reference(bounds []map[int]bound, placed []bool) int {
 	best := -1
 	for i := range placed {
@@ -221,10 +220,10 @@
 	return best
 }
 
-// tieNext places first by its wall clock, and all processes that are tied to
-// it, one after the other, those that are known best first. It returns how many
-// those are.
-func (a *Axis) tieNext(first int, bounds []map[int]bound, placed []bool) int {
+// alignWith places first by its wall clock, then the processes that events link
+// to it, those with the narrowest bounds first. It returns the number of linked
+// processes.
+func (a *Axis) alignWith(first int, bounds []map[int]bound, placed []bool) int {
 	placed[first] = true
 	tree := []int{first}
 	for {
@@ -242,8 +241,8 @@
 			return len(tree) - 1
 		}
 		if best.open() {
-			a.untied[to] = true
-			best.closeAt(a.offsets[to] - a.offsets[from])
+			a.unaligned[to] = true
+			best.clampTo(a.offsets[to] - a.offsets[from])
 		}
 		a.offsets[to] = a.offsets[from] + best.middle()
 		placed[to] = true
@@ -251,25 +250,25 @@
 	}
 }
 
-// wallOffset is what the steady clock lacks to the wall clock, most of the
-// time: a clock that jumps comes back.
+// wallOffset returns the median lead of the wall clock over the steady one,
+// which ignores temporary jumps.
 func (s *source) wallOffset() float64 {
-	if len(s.wall) == 0 {
+	if len(s.wallLeads) == 0 {
 		return 0
 	}
-	sorted := slices.Clone(s.wall)
+	sorted := slices.Clone(s.wallLeads)
 	slices.Sort(sorted)
 	return sorted[len(sorted)/2]
 }
 
-// bound is where the difference of two processes' offsets lies.
+// bound is the range of the difference between two processes' offsets.
 type bound struct{ low, high float64 }
 
-// open reports whether one side is not known.
+// open reports whether one side is unbounded.
 func (b bound) open() bool { return math.IsInf(b.low, 0) || math.IsInf(b.high, 0) }
 
-// closeAt sets both sides to what is nearest to x within the bound.
-func (b *bound) closeAt(x float64) {
+// clampTo sets both sides to the value nearest to x within the bound.
+func (b *bound) clampTo(x float64) {
 	x = min(b.high, max(b.low, x))
 	b.low, b.high = x, x
 }
@@ -278,7 +277,7 @@
 
 func (b bound) middle() float64 { return (b.low + b.high) / 2 }
 
-// bounds lists for each process what is known of the others' offsets less its
+// bounds returns for each process the bounds of the others' offsets minus its
 // own: an effect is never earlier than its cause.
 func (l *Log) bounds() []map[int]bound {
 	all := make([]map[int]bound, len(l.sources))
@@ -297,7 +296,7 @@
 	return all
 }
 
-// narrow notes that the offset of f less that of c is least or more.
+// narrow records that the offset of f minus that of c is at least least.
 func narrow(all []map[int]bound, c, f int, least float64) {
 	b, ok := all[c][f]
 	if !ok {
--- a/ops/logtime/logtime_test.go
+++ b/ops/logtime/logtime_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// line is one line of a process whose machine has been up for boot, in
+// line returns one line of a process whose machine has been up for boot, in
 // milliseconds, and whose wall clock is ahead by jump.
 func line(process, start string, at, boot, jump float64, rest string) []byte {
 	return fmt.Appendf(nil, `{"process":%q,"start_id":%q,"time":%.0f,"steady_us":%.0f,%s}`, process, start, 1e12+at+jump, (boot+at)*1000, rest)
@@ -28,9 +28,10 @@
 	return &l, stamps
 }
 
-// The wall clock of an agent's machine jumps ahead by 2.4 s in the middle of a
-// run, and a task seems to end before it was placed and to start after its end.
-func TestOrderOutlivesJumpsOfTheWallClock(t *testing.T) {
+// The wall clock of an agent's machine jumps ahead by 2.4 s between two runs,
+// so that by wall clocks a run seems to start after the scheduler recorded its
+// end.
+func TestAxisIgnoresWallClockJumps(t *testing.T) {
 	var lines [][]byte
 	for n := range 10 {
 		at, jump := float64(1000*n), 0.0
@@ -51,7 +52,7 @@
 	for i, s := range stamps {
 		times = append(times, axis.Time(s))
 		if axis.Uncertain(s) {
-			t.Errorf("line %d: its place is said to be uncertain", i)
+			t.Errorf("line %d: its time is reported as uncertain", i)
 		}
 	}
 	if !slices.IsSorted(times) {
@@ -62,9 +63,9 @@
 	}
 }
 
-// A process that shares no event with others is placed by its wall clock, and
-// this is said; a new start of a process has a steady clock of its own.
-func TestProcessesThatNothingTiesAreNamed(t *testing.T) {
+// A process that shares no event with others is placed by its wall clock and
+// reported as unaligned; a new start of a process has its own steady clock.
+func TestUnlinkedProcessesAreUnaligned(t *testing.T) {
 	l, stamps := read(t, [][]byte{
 		line("entry-1", "a", 0, 5000, 0, `"epoch":7,"message":"lease taken"`),
 		line("agent-1", "b", 10, 100, 3000, `"epoch":7,"message":"new scheduler"`),
@@ -72,19 +73,19 @@
 		line("entry-9", "d", 500, 1, 0, `"message":"entry started"`),
 	})
 	axis := l.Axis()
-	if diff := cmp.Diff([]string{"agent-1 b", "agent-1 c", "entry-9 d"}, axis.Untied()); diff != "" {
-		t.Errorf("untied (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"agent-1 b", "agent-1 c", "entry-9 d"}, axis.Unaligned()); diff != "" {
+		t.Errorf("unaligned (-want +got):\n%s", diff)
 	}
 	if axis.Time(stamps[1]) < axis.Time(stamps[0]) {
-		t.Error("an effect stands before its cause")
+		t.Error("an effect is placed before its cause")
 	}
 	if d := axis.Time(stamps[2]) - axis.Time(stamps[0]); d != 900 {
-		t.Errorf("the second start stands %.0f ms after the first line, 900 by its wall clock", d)
+		t.Errorf("the second start is placed %.0f ms after the first line, 900 by its wall clock", d)
 	}
 }
 
-// Logs without steady clocks stay where their wall clocks have them.
-func TestLinesWithWallClocksAlone(t *testing.T) {
+// Lines without steady clocks keep the times of their wall clocks.
+func TestLinesWithoutSteadyClock(t *testing.T) {
 	l, stamps := read(t, [][]byte{
 		[]byte(`{"process":"entry-1","time":1000,"run":"j.0.0.0#1","message":"placed"}`),
 		[]byte(`{"process":"agent-1","time":900,"run":"j.0.0.0#1","message":"start"}`),
