--- a/ops/certs/authority.go
+++ b/ops/certs/authority.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/ops/settings"
 )
 
-// Names of the files in an authority's and in a process's folder.
+// Files in the folder of an authority or a process.
 const (
 	CAFile   = "ca.pem"
 	CertFile = "cert.pem"
@@ -27,7 +27,8 @@
 const (
 	// serialBits is the size of a random serial number, as RFC 5280 allows.
 	serialBits = 127
-	// backdate lets a certificate be used at once where clocks differ a little.
+	// backdate makes a new certificate valid at once where clocks differ a
+	// little.
 	backdate = time.Hour
 
 	typeCertificate = "CERTIFICATE"
@@ -45,11 +46,12 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that is valid for the given time.
+// NewAuthority creates a self-signed authority that is valid for the given
+// time.
 func NewAuthority(name string, valid time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "certs: make the authority's key")
+		return nil, eris.Wrap(err, "certs: generate the authority's key")
 	}
 	template, err := newTemplate(name, valid)
 	if err != nil {
@@ -60,13 +62,13 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, eris.Wrap(err, "certs: make the authority's certificate")
+		return nil, eris.Wrap(err, "certs: create the authority's certificate")
 	}
 	cert, err := x509.ParseCertificate(der)
 	return &Authority{cert: cert, key: key}, eris.Wrap(err, "certs: read the authority's certificate")
 }
 
-// LoadAuthority reads what Save wrote.
+// LoadAuthority reads the files that Save wrote.
 func LoadAuthority(folder string) (*Authority, error) {
 	der, err := readPEM(filepath.Join(folder, CAFile), typeCertificate)
 	if err != nil {
@@ -91,8 +93,8 @@
 	return &Authority{cert: cert, key: signer}, nil
 }
 
-// Save writes the authority into a folder. It never replaces one that is
-// there: every certificate that it has signed would be worthless.
+// Save writes the authority into a folder. It never replaces an existing one,
+// since every certificate that it has signed would become worthless.
 func (a *Authority) Save(folder string) error {
 	private, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
@@ -105,8 +107,8 @@
 }
 
 // Issue writes a certificate for one process, its key and the authority's
-// certificate into a folder, and returns them as settings name them. The
-// files of an earlier certificate are replaced, as a renewal wants it.
+// certificate into a folder, and returns their paths as settings. It replaces
+// the files of an earlier certificate, as a renewal requires.
 func (a *Authority) Issue(folder, name string, valid time.Duration) (settings.PeerTLS, error) {
 	files := settings.PeerTLS{
 		Cert: filepath.Join(folder, CertFile),
@@ -115,7 +117,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return files, eris.Wrap(err, "certs: make a key")
+		return files, eris.Wrap(err, "certs: generate a key")
 	}
 	template, err := newTemplate(name, valid)
 	if err != nil {
@@ -131,7 +133,7 @@
 	if err != nil {
 		return files, eris.Wrap(err, "certs: encode a key")
 	}
-	for _, one := range []struct {
+	for _, file := range []struct {
 		path, kind string
 		der        []byte
 		mode       os.FileMode
@@ -140,7 +142,7 @@
 		{files.Cert, typeCertificate, der, publicMode},
 		{files.CA, typeCertificate, a.cert.Raw, publicMode},
 	} {
-		if err := writePEM(one.path, one.kind, one.der, one.mode, os.O_TRUNC); err != nil {
+		if err := writePEM(file.path, file.kind, file.der, file.mode, os.O_TRUNC); err != nil {
 			return files, err
 		}
 	}
@@ -150,7 +152,7 @@
 func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "certs: choose a serial number")
+		return nil, eris.Wrap(err, "certs: generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -168,17 +170,17 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != kind {
-		return nil, eris.Errorf("certs: want a PEM block %q in %s", kind, path)
+		return nil, eris.Errorf("certs: expected a PEM block %q in %s", kind, path)
 	}
 	return block.Bytes, nil
 }
 
-// writePEM writes one block; how is os.O_EXCL or os.O_TRUNC.
-func writePEM(path, kind string, der []byte, mode os.FileMode, how int) error {
+// writePEM writes one block; flag is os.O_EXCL or os.O_TRUNC.
+func writePEM(path, kind string, der []byte, mode os.FileMode, flag int) error {
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
-		return eris.Wrap(err, "certs: make a folder")
+		return eris.Wrap(err, "certs: create a folder")
 	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|how, mode)
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|flag, mode)
 	if err != nil {
 		return eris.Wrap(err, "certs: write a file")
 	}
--- a/ops/certs/certs.go
+++ b/ops/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs follows certificate files: what a TLS server or client shows
-// and trusts changes with its files, without a restart.
+// Package certs issues certificates and loads them for TLS servers and clients.
+// Changes of the files take effect without a restart.
 package certs
 
 import (
@@ -14,35 +14,35 @@
 	"persimmonrock.example/ops/settings"
 )
 
-// reloadEvery is how often a handshake looks for changed files.
-const reloadEvery = time.Second
+// reloadInterval limits how often handshakes check for changed files.
+const reloadInterval = time.Second
 
-// Certificate serves the certificate files of settings.TLS and reads them
-// again when they change, so that a renewal needs no restart. A new pair that
-// can't be read leaves the old one in force; it is counted as a failure. That
-// holds while an operator has replaced only one file of the pair.
+// Certificate serves the certificate files of settings.TLS and rereads them
+// when they change, so that a renewal needs no restart. New files that can't be
+// read leave the old ones in force and count as a failure, also while an
+// operator has replaced only one file of the pair.
 type Certificate struct {
 	files settings.TLS
-	// protocols are those that a server of this certificate speaks, as in
+	// protocols are those that a server with this certificate offers, as in
 	// tls.Config.NextProtos.
 	protocols []string
 
-	mu      sync.Mutex
-	config  *tls.Config
-	stamps  [3]fileStamp
-	looked  time.Time
-	reloads int64
-	failed  int64
+	mu            sync.Mutex
+	config        *tls.Config
+	stamps        [3]fileStamp
+	lastChecked   time.Time
+	reloads       int64
+	failedReloads int64
 }
 
-// fileStamp changes when a file is replaced.
+// fileStamp identifies one version of a file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// New reads the files for the first time. protocols are those that a server
-// offers; none are named between the system's own processes.
+// New reads the files. protocols are those that a server offers; the system's
+// own processes need none among themselves.
 func New(files settings.TLS, protocols ...string) (*Certificate, error) {
 	c := &Certificate{files: files, protocols: protocols}
 	stamps, err := c.stat()
@@ -53,12 +53,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c.config, c.stamps, c.looked = config, stamps, time.Now()
+	c.config, c.stamps, c.lastChecked = config, stamps, time.Now()
 	return c, nil
 }
 
-// Server returns a server's configuration that follows the files. Clients must
-// show a certificate if the files name who signs theirs.
+// Server returns a server's configuration that follows changes of the files.
+// Clients must present a certificate if the files include a client authority.
 func (c *Certificate) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -69,14 +69,15 @@
 	}
 }
 
-// Client returns the configuration of a process that dials its peers: it shows
-// the certificate of the files, and accepts a server whose certificate the
-// files' authority has signed. No name is compared, since instances are
+// Client returns the configuration of a process that dials its peers: it
+// presents the certificate of the files, and accepts a server whose certificate
+// the files' authority has signed. It compares no names, since instances are
 // replaced under addresses that no certificate can name in advance.
 func (c *Certificate) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
-		// The chain is verified below; this only takes the check of names out.
+		// verifyServer verifies the chain; this only disables the check of
+		// names.
 		InsecureSkipVerify: true,
 		VerifyConnection:   c.verifyServer,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -85,17 +86,17 @@
 	}
 }
 
-// verifyServer checks the server's chain against the authority in force now.
+// verifyServer checks the server's chain against the authority in force.
 //
-// Failure guarded against: somebody on the way between two processes answers
-// for a peer with a certificate of their own. It shows as an error of the
-// handshake, before anything of the protocol is sent.
+// Failure guarded against: an attacker on the network between two processes
+// answers for a peer with a certificate of their own. The handshake then fails
+// before any message of the protocol is sent.
 func (c *Certificate) verifyServer(state tls.ConnectionState) error {
-	chain := x509.VerifyOptions{Roots: c.current().ClientCAs, Intermediates: x509.NewCertPool()}
-	for _, one := range state.PeerCertificates[1:] {
-		chain.Intermediates.AddCert(one)
+	options := x509.VerifyOptions{Roots: c.current().ClientCAs, Intermediates: x509.NewCertPool()}
+	for _, cert := range state.PeerCertificates[1:] {
+		options.Intermediates.AddCert(cert)
 	}
-	if _, err := state.PeerCertificates[0].Verify(chain); err != nil {
+	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
 		return eris.Wrap(err, "certs: the peer's certificate")
 	}
 	return nil
@@ -105,23 +106,23 @@
 func (c *Certificate) Vars() any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return map[string]int64{"reloads": c.reloads, "failed_reloads": c.failed}
+	return map[string]int64{"reloads": c.reloads, "failed_reloads": c.failedReloads}
 }
 
 func (c *Certificate) current() *tls.Config {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.looked) < reloadEvery {
+	if time.Since(c.lastChecked) < reloadInterval {
 		return c.config
 	}
-	c.looked = time.Now()
+	c.lastChecked = time.Now()
 	stamps, err := c.stat()
 	if err == nil && stamps == c.stamps {
 		return c.config
 	}
 	config, readErr := c.read()
 	if err != nil || readErr != nil {
-		c.failed++
+		c.failedReloads++
 		return c.config
 	}
 	c.config, c.stamps = config, stamps
@@ -137,7 +138,7 @@
 		}
 		info, err := os.Stat(path)
 		if err != nil {
-			return out, eris.Wrap(err, "certs: TLS files")
+			return out, eris.Wrap(err, "certs: check the TLS files")
 		}
 		out[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
 	}
@@ -147,7 +148,7 @@
 func (c *Certificate) read() (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(c.files.Cert, c.files.Key)
 	if err != nil {
-		return nil, eris.Wrap(err, "certs: TLS certificate")
+		return nil, eris.Wrap(err, "certs: load the TLS certificate")
 	}
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -159,7 +160,7 @@
 	}
 	pem, err := os.ReadFile(c.files.ClientCA)
 	if err != nil {
-		return nil, eris.Wrap(err, "certs: TLS authority")
+		return nil, eris.Wrap(err, "certs: read the TLS authority")
 	}
 	config.ClientCAs = x509.NewCertPool()
 	if !config.ClientCAs.AppendCertsFromPEM(pem) {
--- a/ops/certs/certs_test.go
+++ b/ops/certs/certs_test.go
@@ -19,8 +19,8 @@
 	return a
 }
 
-// process is a process with its certificate files.
-func process(t *testing.T, a *Authority, name string) *Certificate {
+// newProcess returns the certificate of a new process.
+func newProcess(t *testing.T, a *Authority, name string) *Certificate {
 	t.Helper()
 	files, err := a.Issue(t.TempDir(), name, time.Hour)
 	if err != nil {
@@ -33,27 +33,27 @@
 	return c
 }
 
-// renew issues new files in the place of c's.
+// renew issues new files in place of those of c.
 func (c *Certificate) renew(t *testing.T, a *Authority, name string) {
 	t.Helper()
 	if _, err := a.Issue(filepath.Dir(c.files.Cert), name, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	c.lookNow()
+	c.expireCheck()
 }
 
-// lookNow makes the next handshake look at the files.
-func (c *Certificate) lookNow() {
+// expireCheck makes the next handshake check the files.
+func (c *Certificate) expireCheck() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = time.Time{}
+	c.lastChecked = time.Time{}
 }
 
-// meet makes a connection and returns the server's name as the client sees it,
-// and the errors of both sides.
-func meet(t *testing.T, dialling, accepting *tls.Config) (name string, err error) {
+// handshake makes a connection and returns the server's name as the client sees
+// it, and both sides' errors.
+func handshake(t *testing.T, client, server *tls.Config) (name string, err error) {
 	t.Helper()
-	l, err := tls.Listen("tcp", "127.0.0.1:0", accepting)
+	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		defer c.Close()
 		served <- c.(*tls.Conn).Handshake()
 	}()
-	c, err := tls.DialWithDialer(&net.Dialer{Timeout: 10 * time.Second}, "tcp", l.Addr().String(), dialling)
+	c, err := tls.DialWithDialer(&net.Dialer{Timeout: 10 * time.Second}, "tcp", l.Addr().String(), client)
 	if err == nil {
 		name = c.ConnectionState().PeerCertificates[0].Subject.CommonName
 		defer c.Close()
@@ -76,56 +76,58 @@
 	return name, errors.Join(err, <-served)
 }
 
-func TestCertificateIsReadAgainAndABrokenOneIsNot(t *testing.T) {
+func TestChangedCertificateIsReloadedUnlessBroken(t *testing.T) {
 	a := newAuthority(t, "ours")
-	c, client := process(t, a, "first"), process(t, a, "client").Client()
+	c, client := newProcess(t, a, "first"), newProcess(t, a, "client").Client()
 	want := func(name string, failed int64) {
 		t.Helper()
-		if got, err := meet(t, client, c.Server()); err != nil || got != name || c.failed != failed {
-			t.Errorf("got %q, %v, with %d failures; want %q with %d", got, err, c.failed, name, failed)
+		if got, err := handshake(t, client, c.Server()); err != nil || got != name || c.failedReloads != failed {
+			t.Errorf("got %q, %v, with %d failures; want %q with %d", got, err, c.failedReloads, name, failed)
 		}
 	}
 	want("first", 0)
 	os.WriteFile(c.files.Cert, []byte("no certificate"), 0o600)
-	c.lookNow()
+	c.expireCheck()
 	want("first", 1)
 	c.renew(t, a, "second")
 	want("second", 1)
 }
 
-// Somebody on the network between two processes answers for an agent, or dials
-// an entry, with a certificate that another authority has signed, or with none.
-// Neither side may say anything to it, or a caller's request is read by it.
-func TestStrangersGetNoConnection(t *testing.T) {
+// An attacker on the network between two processes answers for an agent, or
+// dials an entry, with a certificate that another authority has signed, or with
+// none. Both sides must refuse the connection, or the attacker reads a caller's
+// request.
+func TestUntrustedPeersAreRejected(t *testing.T) {
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
-	entry, agent := process(t, ours, "entry"), process(t, ours, "agent")
-	stranger := process(t, theirs, "stranger")
-	blind := &tls.Config{InsecureSkipVerify: true}
+	entry, agent := newProcess(t, ours, "entry"), newProcess(t, ours, "agent")
+	untrusted := newProcess(t, theirs, "stranger")
+	unverified := &tls.Config{InsecureSkipVerify: true}
 	for _, c := range []struct {
-		name      string
-		dialling  *tls.Config
-		accepting *tls.Config
-		want      bool
+		name   string
+		client *tls.Config
+		server *tls.Config
+		want   bool
 	}{
 		{"entry dials agent", entry.Client(), agent.Server(), true},
-		{"entry dials stranger", entry.Client(), stranger.Server(), false},
-		{"stranger dials agent", stranger.Client(), agent.Server(), false},
-		{"stranger that trusts anyone dials agent", blind, agent.Server(), false},
+		{"entry dials stranger", entry.Client(), untrusted.Server(), false},
+		{"stranger dials agent", untrusted.Client(), agent.Server(), false},
+		{"stranger that trusts anyone dials agent", unverified, agent.Server(), false},
 	} {
-		if _, err := meet(t, c.dialling, c.accepting); (err == nil) != c.want {
+		if _, err := handshake(t, c.client, c.server); (err == nil) != c.want {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	// The deployment moves to the other authority; the same processes follow.
+	// The deployment moves to the other authority; the running processes
+	// follow.
 	entry.renew(t, theirs, "entry")
 	agent.renew(t, theirs, "agent")
-	if _, err := meet(t, entry.Client(), stranger.Server()); err != nil {
+	if _, err := handshake(t, entry.Client(), untrusted.Server()); err != nil {
 		t.Error(err)
 	}
 }
 
-// An operator makes the authority a second time in the same folder. That must
-// not replace the first: no process could talk to any other after its renewal.
+// An operator creates the authority a second time in the same folder. This must
+// not replace the first: no process could connect to another after its renewal.
 func TestAuthorityIsNeverReplaced(t *testing.T) {
 	folder := t.TempDir()
 	first := newAuthority(t, "ours")
@@ -139,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := meet(t, process(t, loaded, "entry").Client(), process(t, first, "agent").Server()); err != nil {
+	if _, err := handshake(t, newProcess(t, loaded, "entry").Client(), newProcess(t, first, "agent").Server()); err != nil {
 		t.Error(err)
 	}
 }
