--- a/ops/events/events_test.go
+++ b/ops/events/events_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// Many goroutines record; the ring stays within its bound, keeps the newest,
-// and the merged order doesn't depend on the order in which parts came.
+// Many goroutines record; the ring stays within its bound and keeps the newest
+// events, and the merged order doesn't depend on the order of the parts.
 func TestRingIsBoundedAndMergeIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rings := []*Ring{New("a", 64), New("b", 64), New("c", 64)}
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestLongDetailStaysText(t *testing.T) {
+func TestLongDetailStaysValidUTF8(t *testing.T) {
 	r := New("p", 8)
 	r.Record(structs.Event{Detail: "a" + strings.Repeat("ō", maxDetail)})
 	if d := r.Select("", "", 0)[0].Detail; !utf8.ValidString(d) || len(d) > maxDetail {
--- a/ops/events/merge.go
+++ b/ops/events/merge.go
@@ -15,7 +15,7 @@
 const LineWidth = 100
 
 // compare orders by logical time, then by process. The logical times of one
-// process are distinct, so the order of all events is total but for copies.
+// process are distinct, so that only copies of one event compare as equal.
 func compare(a, b structs.Event) int {
 	return cmp.Or(
 		cmp.Compare(a.Logical, b.Logical),
@@ -24,9 +24,9 @@
 	)
 }
 
-// Merge puts the parts of several processes into one order, which does not
+// Merge merges the parts of several processes into one order, which does not
 // depend on the order of the parts. An event that follows from another by
-// messages comes after it. A part that was collected twice counts once.
+// messages comes after it. Copies of an event are dropped.
 func Merge(parts [][]structs.Event) []structs.Event {
 	all := append([]structs.Event{}, slices.Concat(parts...)...)
 	slices.SortStableFunc(all, compare)
@@ -35,18 +35,18 @@
 	})
 }
 
-// shownID is how much of a request's or job's ID stands on a line that names
-// several.
-const shownID = 10
+// maxIDLength is the number of characters shown of a request's or job's ID.
+const maxIDLength = 10
 
-// WriteText prints events as a table of lines up to LineWidth characters. The
-// wall clock is for people; the order is that of the logical clock. A request
-// or job that all events belong to is named once, above the table.
+// WriteText prints events as a table of lines up to LineWidth characters, in the
+// order given, which is that of the logical clock. The wall clock is for readers
+// only. A request or job that all events belong to is named once, above the
+// table.
 func WriteText(w io.Writer, events []structs.Event) error {
 	out := bufio.NewWriter(w)
 	common := commonIDs(events)
-	if line := common.line(); line != "" {
-		writeLine(out, line)
+	if header := common.header(); header != "" {
+		writeLine(out, header)
 	}
 	process, step := len("PROCESS"), len("STEP")
 	for _, e := range events {
@@ -57,13 +57,13 @@
 	writeLine(out, fmt.Sprintf(format, "LOGICAL", "WALL", "PROCESS", "STEP", "DETAIL"))
 	for _, e := range events {
 		wall := e.Wall.UTC().Format("15:04:05.000")
-		writeLine(out, fmt.Sprintf(format, fmt.Sprint(e.Logical), wall, e.Process, e.Step, common.about(e)))
+		writeLine(out, fmt.Sprintf(format, fmt.Sprint(e.Logical), wall, e.Process, e.Step, common.details(e)))
 	}
 	return out.Flush()
 }
 
-// ids are the request and the job that all events of a list belong to, or "".
-// None is set of a list with a single event.
+// ids holds the request and the job that all events of a list belong to, or "".
+// Both are empty for a list with a single event.
 type ids struct {
 	request structs.RequestID
 	job     structs.JobID
@@ -85,7 +85,7 @@
 	return common
 }
 
-func (c ids) line() string {
+func (c ids) header() string {
 	var parts []string
 	if c.request != "" {
 		parts = append(parts, "request "+string(c.request))
@@ -96,8 +96,9 @@
 	return strings.Join(parts, ", ")
 }
 
-// about joins the optional parts of an event, what differs most first.
-func (c ids) about(e structs.Event) string {
+// details joins the optional parts of an event, those that differ most between
+// events first.
+func (c ids) details(e structs.Event) string {
 	var parts []string
 	add := func(name, value string) {
 		if value != "" {
@@ -120,10 +121,10 @@
 }
 
 func shorten(id string) string {
-	if len(id) <= shownID {
+	if len(id) <= maxIDLength {
 		return id
 	}
-	return id[:shownID] + "…"
+	return id[:maxIDLength] + "…"
 }
 
 // writeLine writes s, cut to LineWidth characters with a mark at the cut.
--- a/ops/events/ring.go
+++ b/ops/events/ring.go
@@ -1,6 +1,6 @@
 // Package events keeps a process's part of the time line: a bounded ring of
-// typed events under a Lamport clock, and the merging and printing of the
-// parts of many processes.
+// typed events under a Lamport clock. It also merges and prints the parts of
+// many processes.
 package events
 
 import (
@@ -18,7 +18,7 @@
 	ringShards = 8
 	// maxDetail bounds an event's text in bytes, and with it the ring's memory.
 	maxDetail = 256
-	// maxLogical is more events than any deployment records.
+	// maxLogical exceeds the number of events that any deployment records.
 	maxLogical = 1 << 62
 	// DefaultSize is the number of events that a process keeps.
 	DefaultSize = 16384
@@ -61,7 +61,7 @@
 	e.Logical = r.clock.Add(1)
 	e.Wall = time.Now().Round(0)
 	e.Process = r.process
-	e.Detail = cut(e.Detail)
+	e.Detail = truncate(e.Detail)
 	s := &r.shards[r.next.Add(1)%ringShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +73,8 @@
 	}
 }
 
-// cut shortens s to maxDetail bytes without splitting a character.
-func cut(s string) string {
+// truncate shortens s to maxDetail bytes without splitting a character.
+func truncate(s string) string {
 	if len(s) <= maxDetail {
 		return s
 	}
@@ -82,9 +82,9 @@
 }
 
 // Observe moves the clock to at least logical, the time that a peer's message
-// carried, so that whatever is recorded next sorts after what the peer did
-// before it sent the message. A time that only a broken peer can have reached
-// is left out: it would make the clock run over and begin again.
+// carried, so that events recorded next sort after the events of the peer
+// before it sent the message. It ignores a time that only a faulty peer can
+// have reached, since the clock would overflow.
 func (r *Ring) Observe(logical uint64) {
 	if logical > maxLogical {
 		return
@@ -100,12 +100,12 @@
 // Now returns the logical time of the latest event, to be sent to peers.
 func (r *Ring) Now() uint64 { return r.clock.Load() }
 
-// Recorded returns how many events were ever recorded.
+// Recorded returns the number of events ever recorded.
 func (r *Ring) Recorded() uint64 { return r.next.Load() }
 
-// Select returns the kept events above logical time after, in order. An empty
-// request or job matches every event; with both, an event that carries either
-// is returned.
+// Select returns the kept events with a logical time above after, in order. An
+// empty request or job matches every event; with both, an event that carries
+// either is returned.
 func (r *Ring) Select(request structs.RequestID, job structs.JobID, after uint64) []structs.Event {
 	out := []structs.Event{}
 	for i := range r.shards {
