--- a/ops/histogram/histogram.go
+++ b/ops/histogram/histogram.go
@@ -1,4 +1,4 @@
-// Package histogram keeps latencies and shows their quantiles with the
+// Package histogram records latencies and returns their quantiles for the
 // counters of a process.
 package histogram
 
@@ -10,8 +10,8 @@
 )
 
 const (
-	// longest is the longest latency that is told apart.
-	longest = 5 * time.Minute
+	// maxLatency is recorded for any longer latency.
+	maxLatency = 5 * time.Minute
 	// digits is the precision, in significant digits.
 	digits = 2
 )
@@ -23,17 +23,17 @@
 	h  *hdrhistogram.Histogram
 }
 
-// Observe counts d; what is longer than the longest counts as that.
+// Observe records d, limited to maxLatency.
 func (l *Latency) Observe(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.h == nil {
-		l.h = hdrhistogram.New(1, longest.Microseconds(), digits)
+		l.h = hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 	}
-	_ = l.h.RecordValue(min(max(1, d.Microseconds()), longest.Microseconds())) // within its range
+	_ = l.h.RecordValue(min(max(1, d.Microseconds()), maxLatency.Microseconds())) // the value is within the histogram's range
 }
 
-// Summary is what a histogram shows; times are in milliseconds.
+// Summary holds the quantiles of a histogram; times are in milliseconds.
 type Summary struct {
 	Count                    int64
 	P50, P90, P99, P999, Max float64
