--- a/ops/keys/keys.go
+++ b/ops/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys makes bearer keys and checks them against their hashes. A key
-// itself is shown once, when it is made; only hashes are stored.
+// Package keys generates bearer keys and checks them against their hashes. A
+// key itself is shown once, when it is generated; only hashes are stored.
 package keys
 
 import (
@@ -16,8 +16,8 @@
 	// Prefix marks a string as a persimmonrock key, so that scanners of
 	// leaked secrets can find it.
 	Prefix = "prk_"
-	// randomBytes is the entropy of a key. At 256 bits a plain hash is
-	// enough: no list of likely keys can be tried against it.
+	// randomBytes is the entropy of a key. At 256 bits a plain hash is enough:
+	// a dictionary attack on it is not feasible.
 	randomBytes = 32
 )
 
@@ -28,15 +28,16 @@
 	return Prefix + base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Hash returns the lower-case hex SHA-256 of key, as contracts store it.
+// Hash returns the lower-case hex SHA-256 of key, the form that contracts
+// store.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // Match reports whether key has one of hashes. Its time depends only on the
-// number of hashes: it compares all of them and leaves none out early, so that
-// a caller can't learn from answer times how close a guess was.
+// number of hashes: it always compares all of them, so that a caller can't
+// learn from response times how close a guess was.
 func Match(hashes []string, key string) bool {
 	given := []byte(Hash(key))
 	found := 0
--- a/ops/keys/keys_test.go
+++ b/ops/keys/keys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestOnlyTheRightKeyMatches(t *testing.T) {
+func TestMatch(t *testing.T) {
 	first, second := Generate(), Generate()
 	hashes := []string{Hash(first), Hash(second)}
 	for key, want := range map[string]bool{
