--- a/ops/logs/limit_test.go
+++ b/ops/logs/limit_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Ten times the load writes no more lines than the limit, warnings are not
-// crowded out by decisions, and what was left out is counted.
-func TestLimitBoundsTheLinesOfASecond(t *testing.T) {
+// At ten times the limit, no more lines than the limit are written, decisions
+// don't crowd out warnings, and the lines left out are counted.
+func TestLimitBoundsLinesPerSecond(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := &Limit{PerSecond: 50, Now: func() time.Time { return now }}
 	var out bytes.Buffer
@@ -23,12 +23,12 @@
 	}
 	log.Warn().Msg("store lost")
 	n := bytes.Count(out.Bytes(), []byte("\n"))
-	// A fifth of the 50 is kept for rarer kinds.
+	// A fifth of the 50 is reserved for rarer kinds.
 	if n != 41 {
 		t.Errorf("%d lines, want 41", n)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("store lost")) {
-		t.Error("a warning was crowded out")
+		t.Error("a warning was left out")
 	}
 	if want := int64(501 - n); l.Skipped() != want {
 		t.Errorf("%d lines counted as left out, want %d", l.Skipped(), want)
@@ -40,14 +40,14 @@
 	}
 }
 
-// A busy scheduler wrote the placements of the first tenths of each second and
-// nothing of the rest, so a request that came later led nowhere, and nothing in
-// the log said that lines were missing.
-func TestLinesLeftOutAreSpreadAndTold(t *testing.T) {
+// A busy scheduler wrote only the placements of the first tenths of each
+// second, so that the log neither explained later requests nor showed that
+// lines were missing.
+func TestLinesLeftOutAreSpreadAndReported(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
-	var told []map[string]int
-	l := &Limit{PerSecond: 100, Now: func() time.Time { return now }, Tell: func(m map[string]int) { told = append(told, m) }}
+	var reports []map[string]int
+	l := &Limit{PerSecond: 100, Now: func() time.Time { return now }, Tell: func(m map[string]int) { reports = append(reports, m) }}
 	log := zerolog.New(&out).Hook(l)
 	byTenth := map[int]int{}
 	for i := range 1000 {
@@ -63,22 +63,22 @@
 	}
 	for tenth := range tenths {
 		if byTenth[tenth] < 100/tenths/2 {
-			t.Errorf("%d lines in tenth %d of a second", byTenth[tenth], tenth)
+			t.Errorf("%d lines written in tenth %d of a second", byTenth[tenth], tenth)
 		}
 	}
 	if n := bytes.Count(out.Bytes(), []byte("job failed")); n != 4 {
-		t.Errorf("%d of 4 rare lines", n)
+		t.Errorf("%d of 4 rare lines written", n)
 	}
 	now = time.Unix(101, 0)
 	log.Info().Msg("placed")
 	written := bytes.Count(out.Bytes(), []byte("placed")) - 1
-	if diff := cmp.Diff([]map[string]int{{"placed": 1000 - written}}, told); diff != "" {
-		t.Errorf("told of what was left out (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]map[string]int{{"placed": 1000 - written}}, reports); diff != "" {
+		t.Errorf("reported lines left out (-want +got):\n%s", diff)
 	}
 }
 
-// However many kinds of lines there are, their sum stays within the limit.
-func TestManyKindsStayWithinTheLimit(t *testing.T) {
+// With many kinds of lines, their sum stays within the limit.
+func TestManyKindsStayWithinLimit(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
 	log := zerolog.New(&out).Hook(&Limit{PerSecond: 100, Now: func() time.Time { return now }})
--- a/ops/logs/lines.go
+++ b/ops/logs/lines.go
@@ -8,13 +8,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// longestLine bounds one line of a log, in bytes.
+// longestLine is the maximum length of one line of a log, in bytes.
 const longestLine = 1 << 20
 
-// EachObject calls f with the JSON object of each structured line of a log;
-// what it is given is valid until f returns. What stands before a line's first
-// brace, as some collectors put a time there, is passed over, and so is a line
-// without a brace. f passes over what it can't read.
+// EachObject calls f with the JSON object of each structured line of a log; the
+// object is valid until f returns. Text before a line's first brace, such as a
+// time that some collectors add, is skipped, and so is a line without a brace.
+// f must ignore objects that it can't parse.
 func EachObject(r io.Reader, f func(object []byte)) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, longestLine)
@@ -24,5 +24,5 @@
 			f(text[brace:])
 		}
 	}
-	return eris.Wrap(scanner.Err(), "read a log")
+	return eris.Wrap(scanner.Err(), "read log")
 }
--- a/ops/logs/lines_test.go
+++ b/ops/logs/lines_test.go
@@ -16,6 +16,6 @@
 		t.Errorf("objects %q, want %q", got, want)
 	}
 	if err := EachObject(strings.NewReader("{"+strings.Repeat("x", longestLine)), func([]byte) {}); err == nil {
-		t.Error("a line that is too long is passed over silently")
+		t.Error("a line that is too long gave no error")
 	}
 }
--- a/ops/logs/logs.go
+++ b/ops/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs sets up the process's zerolog logger.
+// Package logs sets up the process's zerolog logger, limits its lines and reads
+// logs.
 package logs
 
 import (
--- a/ops/logs/runs.go
+++ b/ops/logs/runs.go
@@ -6,31 +6,31 @@
 	"strings"
 )
 
-// PlacedRun is one of the runs that a line of a step's placements lists.
+// PlacedRun is one of the runs in the line of a step's placements.
 type PlacedRun struct {
-	// Index is the task's within its step, Run its run's number.
+	// Index is the task's index within its step, Run the number of its run.
 	Index  int
 	Run    int
 	Worker string
 }
 
-// String is the run as the line has it: INDEX#RUN@WORKER.
+// String returns the form used in the line: INDEX#RUN@WORKER.
 func (p PlacedRun) String() string {
 	return strconv.Itoa(p.Index) + "#" + strconv.Itoa(p.Run) + "@" + p.Worker
 }
 
-// Name is the run's whole name.
+// Name returns the run's full name.
 func (p PlacedRun) Name(job string, occurrence, step int) string {
 	return fmt.Sprintf("%s.%d.%d.%d#%d", job, occurrence, step, p.Index, p.Run)
 }
 
-// ParsePlacedRun reads what String gives.
+// ParsePlacedRun parses the result of String.
 func ParsePlacedRun(text string) (PlacedRun, bool) {
-	numbers, worker, ok := strings.Cut(text, "@")
-	index, run, okay := strings.Cut(numbers, "#")
+	numbers, worker, hasWorker := strings.Cut(text, "@")
+	index, run, hasRun := strings.Cut(numbers, "#")
 	p := PlacedRun{Worker: worker}
 	var indexErr, runErr error
 	p.Index, indexErr = strconv.Atoi(index)
 	p.Run, runErr = strconv.Atoi(run)
-	return p, ok && okay && indexErr == nil && runErr == nil
+	return p, hasWorker && hasRun && indexErr == nil && runErr == nil
 }
