--- a/ops/problem/problem.go
+++ b/ops/problem/problem.go
@@ -16,9 +16,10 @@
 const (
 	// ContentType is the media type of a problem document.
 	ContentType = "application/problem+json"
-	// TypeBase comes before the refusal's type in the document's "type" URI.
+	// TypeBase precedes the refusal's type in the document's "type" URI.
 	TypeBase = "https://persimmonrock.example/problems/"
-	// maxDetail bounds what is repeated of a body that is no problem document.
+	// maxDetail bounds the quote from a body that is no problem document, in
+	// characters.
 	maxDetail = 200
 )
 
@@ -35,9 +36,9 @@
 	Instance string `json:"instance,omitempty"`
 }
 
-// Write answers with r as a problem document. instance may be empty.
-// Retry-After is rounded up to whole seconds, since coming back early would be
-// refused again. A refusal without a valid outcome is sent as "unknown": that
+// Write responds with r as a problem document. instance may be empty.
+// Retry-After is rounded up to whole seconds, since an earlier retry would be
+// refused again. A refusal without a valid outcome is sent as "unknown", which
 // claims nothing.
 func Write(w http.ResponseWriter, r *structs.Refusal, instance string) {
 	status := r.Status
@@ -75,7 +76,7 @@
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// title makes "Queue full" of "queue-full".
+// title turns "queue-full" into "Queue full".
 func title(t structs.RefusalType) string {
 	s := strings.ReplaceAll(string(t), "-", " ")
 	if s == "" {
@@ -84,9 +85,9 @@
 	return strings.ToUpper(s[:1]) + s[1:]
 }
 
-// Decode reads the refusal of an answer that is not a success. An answer that
-// is no problem document, such as a balancer's, gives an internal refusal with
-// the outcome unknown.
+// Decode reads the refusal from a response that is not a success. A response
+// that is no problem document, such as a load balancer's, gives an internal
+// refusal with the outcome unknown.
 func Decode(status int, header http.Header, body []byte) *structs.Refusal {
 	var d Document
 	err := json.Unmarshal(body, &d)
--- a/ops/problem/problem_test.go
+++ b/ops/problem/problem_test.go
@@ -13,7 +13,7 @@
 	"persimmonrock.example/structs"
 )
 
-func TestRefusalSurvivesTheTripThroughADocument(t *testing.T) {
+func TestDecodeReadsWrittenRefusal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := &structs.Refusal{
 			Type:       structs.RefusalType(rapid.SampledFrom([]string{"queue-full", "deadline", "internal"}).Draw(t, "type")),
@@ -29,7 +29,7 @@
 		got := Decode(w.Code, w.Header(), w.Body.Bytes())
 		early := want.RetryAfter - got.RetryAfter
 		if early > 0 || early <= -time.Second {
-			t.Fatalf("want to come back after %s, told %s", want.RetryAfter, got.RetryAfter)
+			t.Fatalf("want a retry after %s, got %s", want.RetryAfter, got.RetryAfter)
 		}
 		got.RetryAfter = want.RetryAfter
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -38,9 +38,9 @@
 	})
 }
 
-// A balancer answers in place of an entry, or an entry is of another version.
-// That must not be read as proof that nothing ran.
-func TestWhatIsNoProblemDocumentProvesNothing(t *testing.T) {
+// A load balancer responds in place of an entry, or an entry is of another
+// version. Such a response must not be read as proof that nothing ran.
+func TestInvalidDocumentsHaveUnknownOutcome(t *testing.T) {
 	for _, body := range []string{
 		"<html>Bad Gateway", "", "null", `{"outcome": "not_run"}`,
 		`{"type": "https://elsewhere/x", "outcome": "not_run"}`,
