--- a/ops/serve/guard.go
+++ b/ops/serve/guard.go
@@ -10,29 +10,29 @@
 	"persimmonrock.example/structs"
 )
 
-// guard puts the limits on one request around the handler.
+// guard applies the server's limits to each request for next.
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
 		control := http.NewResponseController(w)
-		out := &answer{ResponseWriter: w, control: control, limit: s.limits.Write.Std(), stopping: &s.stopping}
+		response := &limitedResponse{ResponseWriter: w, control: control, limit: s.limits.Write.Std(), stopping: &s.stopping}
 		if r.Body != nil && r.Body != http.NoBody {
-			r.Body = http.MaxBytesReader(out, r.Body, s.limits.BodyBytes)
+			r.Body = http.MaxBytesReader(response, r.Body, s.limits.BodyBytes)
 		}
 		if r.ContentLength > s.limits.BodyBytes {
 			s.tooLarge.Add(1)
-			problem.Write(out, TooLarge(s.limits), r.URL.Path)
+			problem.Write(response, TooLarge(s.limits), r.URL.Path)
 			return
 		}
-		defer s.recoverPanic(out, r)
-		next.ServeHTTP(out, r)
-		out.begin()
+		defer s.recoverPanic(response, r)
+		next.ServeHTTP(response, r)
+		response.begin()
 	})
 }
 
-// recoverPanic answers for a handler that panicked. net/http would cut the
-// connection, and the caller couldn't tell that from a crash of the process.
-func (s *Server) recoverPanic(w *answer, r *http.Request) {
+// recoverPanic responds for a handler that panicked. net/http would cut the
+// connection, which a caller can't distinguish from a crash of the process.
+func (s *Server) recoverPanic(w *limitedResponse, r *http.Request) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -54,8 +54,8 @@
 	}, r.URL.Path)
 }
 
-// TooLarge is the refusal of a body above the limit. Handlers use it when a
-// read of the body fails with *http.MaxBytesError.
+// TooLarge returns the refusal of a body above the limit. Handlers use it when
+// a read of the body fails with *http.MaxBytesError.
 func TooLarge(l settings.Limits) *structs.Refusal {
 	return &structs.Refusal{
 		Type:    structs.RefusedTooLarge,
@@ -66,41 +66,41 @@
 	}
 }
 
-// answer bounds the time in which a client takes its answer, counted from the
-// first byte written: a handler may work as long as its caller's deadline
-// says, but a client that doesn't read can't hold the connection.
-type answer struct {
+// limitedResponse limits the time in which a client reads its response, counted
+// from the first byte written: a handler may run until its caller's deadline,
+// but a client that doesn't read can't hold the connection.
+type limitedResponse struct {
 	http.ResponseWriter
 	control *http.ResponseController
 	limit   time.Duration
 	begun   bool
-	// stopping tells the caller, from a planned stop on, not to use its
-	// connection again.
+	// stopping is set by a planned stop; responses then tell the caller not to
+	// use its connection again.
 	stopping *atomic.Bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) {
-	a.begin()
-	a.ResponseWriter.WriteHeader(status)
+func (l *limitedResponse) WriteHeader(status int) {
+	l.begin()
+	l.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements io.Writer.
-func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
-	return a.ResponseWriter.Write(p)
+func (l *limitedResponse) Write(p []byte) (int, error) {
+	l.begin()
+	return l.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (l *limitedResponse) Unwrap() http.ResponseWriter { return l.ResponseWriter }
 
-func (a *answer) begin() {
-	if a.begun {
+func (l *limitedResponse) begin() {
+	if l.begun {
 		return
 	}
-	a.begun = true
-	if a.stopping.Load() {
-		a.Header().Set("Connection", "close")
+	l.begun = true
+	if l.stopping.Load() {
+		l.Header().Set("Connection", "close")
 	}
-	a.control.SetWriteDeadline(time.Now().Add(a.limit))
+	l.control.SetWriteDeadline(time.Now().Add(l.limit))
 }
--- a/ops/serve/listener.go
+++ b/ops/serve/listener.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// limitedListener closes connections above a limit at once. It doesn't leave
-// them waiting in the kernel's queue: a balancer then tries another entry
-// instead of waiting for a timeout.
+// limitedListener closes connections above a limit at once instead of leaving
+// them in the kernel's queue: a load balancer then tries another entry instead
+// of waiting for a timeout.
 type limitedListener struct {
 	net.Listener
 	limit   int64
@@ -17,9 +17,8 @@
 	once    sync.Once
 }
 
-// Close closes the listener once and fails never again: a planned stop closes
-// it first, and http.Server.Shutdown would take its own, second close for a
-// failed stop.
+// Close closes the listener once; later calls return nil. A planned stop closes
+// it first, and http.Server.Shutdown would report the error of a second close.
 func (l *limitedListener) Close() error {
 	var err error
 	l.once.Do(func() { err = l.Listener.Close() })
@@ -48,7 +47,7 @@
 	once sync.Once
 }
 
-// Close gives the place up once, however often the server closes.
+// Close frees the connection's place once, however often it is called.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/ops/serve/route.go
+++ b/ops/serve/route.go
@@ -7,8 +7,8 @@
 	"persimmonrock.example/structs"
 )
 
-// route answers for paths and methods that mux doesn't know with a problem
-// document; net/http's own answer is plain text.
+// route responds with a problem document for paths and methods that mux doesn't
+// handle; net/http's own response is plain text.
 func (s *Server) route(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler, pattern := mux.Handler(r)
@@ -36,7 +36,7 @@
 	})
 }
 
-// statusProbe keeps only what the mux would answer.
+// statusProbe records the header and status of the mux's response.
 type statusProbe struct {
 	header http.Header
 	status int
@@ -45,7 +45,7 @@
 // Header implements http.ResponseWriter.
 func (p *statusProbe) Header() http.Header { return p.header }
 
-// Write drops b.
+// Write discards b.
 func (p *statusProbe) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader implements http.ResponseWriter.
--- a/ops/serve/serve.go
+++ b/ops/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs a process's HTTP server: limits on what a client can
-// take, health, counters, the process's events, TLS and graceful shutdown.
+// Package serve runs a process's HTTP server: limits on clients, health,
+// counters, the process's events, TLS and graceful shutdown.
 package serve
 
 import (
@@ -31,22 +31,22 @@
 	EventsPath = "/debug/events"
 )
 
-// readyRetry is what a process that isn't ready yet asks callers to wait.
+// readyRetry is the Retry-After of a process that isn't ready.
 const readyRetry = time.Second
 
-// Options says what to serve.
+// Options configures a server.
 type Options struct {
 	// Mux holds the process's own paths; New adds the common ones to it.
 	Mux    *http.ServeMux
 	Limits settings.Limits
 	// TLS is nil for plain HTTP.
 	TLS *settings.TLS
-	// Ready returns nil when the process can serve; nil means always.
+	// Ready returns nil when the process can serve; a nil Ready means always.
 	Ready func() error
-	// Vars, if nil, is made; Events may be nil.
+	// Vars is created if nil; Events may be nil.
 	Vars   *Vars
 	Events *events.Ring
-	// Guard refuses readers of counters and events; nil lets everyone read.
+	// Guard refuses readers of counters and events; nil allows all.
 	Guard func(*http.Request) *structs.Refusal
 	Log   zerolog.Logger
 }
@@ -60,16 +60,16 @@
 
 	mu        sync.Mutex
 	listeners []net.Listener
-	// listenersClosed says that a planned stop has closed the listeners.
+	// listenersClosed is set when a planned stop has closed the listeners.
 	listenersClosed bool
-	// stopping says that answers tell callers to leave their connections.
+	// stopping makes responses tell callers not to use their connections again.
 	stopping atomic.Bool
 
 	open, refused                        atomic.Int64
 	requests, tooLarge, panics, unrouted atomic.Int64
 }
 
-// New builds the server. Its counters are added to o.Vars as "http".
+// New creates a server. Its counters are added to o.Vars as "http".
 func New(o Options) (*Server, error) {
 	s := &Server{limits: o.Limits, log: o.Log}
 	if o.Vars == nil {
@@ -77,8 +77,8 @@
 	}
 	o.Vars.Func("http", s.vars)
 	if o.TLS != nil {
-		// HTTP/1.1 only: the limits on slow clients are per connection, and a
-		// connection of HTTP/2 would carry many requests past them.
+		// HTTP/1.1 only: the limits on slow clients are per connection, and an
+		// HTTP/2 connection would carry many requests past them.
 		certificate, err := certs.New(*o.TLS, "http/1.1")
 		if err != nil {
 			return nil, err
@@ -91,11 +91,11 @@
 		Handler:           s.guard(s.route(o.Mux)),
 		ReadHeaderTimeout: o.Limits.ReadHeader.Std(),
 		// The deadline of ReadTimeout does not end requests in progress:
-		// net/http takes it off the connection once the body is read.
+		// net/http removes it from the connection once the body is read.
 		ReadTimeout:    o.Limits.ReadHeader.Std() + o.Limits.ReadBody.Std(),
 		IdleTimeout:    o.Limits.Idle.Std(),
 		MaxHeaderBytes: o.Limits.HeaderBytes,
-		// net/http reports each client error here; counters tell them already.
+		// net/http logs client errors here; the counters already cover them.
 		ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 	return s, nil
@@ -149,8 +149,8 @@
 	Events []structs.Event `json:"events"`
 }
 
-// eventsHandler answers with the process's own events. It takes the queries
-// request, job and after.
+// eventsHandler responds with the process's own events that match
+// ParseEventQuery.
 func eventsHandler(ring *events.Ring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		query, refusal := ParseEventQuery(r)
@@ -169,7 +169,7 @@
 	After   uint64
 }
 
-// ParseEventQuery reads the queries request, job and after of r.
+// ParseEventQuery reads the query parameters request, job and after of r.
 func ParseEventQuery(r *http.Request) (EventQuery, *structs.Refusal) {
 	values := r.URL.Query()
 	q := EventQuery{Request: structs.RequestID(values.Get("request")), Job: structs.JobID(values.Get("job"))}
@@ -191,7 +191,7 @@
 	return q, nil
 }
 
-// WriteJSON answers 200 with v.
+// WriteJSON responds with status 200 and v as JSON.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
--- a/ops/serve/serve_test.go
+++ b/ops/serve/serve_test.go
@@ -39,20 +39,21 @@
 
 const operatorKey = "prk_operator"
 
-// started is a running server with handlers that misbehave on purpose.
-type started struct {
+// testServer is a running server with handlers that misbehave on purpose.
+type testServer struct {
 	*Server
 	address string
-	// inside gets a value when a request is in /slow; release lets it go on.
-	inside  chan struct{}
+	// entered receives a value when a request is in /slow; closing release ends
+	// such requests.
+	entered chan struct{}
 	release chan struct{}
-	// bodies gets the error of reading each body of /read.
+	// bodies receives the error of reading each body of /read.
 	bodies chan error
 }
 
-func start(t testing.TB, change func(*Options)) *started {
+func start(t testing.TB, change func(*Options)) *testServer {
 	t.Helper()
-	s := &started{inside: make(chan struct{}, 16), release: make(chan struct{}), bodies: make(chan error, 16)}
+	s := &testServer{entered: make(chan struct{}, 16), release: make(chan struct{}), bodies: make(chan error, 16)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /read", func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -68,7 +69,7 @@
 	mux.HandleFunc("POST /slow", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		select {
-		case s.inside <- struct{}{}:
+		case s.entered <- struct{}{}:
 		default:
 		}
 		select {
@@ -110,7 +111,7 @@
 	return s
 }
 
-func (s *started) dial(t *testing.T) net.Conn {
+func (s *testServer) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -142,25 +143,25 @@
 	} {
 		r, _ := http.NewRequest(c.method, "http://"+s.address+c.path, strings.NewReader(c.body))
 		r.Header.Set("Authorization", "Bearer "+c.key)
-		answer, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		if answer.StatusCode != c.status || !strings.Contains(string(body), c.want) {
-			t.Errorf("%s %s: %d %s, want %d %s", c.method, c.path, answer.StatusCode, body, c.status, c.want)
+		body, _ := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode != c.status || !strings.Contains(string(body), c.want) {
+			t.Errorf("%s %s: %d %s, want %d %s", c.method, c.path, response.StatusCode, body, c.status, c.want)
 		}
 		if c.path == VarsPath && c.status == 200 && json.Unmarshal(body, &map[string]any{}) != nil {
-			t.Errorf("counters are no JSON: %s", body)
+			t.Errorf("counters are not JSON: %s", body)
 		}
 	}
 }
 
 // A caller sends its body within the limit and then waits for a handler that
-// works longer than the limit for bodies. The request must not be cancelled:
-// the limit is for slow senders. The cause would be a read deadline that
-// stays on the connection.
+// runs longer than the limit for bodies. The request must not be cancelled, as
+// it would be if a read deadline stayed on the connection: the limit is for
+// slow senders.
 func TestBodyLimitDoesNotEndRequestsInProgress(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	s := start(t, func(o *Options) {
@@ -169,26 +170,26 @@
 	})
 	c := s.dial(t)
 	fmt.Fprintf(c, "POST /slow HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi")
-	<-s.inside
+	<-s.entered
 	time.AfterFunc(4*limit, func() { close(s.release) })
-	if answer := readAll(c); !strings.HasSuffix(answer, "whole") {
-		t.Errorf("got %q", answer)
+	if body := readAll(c); !strings.HasSuffix(body, "whole") {
+		t.Errorf("got %q", body)
 	}
 }
 
-// readAll reads one answer of HTTP/1.1, or what came of it.
+// readAll returns the body of one HTTP/1.1 response, or the text of the error.
 func readAll(c net.Conn) string {
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err.Error()
 	}
-	body, _ := io.ReadAll(answer.Body)
+	body, _ := io.ReadAll(response.Body)
 	return string(body)
 }
 
 // Clients stop half way through a header and half way through a body, and
-// others open connections beyond the limit. Without limits they would hold
-// the process's connections for good and callers couldn't get in.
+// others open connections beyond the limit. Without limits they would hold the
+// process's connections for ever and exclude other callers.
 func TestSlowClientsAndTooManyConnectionsAreCut(t *testing.T) {
 	s := start(t, func(o *Options) {
 		o.Limits.ReadHeader = structs.Duration(50 * time.Millisecond)
@@ -200,7 +201,7 @@
 	fmt.Fprint(body, "POST /read HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf")
 	third := s.dial(t)
 	if n, err := third.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("the third connection got %d bytes, %v", n, err)
+		t.Errorf("the third connection received %d bytes, %v", n, err)
 	}
 	io.Copy(io.Discard, header)
 	select {
@@ -209,7 +210,7 @@
 			t.Errorf("reading half a body gave %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("half a body still holds its connection after 10 s")
+		t.Error("connection with half a body still open after 10 s")
 	}
 	if s.refused.Load() != 1 {
 		t.Errorf("refused %d connections, want 1", s.refused.Load())
@@ -220,7 +221,7 @@
 	s := start(t, nil)
 	c := s.dial(t)
 	fmt.Fprint(c, "POST /slow HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	<-s.inside
+	<-s.entered
 	ended := make(chan error)
 	go func() { ended <- s.Shutdown(context.Background()) }()
 	for refused := false; !refused; runtime.Gosched() {
@@ -230,8 +231,8 @@
 		}
 	}
 	close(s.release)
-	if answer := readAll(c); answer != "whole" {
-		t.Errorf("got %q", answer)
+	if body := readAll(c); body != "whole" {
+		t.Errorf("got %q", body)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -239,7 +240,7 @@
 
 	for range 50 {
 		idle := start(t, nil)
-		eventuallyServes(t, idle)
+		waitUntilServing(t, idle)
 		if err := idle.Shutdown(t.Context()); err != nil {
 			t.Fatalf("an idle server: %v", err)
 		}
@@ -247,7 +248,7 @@
 
 	stuck := start(t, nil)
 	fmt.Fprint(stuck.dial(t), "POST /slow HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	<-stuck.inside
+	<-stuck.entered
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
 	if err := stuck.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
@@ -255,8 +256,8 @@
 	}
 }
 
-// eventuallyServes returns once Serve has the listener.
-func eventuallyServes(t *testing.T, s *started) {
+// waitUntilServing returns once Serve has the listener.
+func waitUntilServing(t *testing.T, s *testServer) {
 	t.Helper()
 	c := s.dial(t)
 	fmt.Fprint(c, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -265,9 +266,9 @@
 }
 
 // Callers keep calling on kept connections while the server is stopped. Each
-// call must get its answer or be refused a connection. If idle connections are
-// closed without a word, the next call on one of them is cut off.
-func TestShutdownCutsOffNoCallerOnAKeptConnection(t *testing.T) {
+// call must be answered or be refused a connection. If the server closes idle
+// connections without notice, the next call on one of them is cut off.
+func TestShutdownCutsNoCallOnKeptConnections(t *testing.T) {
 	s := start(t, nil)
 	var answered, cut atomic.Int64
 	var running sync.WaitGroup
@@ -275,7 +276,7 @@
 		running.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			for {
-				answer, err := client.Post("http://"+s.address+"/read", "", strings.NewReader("x"))
+				response, err := client.Post("http://"+s.address+"/read", "", strings.NewReader("x"))
 				if errors.Is(err, syscall.ECONNREFUSED) {
 					return
 				}
@@ -284,8 +285,8 @@
 					cut.Add(1)
 					continue
 				}
-				io.Copy(io.Discard, answer.Body)
-				answer.Body.Close()
+				io.Copy(io.Discard, response.Body)
+				response.Body.Close()
 				answered.Add(1)
 			}
 		})
@@ -302,10 +303,10 @@
 	}
 }
 
-// Somebody sends 10,000 requests that aren't HTTP, or nearly are. No handler
-// may panic, none may be let through to counters, and the process must go on
-// serving with no connection left open.
-func TestMalformedRequestsLeaveNothingBehind(t *testing.T) {
+// A client sends 10,000 requests that aren't HTTP, or nearly are. No handler
+// may panic, none of the requests may read the counters, and the process must
+// continue to serve with no connection left open.
+func TestMalformedRequestsLeakNothing(t *testing.T) {
 	s := start(t, func(o *Options) { o.Limits.ReadHeader = structs.Duration(time.Second) })
 	random := mathrand.New(mathrand.NewPCG(1, 2))
 	texts := make(chan string, 16)
@@ -313,7 +314,7 @@
 	for range 16 {
 		running.Go(func() {
 			for text := range texts {
-				s.throw(t, text)
+				s.sendRaw(t, text)
 			}
 		})
 	}
@@ -328,27 +329,27 @@
 			t.Fatalf("%d connections left open", s.open.Load())
 		}
 	}
-	answer, err := http.Get("http://" + s.address + HealthPath)
-	if err != nil || answer.StatusCode != 200 || s.panics.Load() != 0 {
-		t.Errorf("afterwards: %v %v, %d panics", answer, err, s.panics.Load())
+	response, err := http.Get("http://" + s.address + HealthPath)
+	if err != nil || response.StatusCode != 200 || s.panics.Load() != 0 {
+		t.Errorf("afterwards: %v %v, %d panics", response, err, s.panics.Load())
 	}
 }
 
-// FuzzRequest wants that no bytes make a handler panic or show the counters.
+// FuzzRequest checks that no bytes make a handler panic or return the counters.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET /debug/vars HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer prk_guess\r\n\r\n")
 	f.Add("POST /read HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n")
 	s := start(f, nil)
 	f.Fuzz(func(t *testing.T, text string) {
 		panics := s.panics.Load()
-		s.throw(t, text)
+		s.sendRaw(t, text)
 		if s.panics.Load() != panics && !strings.Contains(text, "/panic") {
 			t.Errorf("a handler panicked on %q", text)
 		}
 	})
 }
 
-func (s *started) throw(t *testing.T, text string) {
+func (s *testServer) sendRaw(t *testing.T, text string) {
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Error(err)
@@ -358,13 +359,13 @@
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, text)
 	c.(*net.TCPConn).CloseWrite()
-	answer, _ := io.ReadAll(c)
-	if strings.Contains(string(answer), `"memstats"`) {
-		t.Errorf("counters without a key by %q", text)
+	response, _ := io.ReadAll(c)
+	if strings.Contains(string(response), `"memstats"`) {
+		t.Errorf("counters returned without a key for %q", text)
 	}
 }
 
-// malformed breaks one of a few requests at random places.
+// malformed alters one of a few requests at random positions.
 func malformed(random *mathrand.Rand) string {
 	seeds := []string{
 		"GET /debug/vars HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer \r\n\r\n",
@@ -392,7 +393,7 @@
 	return string(text)
 }
 
-func TestTLSIsSpokenWhereSet(t *testing.T) {
+func TestServesOnlyTLSWhereSet(t *testing.T) {
 	dir := t.TempDir()
 	files := settings.TLS{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
 	writePair(t, files, "first")
@@ -400,12 +401,12 @@
 	if got := s.serverName(t); got != "first" {
 		t.Errorf("got %q", got)
 	}
-	if answer, err := http.Get("http://" + s.address + HealthPath); err == nil && answer.StatusCode == http.StatusOK {
+	if response, err := http.Get("http://" + s.address + HealthPath); err == nil && response.StatusCode == http.StatusOK {
 		t.Error("served without TLS")
 	}
 }
 
-func (s *started) serverName(t *testing.T) string {
+func (s *testServer) serverName(t *testing.T) string {
 	t.Helper()
 	c, err := tls.Dial("tcp", s.address, &tls.Config{InsecureSkipVerify: true})
 	if err != nil {
--- a/ops/serve/stop.go
+++ b/ops/serve/stop.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// linger is how long a planned stop waits for connections without a
-	// request in progress.
-	linger = 2 * time.Second
-	// lingerPoll is the pause between two looks at them.
+	// maxLinger bounds the time that a planned stop waits for connections
+	// without a request in progress.
+	maxLinger = 2 * time.Second
+	// lingerPoll is the interval at which the stop checks for open connections.
 	lingerPoll = 10 * time.Millisecond
 )
 
@@ -35,23 +35,23 @@
 	return eris.Wrapf(err, "serve: HTTP on %s", l.Addr())
 }
 
-// Shutdown accepts no more connections and waits until the requests in
-// progress have their answers. When ctx ends first, it cuts the rest and
+// Shutdown accepts no more connections and waits until the requests in progress
+// are answered. If ctx ends first, it cuts the remaining connections and
 // returns an error.
 //
 // Failure guarded against: http.Server.Shutdown closes idle connections at
 // once, and a caller that sends its next request on one at that moment gets no
-// answer and no proof that nothing ran. So each answer from now on tells the
-// caller not to use its connection again, and connections have a while to get
-// such an answer before idle ones are closed.
+// response and no proof that nothing ran. So each response from now on tells
+// the caller not to use its connection again, and idle connections stay open
+// for up to maxLinger to receive such a response.
 //
-// The listeners are closed before the first such answer: told earlier, callers
+// The listeners are closed before the first such response: otherwise callers
 // open new connections at once, and the kernel resets those that wait to be
 // accepted when their listener is closed.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closeListeners()
 	s.stopping.Store(true)
-	s.lingerOn(ctx)
+	s.waitForConnections(ctx)
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.http.Close()
 		return eris.Wrapf(err, "serve: shutdown cut %d connections", s.open.Load())
@@ -75,9 +75,9 @@
 	return s.listenersClosed
 }
 
-// lingerOn returns when no connection is open or after linger.
-func (s *Server) lingerOn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, linger)
+// waitForConnections returns when no connection is open or after maxLinger.
+func (s *Server) waitForConnections(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxLinger)
 	defer cancel()
 	poll := time.NewTicker(lingerPoll)
 	defer poll.Stop()
--- a/ops/serve/vars.go
+++ b/ops/serve/vars.go
@@ -7,9 +7,9 @@
 	"runtime"
 )
 
-// Vars is a process's counters in expvar's form. It is not expvar's global
-// table, since several processes' worth of nodes live in one test process and
-// in `persimmonrock dev`.
+// Vars holds a process's counters and serves them in the format of expvar. It
+// does not use expvar's global table, since tests and `persimmonrock dev` run
+// several nodes in one process.
 type Vars struct {
 	table expvar.Map
 }
@@ -27,11 +27,11 @@
 	return v
 }
 
-// Func shows what f returns, as JSON, under name. f is called at each read and
-// from many goroutines.
+// Func publishes the result of f under name, as JSON. f is called at each read
+// and from many goroutines.
 func (v *Vars) Func(name string, f func() any) { v.table.Set(name, expvar.Func(f)) }
 
-// Set shows value under name.
+// Set publishes value under name.
 func (v *Vars) Set(name string, value expvar.Var) { v.table.Set(name, value) }
 
 // ServeHTTP writes all variables as one JSON object, as expvar.Handler does.
