--- a/ops/settings/agent.go
+++ b/ops/settings/agent.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/structs"
 )
 
-// AgentPlatform is where an agent finds the platform's services.
+// AgentPlatform locates the platform's services for an agent.
 type AgentPlatform struct {
 	// Table is the base URL of the transactional table service.
 	Table string `json:"table"`
@@ -19,7 +19,7 @@
 	Timeout structs.Duration `json:"timeout"`
 }
 
-// Total is what the instance has for the system to give out.
+// Total holds the resources of the instance that the system can allocate.
 type Total struct {
 	// Slots is the number of slots for urgent calls and batch tasks together.
 	Slots int `json:"slots"`
@@ -35,7 +35,7 @@
 	Connections int `json:"connections"`
 }
 
-// Resources returns t as the shared noun.
+// Resources returns t as structs.Resources.
 func (t Total) Resources() structs.Resources {
 	return structs.Resources{
 		Slots:        t.Slots,
@@ -46,7 +46,7 @@
 	}
 }
 
-// Agent is the settings of one agent process.
+// Agent holds the settings of one agent process.
 type Agent struct {
 	// Instance is the name of the instance that the agent stands on, different
 	// from every other one's.
@@ -85,7 +85,7 @@
 	LogLevel string `json:"log_level"`
 }
 
-// DefaultAgent returns the settings that hold unless the file says otherwise.
+// DefaultAgent returns the settings that apply unless the file sets them.
 func DefaultAgent() Agent {
 	limits := DefaultLimits()
 	limits.Connections = 256
@@ -100,7 +100,7 @@
 	}
 }
 
-// Check returns what is missing or out of range.
+// Check returns a problem for each setting that is missing or out of range.
 func (a *Agent) Check() []Problem {
 	out := required("instance", string(a.Instance), "a name for this instance")
 	out = append(out, required("data_centre", string(a.DataCentre), "the name of the data centre")...)
@@ -134,8 +134,9 @@
 	return out
 }
 
-// checkLoopback refuses an address that other machines reach: the announcement
-// asks for no key, since only the instance's own backend servers may make it.
+// checkLoopback refuses an address that other machines can reach: the
+// announcement requires no key, since only the instance's own backend servers
+// may make it.
 func checkLoopback(key, address string) []Problem {
 	if out := checkAddress(key, address); out != nil {
 		return out
--- a/ops/settings/common.go
+++ b/ops/settings/common.go
@@ -12,17 +12,18 @@
 	"persimmonrock.example/structs"
 )
 
-// minPeerSecret is the least length of the shared secret in bytes; package
-// wire asks for the same.
+// minPeerSecret is the minimum length of the shared secret in bytes; package
+// wire requires the same.
 const minPeerSecret = 16
 
-// HTTP is where a process serves HTTP.
+// HTTP configures a process's HTTP server.
 type HTTP struct {
 	// Listen is the IP address and port to listen on.
 	Listen string `json:"listen"`
 }
 
-// RPC is where a process serves the protocol between the system's processes.
+// RPC configures a process's server of the protocol between the system's
+// processes.
 type RPC struct {
 	// Listen is the IP address and port to listen on.
 	Listen string `json:"listen"`
@@ -31,7 +32,7 @@
 	Advertise string `json:"advertise"`
 }
 
-// Address returns the address that other processes reach this one at.
+// Address returns the address at which other processes reach this one.
 func (r RPC) Address() string {
 	if r.Advertise != "" {
 		return r.Advertise
@@ -39,7 +40,8 @@
 	return r.Listen
 }
 
-// Peers is how the system's own processes know each other.
+// Peers configures authentication and encryption between the system's
+// processes.
 type Peers struct {
 	// Secret is the secret that all processes share, at least 16 bytes. Give
 	// this or secret_file.
@@ -77,7 +79,7 @@
 	return readSecret(p.SecretFile)
 }
 
-// LoadAlsoAccept returns the second secret, nil if there is none.
+// LoadAlsoAccept returns the second secret, or nil if there is none.
 func (p Peers) LoadAlsoAccept() ([]byte, error) {
 	if p.AlsoAcceptFile == "" {
 		return nil, nil
@@ -125,7 +127,7 @@
 	return checkFiles(key, []file{{"cert", t.Cert}, {"key", t.Key}, {"ca", t.CA}})
 }
 
-// file is one file that the settings name, by its key.
+// file is a file that is named in the settings, with its key.
 type file struct{ name, path string }
 
 func checkFiles(key string, files []file) []Problem {
@@ -160,7 +162,7 @@
 	return checkFiles(key, files)
 }
 
-// Limits bounds what one HTTP client can take of a process.
+// Limits bounds the resources of a process that HTTP clients can use.
 type Limits struct {
 	// BodyBytes is the greatest request body in bytes.
 	BodyBytes int64 `json:"body_bytes"`
@@ -180,7 +182,7 @@
 	Idle structs.Duration `json:"idle"`
 }
 
-// DefaultLimits returns the limits that hold unless the file says otherwise.
+// DefaultLimits returns the limits that apply unless the file sets them.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:   1 << 20,
@@ -226,8 +228,8 @@
 	return []Problem{{key, fmt.Sprintf("want above 0s, got %s", d.Std())}}
 }
 
-// checkAddress wants "ip:port". Names are refused: a process learns its
-// addresses from its settings, and no resolver is asked while it serves.
+// checkAddress requires "ip:port". It refuses host names: a process takes its
+// addresses from its settings, and uses no resolver while it serves.
 func checkAddress(key, address string) []Problem {
 	const want = `an IP address and port, such as "10.0.0.7:7400"`
 	if address == "" {
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// checkReachable is checkAddress for an address that others dial.
+// checkReachable is checkAddress for an address that other processes dial.
 func checkReachable(key, address string) []Problem {
 	if out := checkAddress(key, address); out != nil {
 		return out
--- a/ops/settings/decode.go
+++ b/ops/settings/decode.go
@@ -13,17 +13,17 @@
 	"persimmonrock.example/structs"
 )
 
-// decoder fills a settings struct from a syntax tree and notes where each key
-// stands. encoding/json would accept keys of another case and repeated keys,
-// and tells no line, so the walk is done here.
+// decoder fills a settings struct from a syntax tree and records the offset of
+// each key. It walks the tree itself because encoding/json accepts keys of
+// another case and repeated keys, and reports no line numbers.
 type decoder struct {
-	text   []byte
-	places map[string]int
-	faults []Fault
+	text    []byte
+	offsets map[string]int
+	faults  []Fault
 }
 
 func newDecoder(text []byte) *decoder {
-	return &decoder{text: text, places: make(map[string]int)}
+	return &decoder{text: text, offsets: make(map[string]int)}
 }
 
 func (d *decoder) decode(key string, v *hujson.Value, into any) {
@@ -31,7 +31,7 @@
 }
 
 func (d *decoder) value(key string, v *hujson.Value, into reflect.Value) {
-	d.places[key] = v.StartOffset
+	d.offsets[key] = v.StartOffset
 	t := into.Type()
 	switch {
 	case t == reflect.TypeFor[structs.Duration]():
@@ -72,8 +72,8 @@
 	}
 }
 
-// array takes null for an empty list, since programs write an empty Go slice
-// so.
+// array accepts null as an empty list, since Go programs encode a nil slice as
+// null.
 func (d *decoder) array(key string, v *hujson.Value, into reflect.Value) {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == 'n' {
 		into.SetZero()
@@ -91,8 +91,8 @@
 	into.Set(list)
 }
 
-// leaf decodes a single value. null is refused too: encoding/json would leave
-// the default in force without a word.
+// leaf decodes a single value. It refuses null, too: encoding/json would
+// silently keep the default.
 func (d *decoder) leaf(key string, v *hujson.Value, into reflect.Value, want string) {
 	given := bytes.TrimSpace(d.text[v.StartOffset:v.EndOffset])
 	literal, ok := v.Value.(hujson.Literal)
@@ -108,8 +108,8 @@
 	d.faults = append(d.faults, Fault{Line: line, Column: column, Key: key, Want: want})
 }
 
-// check adds what a check found, but for keys that could not be decoded: the
-// check saw their defaults.
+// check adds the problems that a check returned, except those of keys that
+// could not be decoded: the check saw their defaults.
 func (d *decoder) check(problems []Problem) {
 	undecoded := len(d.faults)
 	for _, p := range problems {
@@ -122,11 +122,11 @@
 	}
 }
 
-// faultAtKey puts a fault where key stands, or at the nearest object around it
-// that the file has.
+// faultAtKey adds a fault at key, or at the nearest enclosing object in the
+// file.
 func (d *decoder) faultAtKey(key, want string) {
 	for at := key; ; {
-		offset, ok := d.places[at]
+		offset, ok := d.offsets[at]
 		if ok || at == "" {
 			d.fault(offset, key, want)
 			return
--- a/ops/settings/entry.go
+++ b/ops/settings/entry.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/structs"
 )
 
-// EntryPlatform is where an entry finds the platform's services.
+// EntryPlatform locates the platform's services for an entry.
 type EntryPlatform struct {
 	// Table is the base URL of the transactional table service.
 	Table string `json:"table"`
@@ -17,11 +17,12 @@
 	Timeout structs.Duration `json:"timeout"`
 }
 
-// minCallRetention is above the longest time of a call (1 h) and of the writing
-// of its end (40 min), so that no record goes while its call may still run.
+// minCallRetention exceeds the longest time of a call (1 h) plus that of
+// writing its end (40 min), so that no record is deleted while its call may
+// still run.
 const minCallRetention = 2 * time.Hour
 
-// Entry is the settings of one entry process.
+// Entry holds the settings of one entry process.
 type Entry struct {
 	// ID is the name of this entry, different from every other one's.
 	ID structs.EntryID `json:"id"`
@@ -71,7 +72,7 @@
 	LogLevel string `json:"log_level"`
 }
 
-// DefaultEntry returns the settings that hold unless the file says otherwise.
+// DefaultEntry returns the settings that apply unless the file sets them.
 func DefaultEntry() Entry {
 	return Entry{
 		Platform:      EntryPlatform{Timeout: seconds(2)},
@@ -88,7 +89,7 @@
 	}
 }
 
-// Check returns what is missing or out of range.
+// Check returns a problem for each setting that is missing or out of range.
 func (e *Entry) Check() []Problem {
 	out := required("id", string(e.ID), "a name for this entry")
 	out = append(out, required("data_centre", string(e.DataCentre), "the name of the data centre")...)
--- a/ops/settings/load.go
+++ b/ops/settings/load.go
@@ -1,6 +1,6 @@
 // Package settings declares the settings of both processes and reads them from
-// JSON with comments. Reading is strict: whatever is not understood is refused
-// with its place in the file, so that a typing error can't silently leave a
+// JSON with comments. Reading is strict: invalid or unknown content is refused
+// with its position in the file, so that a typing error can't silently leave a
 // default in force.
 package settings
 
@@ -12,14 +12,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is what a check has against a setting. Key is the dotted path of the
-// key, Want what was expected there.
+// Problem is an invalid setting. Key is the dotted path of the key, Want the
+// value that was expected.
 type Problem struct {
 	Key  string
 	Want string
 }
 
-// Fault is one thing wrong with a settings file. Line and Column count from 1.
+// Fault is one error in a settings file. Line and Column count from 1.
 type Fault struct {
 	Line   int
 	Column int
@@ -27,8 +27,8 @@
 	Want   string
 }
 
-// Error says why a settings file was refused. Commands exit with status 2 on
-// it.
+// Error lists the faults for which a settings file was refused. Commands exit
+// with status 2 on it.
 type Error struct {
 	File   string
 	Faults []Fault
@@ -38,17 +38,17 @@
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
-		place := fmt.Sprintf("%s:%d:%d", e.File, f.Line, f.Column)
+		position := fmt.Sprintf("%s:%d:%d", e.File, f.Line, f.Column)
 		if f.Key != "" {
-			place += ": " + f.Key
+			position += ": " + f.Key
 		}
-		lines = append(lines, place+": "+f.Want)
+		lines = append(lines, position+": "+f.Want)
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Load reads the settings file at path over the defaults that into already
-// holds, then runs check, which may be nil. A refusal is an *Error.
+// Load reads the settings file at path over the defaults in into, then runs
+// check, which may be nil. It returns an *Error if the file is refused.
 func Load[T any](path string, into *T, check func(*T) []Problem) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,8 +57,7 @@
 	return Parse(path, text, into, check)
 }
 
-// Parse is Load for a text that was read already; path is only named in
-// errors.
+// Parse is Load for a text that was read already; path is used only in errors.
 func Parse[T any](path string, text []byte, into *T, check func(*T) []Problem) error {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -75,7 +74,7 @@
 	return nil
 }
 
-// syntaxFault takes line and column out of a hujson error.
+// syntaxFault extracts line and column from a hujson error.
 func syntaxFault(err error) Fault {
 	f := Fault{Line: 1, Column: 1, Want: err.Error()}
 	var line, column int
--- a/ops/settings/reference.go
+++ b/ops/settings/reference.go
@@ -7,12 +7,12 @@
 	"persimmonrock.example/structs"
 )
 
-// Key is one key of a settings file as the reference lists it.
+// Key is one key of a settings file in the reference.
 type Key struct {
 	// Path is the dotted path of the key.
 	Path string
-	// Default is the JSON text of the value that holds when the key is left
-	// out, or "" where the key must be given or nothing holds.
+	// Default is the JSON text of the value that applies when the key is left
+	// out, or "" if the key is required or has no default.
 	Default string
 	// Type and Field name the Go field whose comment documents the key.
 	Type  string
--- a/ops/settings/settings_test.go
+++ b/ops/settings/settings_test.go
@@ -29,7 +29,7 @@
   "operator_key_hashes": ["%064d"],
 }`
 
-func TestEntryFileKeepsDefaultsAndTakesValues(t *testing.T) {
+func TestParseKeepsDefaultsAndSetsValues(t *testing.T) {
 	got := DefaultEntry()
 	text := strings.Replace(fmt.Sprintf(entryFile, 0), `"id"`, `"limits": {"idle": "3s"}, "id"`, 1)
 	if err := Parse("entry.hujson", []byte(text), &got, (*Entry).Check); err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Settings that a program writes must be readable, with what it left out.
+// Settings that a program writes must be readable, with null for lists.
 func TestWrittenSettingsAreReadBack(t *testing.T) {
 	want := DefaultEntry()
 	if err := Parse("f", fmt.Appendf(nil, entryFile, 0), &want, nil); err != nil {
@@ -60,9 +60,9 @@
 	}
 }
 
-// An operator mistypes one thing in a file that was good. Each must be refused
-// with its place, or a default would be in force that nobody asked for.
-func TestBadFilesAreRefusedWithTheirPlace(t *testing.T) {
+// An operator mistypes one thing in a valid file. Each error must be refused
+// with its position, or a default would silently be in force.
+func TestBadFilesAreRefusedWithPositions(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
 		{"unknown key", `"id"`, `"idd"`, `f:3:3: idd: unknown key; want one of agent_scan, call_retention, config_poll, data_centre`},
 		{"key of another case", `"id"`, `"Id"`, `f:3:3: Id: unknown key`},
@@ -98,7 +98,8 @@
 	}
 }
 
-// FuzzParse wants no panic, and a refusal's place inside the text.
+// FuzzParse checks that Parse does not panic and that a refusal's line is
+// inside the text.
 func FuzzParse(f *testing.F) {
 	f.Add(fmt.Sprintf(entryFile, 0))
 	f.Add(`{"limits": {"idle": [{}]}, "operator_key_hashes": [1]}`)
@@ -112,8 +113,8 @@
 	})
 }
 
-// The reference in docs/OPERATIONS.md is made from the declarations; run with
-// -update after a change.
+// The reference in docs/OPERATIONS.md is generated from the declarations; run
+// with -update after a change.
 func TestReferenceMatchesTheCode(t *testing.T) {
 	const begin, end = "<!-- settings reference: begin -->\n", "<!-- settings reference: end -->"
 	page := filepath.Join("..", "..", "docs", "OPERATIONS.md")
@@ -124,7 +125,7 @@
 	before, rest, _ := strings.Cut(string(text), begin)
 	got, after, found := strings.Cut(rest, end)
 	if !found {
-		t.Fatal("the page has no place for the reference")
+		t.Fatal("the page has no markers for the reference")
 	}
 	comments := fieldComments(t)
 	want := "\n### Entry\n\n" + referenceTable(t, comments, Keys(DefaultEntry())) +
