--- a/ops/settings/agent.go
+++ b/ops/settings/agent.go
@@ -15,7 +15,7 @@
 	Objects string `json:"objects"`
 	// Worker is the base URL of this instance's worker.
 	Worker string `json:"worker"`
-	// Timeout is the longest wait for one answer of the platform.
+	// Timeout is the maximum wait for one response of the platform.
 	Timeout structs.Duration `json:"timeout"`
 }
 
@@ -23,15 +23,15 @@
 type Total struct {
 	// Slots is the number of slots for urgent calls and batch tasks together.
 	Slots int `json:"slots"`
-	// MilliCores is the processor time in thousandths of a core; 0 leaves it
+	// MilliCores is the processor time in thousandths of a core; 0 means
 	// unlimited.
 	MilliCores int `json:"milli_cores"`
-	// MemoryBytes is the memory in bytes; 0 leaves it unlimited.
+	// MemoryBytes is the memory in bytes; 0 means unlimited.
 	MemoryBytes int64 `json:"memory_bytes"`
 	// Accelerators is the number of accelerators.
 	Accelerators int `json:"accelerators"`
-	// Connections is the number of connections to the backend server; 0 leaves
-	// it unlimited.
+	// Connections is the number of connections to the backend server; 0 means
+	// unlimited.
 	Connections int `json:"connections"`
 }
 
@@ -48,35 +48,36 @@
 
 // Agent holds the settings of one agent process.
 type Agent struct {
-	// Instance is the name of the instance that the agent stands on, different
-	// from every other one's.
+	// Instance is the name of the instance that the agent runs on, unique among
+	// all instances.
 	Instance structs.InstanceID `json:"instance"`
-	// DataCentre is the zone that the instance stands in.
+	// DataCentre is the data centre (zone) in which the instance runs.
 	DataCentre structs.DataCentre `json:"data_centre"`
-	// HTTP is where the backend servers of the instance announce themselves: a
-	// loopback address.
+	// HTTP is the loopback address at which the instance's backend servers
+	// announce themselves.
 	HTTP HTTP `json:"http"`
-	// RPC is where entries reach the agent.
+	// RPC is the address at which entries reach the agent.
 	RPC RPC `json:"rpc"`
-	// Peers is how the system's processes know each other.
+	// Peers is the authentication between the system's processes.
 	Peers Peers `json:"peers"`
-	// Entries is the list of rpc addresses of entries to begin with; the agent
-	// learns of the others from them.
+	// Entries is the list of rpc addresses of entries to contact first; the
+	// agent discovers the others through them.
 	Entries []string `json:"entries,omitempty"`
-	// Platform is where the platform's services are.
+	// Platform is the location of the platform's services.
 	Platform AgentPlatform `json:"platform"`
-	// Total is what the instance has for the system to give out.
+	// Total is the part of the instance's resources that the system can
+	// allocate.
 	Total Total `json:"total"`
-	// Limits is what one HTTP client can take at most.
+	// Limits is the set of limits on HTTP clients.
 	Limits Limits `json:"limits"`
-	// Lease is the length of the lease row that covers all tasks of the
-	// instance. Longer outlives longer outages of the table service; shorter
-	// recovers sooner from a lost instance.
+	// Lease is the duration of the lease that covers all tasks of the instance.
+	// A longer one survives longer outages of the table service; a shorter one
+	// allows a sooner recovery from a lost instance.
 	Lease structs.Duration `json:"lease"`
-	// WorkerLease is how long the worker runs tasks without a renewal by the
-	// agent.
+	// WorkerLease is the time for which the worker runs tasks without a renewal
+	// by the agent.
 	WorkerLease structs.Duration `json:"worker_lease"`
-	// Shutdown is the longest time for requests in progress and checkpoints at
+	// Shutdown is the maximum time for requests in progress and checkpoints at
 	// a planned stop.
 	Shutdown structs.Duration `json:"shutdown"`
 	// Events is the number of events of the time line that are kept.
--- a/ops/settings/common.go
+++ b/ops/settings/common.go
@@ -22,13 +22,12 @@
 	Listen string `json:"listen"`
 }
 
-// RPC configures a process's server of the protocol between the system's
-// processes.
+// RPC configures a process's server for the system's own protocol.
 type RPC struct {
 	// Listen is the IP address and port to listen on.
 	Listen string `json:"listen"`
-	// Advertise is the IP address and port that other processes reach this one
-	// at. Empty means the same as listen.
+	// Advertise is the IP address and port at which other processes reach this
+	// one. Empty means the same as listen.
 	Advertise string `json:"advertise"`
 }
 
@@ -40,19 +39,18 @@
 	return r.Listen
 }
 
-// Peers configures authentication and encryption between the system's
-// processes.
+// Peers configures security between the system's processes.
 type Peers struct {
 	// Secret is the secret that all processes share, at least 16 bytes. Give
 	// this or secret_file.
 	Secret string `json:"secret"`
-	// SecretFile is a file with the shared secret; white space at its ends is
-	// left out.
+	// SecretFile is a file with the shared secret; surrounding white space is
+	// ignored.
 	SecretFile string `json:"secret_file"`
 	// AlsoAcceptFile is a file with a second secret that other processes may
-	// use, while the secret is being changed.
+	// use while the secret is being changed.
 	AlsoAcceptFile string `json:"also_accept_file"`
-	// TLS encrypts what the processes say to each other. All or none have it.
+	// TLS encrypts the traffic between the processes. All or none have it.
 	TLS *PeerTLS `json:"tls,omitempty"`
 }
 
@@ -63,7 +61,7 @@
 	Cert string `json:"cert"`
 	// Key is the file of the PEM private key.
 	Key string `json:"key"`
-	// CA is the file of the PEM certificates that must have signed the
+	// CA is the file of the PEM certificates, one of which must have signed the
 	// certificate of every other process.
 	CA string `json:"ca"`
 }
@@ -146,8 +144,8 @@
 	Cert string `json:"cert"`
 	// Key is the file of the PEM private key.
 	Key string `json:"key"`
-	// ClientCA is a file of PEM certificates that must have signed a client's
-	// certificate. Empty asks clients for none.
+	// ClientCA is a file of PEM certificates, one of which must have signed a
+	// client's certificate. If empty, clients need no certificate.
 	ClientCA string `json:"client_ca"`
 }
 
@@ -164,21 +162,21 @@
 
 // Limits bounds the resources of a process that HTTP clients can use.
 type Limits struct {
-	// BodyBytes is the greatest request body in bytes.
+	// BodyBytes is the maximum size of a request body in bytes.
 	BodyBytes int64 `json:"body_bytes"`
-	// HeaderBytes is the greatest request header in bytes.
+	// HeaderBytes is the maximum size of a request header in bytes.
 	HeaderBytes int `json:"header_bytes"`
-	// Connections is the greatest number of open connections; more are closed
-	// at once.
+	// Connections is the maximum number of open connections; further ones are
+	// closed at once.
 	Connections int `json:"connections"`
 	// ReadHeader is the time in which a client must send its header.
 	ReadHeader structs.Duration `json:"read_header"`
 	// ReadBody is the time in which a client must send its body.
 	ReadBody structs.Duration `json:"read_body"`
-	// Write is the time in which a client must take an answer, from the first
+	// Write is the time in which a client must read a response, from the first
 	// byte written.
 	Write structs.Duration `json:"write"`
-	// Idle is how long a connection without a request is kept.
+	// Idle is the time after which a connection without a request is closed.
 	Idle structs.Duration `json:"idle"`
 }
 
--- a/ops/settings/entry.go
+++ b/ops/settings/entry.go
@@ -13,7 +13,7 @@
 	Table string `json:"table"`
 	// Objects is the base URL of the object store.
 	Objects string `json:"objects"`
-	// Timeout is the longest wait for one answer of the platform.
+	// Timeout is the maximum wait for one response of the platform.
 	Timeout structs.Duration `json:"timeout"`
 }
 
@@ -24,47 +24,49 @@
 
 // Entry holds the settings of one entry process.
 type Entry struct {
-	// ID is the name of this entry, different from every other one's.
+	// ID is the name of this entry, unique among all entries.
 	ID structs.EntryID `json:"id"`
-	// DataCentre is the zone that the entry stands in.
+	// DataCentre is the data centre (zone) in which the entry runs.
 	DataCentre structs.DataCentre `json:"data_centre"`
-	// HTTP is where callers and operators reach the entry.
+	// HTTP is the address at which callers and operators reach the entry.
 	HTTP HTTP `json:"http"`
-	// RPC is where agents and other entries reach the entry.
+	// RPC is the address at which agents and other entries reach the entry.
 	RPC RPC `json:"rpc"`
-	// Peers is how the system's processes know each other.
+	// Peers is the authentication between the system's processes.
 	Peers Peers `json:"peers"`
-	// Entries is the list of rpc addresses of other entries, asked while the
-	// table service can't be read.
+	// Entries is the list of rpc addresses of other entries, which are queried
+	// while the table service can't be read.
 	Entries []string `json:"entries,omitempty"`
-	// Platform is where the platform's services are.
+	// Platform is the location of the platform's services.
 	Platform EntryPlatform `json:"platform"`
 	// OperatorKeyHashes is the list of hex SHA-256 hashes of the operators'
-	// keys that are valid now; two at once allow a rotation without a gap.
+	// keys that are valid; two at once allow a rotation without a gap.
 	OperatorKeyHashes []string `json:"operator_key_hashes"`
-	// TLS is for callers and operators. Left out, HTTP is served without it.
+	// TLS encrypts the connections of callers and operators. Without it, the
+	// entry serves plain HTTP.
 	TLS *TLS `json:"tls,omitempty"`
-	// Limits is what one HTTP client can take at most.
+	// Limits is the set of limits on HTTP clients.
 	Limits Limits `json:"limits"`
-	// Heartbeat is the shortest time between two reports of one agent; an
-	// entry stretches it with the number of agents.
+	// Heartbeat is the minimum time between two reports of one agent; an entry
+	// increases it with the number of agents.
 	Heartbeat structs.Duration `json:"heartbeat"`
-	// ShardLease is the length of the lease on a queue shard.
+	// ShardLease is the duration of the lease on a queue shard.
 	ShardLease structs.Duration `json:"shard_lease"`
-	// AgentScan is the time between two looks at the agents' lease rows, up to
+	// AgentScan is the time between two reads of the agents' lease rows, up to
 	// 200 of them; with more rows it grows in proportion, up to six times. A
-	// lost instance is noticed up to two of them after its lease.
+	// lost instance is detected up to two of these times after its lease
+	// expires.
 	AgentScan structs.Duration `json:"agent_scan"`
-	// JobRetention is how long final jobs, their results and checkpoints are
-	// kept at least; until then a repeated submission finds its job.
+	// JobRetention is the minimum time for which final jobs, their results and
+	// checkpoints are kept; until then a repeated submission finds its job.
 	JobRetention structs.Duration `json:"job_retention"`
 	// ConfigPoll is the time between two reads of the configuration's revision.
 	ConfigPoll structs.Duration `json:"config_poll"`
-	// CallRetention is how long the record of a call with an Idempotency-Key is
-	// kept at least after its last change, and so how long a repeat of the key
-	// is told of the first call; after that it runs as a new one.
+	// CallRetention is the minimum time for which the record of a call with an
+	// Idempotency-Key is kept after its last change. Until then a repeat of the
+	// key is answered from that record; later it runs as a new call.
 	CallRetention structs.Duration `json:"call_retention"`
-	// Shutdown is the longest time for requests in progress at a planned stop.
+	// Shutdown is the maximum time for requests in progress at a planned stop.
 	Shutdown structs.Duration `json:"shutdown"`
 	// Events is the number of events of the time line that are kept.
 	Events int `json:"events"`
