--- a/ops/doc.go
+++ b/ops/doc.go
@@ -1,4 +1,4 @@
-// Package ops groups what every persimmonrock process needs around its work:
-// settings, HTTP serving with limits, problem documents, keys, logs and the
-// time line. The code is in its subpackages.
+// Package ops groups the operational packages that every persimmonrock process
+// uses: settings, HTTP serving with limits, problem documents, keys, logs and
+// the time line. The code is in its subpackages.
 package ops
