--- a/ops/settings/common.go
+++ b/ops/settings/common.go
@@ -12,26 +12,26 @@
 	"persimmonrock.example/structs"
 )
 
-// minPeerSecret is the least length of the shared secret in bytes; package
-// wire asks for the same.
+// minPeerSecret is the minimum length of the shared secret in bytes; package
+// wire requires the same.
 const minPeerSecret = 16
 
-// HTTP is where a process serves HTTP.
+// HTTP configures a process's HTTP server.
 type HTTP struct {
 	// Listen is the IP address and port to listen on.
 	Listen string `json:"listen"`
 }
 
-// RPC is where a process serves the protocol between the system's processes.
+// RPC configures a process's server for the system's own protocol.
 type RPC struct {
 	// Listen is the IP address and port to listen on.
 	Listen string `json:"listen"`
-	// Advertise is the IP address and port that other processes reach this one
-	// at. Empty means the same as listen.
+	// Advertise is the IP address and port at which other processes reach this
+	// one. Empty means the same as listen.
 	Advertise string `json:"advertise"`
 }
 
-// Address returns the address that other processes reach this one at.
+// Address returns the address at which other processes reach this one.
 func (r RPC) Address() string {
 	if r.Advertise != "" {
 		return r.Advertise
@@ -39,18 +39,18 @@
 	return r.Listen
 }
 
-// Peers is how the system's own processes know each other.
+// Peers configures security between the system's processes.
 type Peers struct {
 	// Secret is the secret that all processes share, at least 16 bytes. Give
 	// this or secret_file.
 	Secret string `json:"secret"`
-	// SecretFile is a file with the shared secret; white space at its ends is
-	// left out.
+	// SecretFile is a file with the shared secret; surrounding white space is
+	// ignored.
 	SecretFile string `json:"secret_file"`
 	// AlsoAcceptFile is a file with a second secret that other processes may
-	// use, while the secret is being changed.
+	// use while the secret is being changed.
 	AlsoAcceptFile string `json:"also_accept_file"`
-	// TLS encrypts what the processes say to each other. All or none have it.
+	// TLS encrypts the traffic between the processes. All or none have it.
 	TLS *PeerTLS `json:"tls,omitempty"`
 }
 
@@ -61,7 +61,7 @@
 	Cert string `json:"cert"`
 	// Key is the file of the PEM private key.
 	Key string `json:"key"`
-	// CA is the file of the PEM certificates that must have signed the
+	// CA is the file of the PEM certificates, one of which must have signed the
 	// certificate of every other process.
 	CA string `json:"ca"`
 }
@@ -77,7 +77,7 @@
 	return readSecret(p.SecretFile)
 }
 
-// LoadAlsoAccept returns the second secret, nil if there is none.
+// LoadAlsoAccept returns the second secret, or nil if there is none.
 func (p Peers) LoadAlsoAccept() ([]byte, error) {
 	if p.AlsoAcceptFile == "" {
 		return nil, nil
@@ -125,7 +125,7 @@
 	return checkFiles(key, []file{{"cert", t.Cert}, {"key", t.Key}, {"ca", t.CA}})
 }
 
-// file is one file that the settings name, by its key.
+// file is a file that is named in the settings, with its key.
 type file struct{ name, path string }
 
 func checkFiles(key string, files []file) []Problem {
@@ -144,8 +144,8 @@
 	Cert string `json:"cert"`
 	// Key is the file of the PEM private key.
 	Key string `json:"key"`
-	// ClientCA is a file of PEM certificates that must have signed a client's
-	// certificate. Empty asks clients for none.
+	// ClientCA is a file of PEM certificates, one of which must have signed a
+	// client's certificate. If empty, clients need no certificate.
 	ClientCA string `json:"client_ca"`
 }
 
@@ -160,27 +160,27 @@
 	return checkFiles(key, files)
 }
 
-// Limits bounds what one HTTP client can take of a process.
+// Limits bounds the resources of a process that HTTP clients can use.
 type Limits struct {
-	// BodyBytes is the greatest request body in bytes.
+	// BodyBytes is the maximum size of a request body in bytes.
 	BodyBytes int64 `json:"body_bytes"`
-	// HeaderBytes is the greatest request header in bytes.
+	// HeaderBytes is the maximum size of a request header in bytes.
 	HeaderBytes int `json:"header_bytes"`
-	// Connections is the greatest number of open connections; more are closed
-	// at once.
+	// Connections is the maximum number of open connections; further ones are
+	// closed at once.
 	Connections int `json:"connections"`
 	// ReadHeader is the time in which a client must send its header.
 	ReadHeader structs.Duration `json:"read_header"`
 	// ReadBody is the time in which a client must send its body.
 	ReadBody structs.Duration `json:"read_body"`
-	// Write is the time in which a client must take an answer, from the first
+	// Write is the time in which a client must read a response, from the first
 	// byte written.
 	Write structs.Duration `json:"write"`
-	// Idle is how long a connection without a request is kept.
+	// Idle is the time after which a connection without a request is closed.
 	Idle structs.Duration `json:"idle"`
 }
 
-// DefaultLimits returns the limits that hold unless the file says otherwise.
+// DefaultLimits returns the limits that apply unless the file sets them.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:   1 << 20,
@@ -226,8 +226,8 @@
 	return []Problem{{key, fmt.Sprintf("want above 0s, got %s", d.Std())}}
 }
 
-// checkAddress wants "ip:port". Names are refused: a process learns its
-// addresses from its settings, and no resolver is asked while it serves.
+// checkAddress requires "ip:port". It refuses host names: a process takes its
+// addresses from its settings, and uses no resolver while it serves.
 func checkAddress(key, address string) []Problem {
 	const want = `an IP address and port, such as "10.0.0.7:7400"`
 	if address == "" {
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// checkReachable is checkAddress for an address that others dial.
+// checkReachable is checkAddress for an address that other processes dial.
 func checkReachable(key, address string) []Problem {
 	if out := checkAddress(key, address); out != nil {
 		return out
