--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -156,7 +156,7 @@
 	}
 	a.mayHaveRun = true
 	return &structs.Refusal{Type: structs.RefusedAnswerLost, Status: 502, Outcome: structs.Unknown,
-		Detail: "the agent does not respond, and no other attempt was possible", Step: "call.wait", Peer: string(last.agent.Instance)}
+		Detail: "the agent has gone silent, and no other attempt was possible", Step: "call.wait", Peer: string(last.agent.Instance)}
 }
 
 // checkPending checks agents that have not answered within checkAfter and sent
@@ -190,7 +190,7 @@
 	if a.lastRefusal != nil {
 		return a.lastRefusal
 	}
-	return &structs.Refusal{Type: structs.RefusedRetryBudget, Status: 503, Detail: "the retry budget is exhausted", Step: "call.retry"}
+	return &structs.Refusal{Type: structs.RefusedRetryBudget, Status: 503, Detail: "no retry is left", Step: "call.retry"}
 }
 
 func (a *attempts) remove(x *exchange) {
--- a/entry/urgent/judge.go
+++ b/entry/urgent/judge.go
@@ -29,7 +29,7 @@
 // noAgents refuses a call to a service that was offered until recently.
 func noAgents(service structs.Service) *structs.Refusal {
 	return &structs.Refusal{Type: structs.RefusedUnreachable, Status: 503, Outcome: structs.NotRun,
-		Detail: fmt.Sprintf("no backend server of %q is available now", service), RetryAfter: noAgentsRetryAfter, Step: "call.choose"}
+		Detail: fmt.Sprintf("no backend server of %q is heard now", service), RetryAfter: noAgentsRetryAfter, Step: "call.choose"}
 }
 
 // final converts the last refusal into the one for the caller, whose outcome
@@ -97,7 +97,7 @@
 		s.log.Error().Str("request", string(a.request.ID)).Str("got", string(reply.Request)).Msg("reply to another request dropped")
 		a.mayHaveRun = true
 		return Answer{}, &structs.Refusal{Type: structs.RefusedAnswerLost, Status: 502, Outcome: structs.Unknown,
-			Detail: "the agent sent the answer to another request", Step: "call.judge", Peer: string(agent.Instance)}
+			Detail: "the agent sent another request's answer", Step: "call.judge", Peer: string(agent.Instance)}
 	}
 	if reply.Refused != nil {
 		if reply.Refused.Outcome != structs.NotRun {
