--- a/entry/batch/change.go
+++ b/entry/batch/change.go
@@ -64,7 +64,7 @@
 		}
 		contract, known := t.m.deps.Contracts.Contract(j.Customer)
 		if !known {
-			return current, t.m.refusal(structs.RefusedForbidden, http.StatusForbidden, "submit", "the customer has no contract")
+			return current, t.m.refusal(structs.RefusedForbidden, http.StatusForbidden, "submit", "no contract")
 		}
 		if v.unfinished(j.Customer) >= contract.BatchQueue {
 			r := t.m.refusal(structs.RefusedQueueFull, http.StatusTooManyRequests, "submit",
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -373,7 +373,7 @@
 		select {
 		case s = <-got:
 		default:
-			return structs.Job{}, t.m.refuseUnknown(c.job, step, "the outcome of its transaction is unknown")
+			return structs.Job{}, t.m.refuseUnknown(c.job, step, "its transaction is in doubt")
 		}
 	}
 	return t.response(c, s, step)
@@ -389,9 +389,9 @@
 	case errors.Is(s.err, errAbsent):
 		return structs.Job{}, t.m.refuseNotFound(c.job, step)
 	case errors.Is(s.err, errUncertain):
-		return structs.Job{}, t.m.refuseUnknown(c.job, step, "the outcome of its transaction is unknown")
+		return structs.Job{}, t.m.refuseUnknown(c.job, step, "its transaction is in doubt")
 	case t.ctx.Err() != nil:
-		return structs.Job{}, t.m.refusal(structs.RefusedNotOwner, http.StatusServiceUnavailable, step, "the owner of the shard has changed")
+		return structs.Job{}, t.m.refusal(structs.RefusedNotOwner, http.StatusServiceUnavailable, step, "the shard has moved")
 	}
 	return structs.Job{}, t.m.refuseStore(step)
 }
