--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -29,7 +29,7 @@
 
 // Name returns the cause as shown in the tables.
 func (c Cause) Name() string {
-	return [causes]string{"working", "slowest task of a step", "waiting for a worker", "paced down", "repeated runs", "recording"}[c]
+	return [causes]string{"working", "longest task of a step", "waiting for a worker", "paced down", "runs again", "recording"}[c]
 }
 
 // Class rates a completed job by the objective known at its start.
--- a/ops/breakdown/print.go
+++ b/ops/breakdown/print.go
@@ -14,13 +14,13 @@
 		fmt.Fprintf(w, "the log has gaps: %d lines %q were left out\n", r.LeftOut[message], message)
 	}
 	for _, name := range r.Unaligned {
-		fmt.Fprintf(w, "no event links the clock of %s to another process: its lines are placed by its wall clock\n", name)
+		fmt.Fprintf(w, "the clock of %s is tied to no other: its lines stand where its wall clock puts them\n", name)
 	}
 	fmt.Fprintf(w, "jobs with filling work: %d in time, %d late, %d overdue, %d failed, %d cancelled, %d not ended\n\n",
 		r.ByClass[InTime].Jobs, r.ByClass[Late].Jobs, r.ByClass[Overdue].Jobs, r.Failed, r.Cancelled, r.Unfinished)
-	fmt.Fprintf(w, "serving tasks exceeded their targets for %.1f s, %.1f s of it beside filling work\n\n", r.OverTarget, r.OverTargetFilled)
+	fmt.Fprintf(w, "serving tasks were over their targets for %.1f s, %.1f s of it beside filling work\n\n", r.OverTarget, r.OverTargetFilled)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(table, "time of the slowest tasks (s)\tjobs\t")
+	fmt.Fprint(table, "time of the slowest tasks, s\tjobs\t")
 	for c := range causes {
 		fmt.Fprintf(table, "%s\t", c.Name())
 	}
