--- a/sessions/machines/agent.go
+++ b/sessions/machines/agent.go
@@ -11,11 +11,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Agent is the machine of a worker.
+// Agent is a machine with its worker and its agent process.
 type Agent struct {
-	world *World
-	Node  string
-	// dataCentre is that of the machine.
+	simulation *Simulation
+	Node       string
+	// dataCentre is the data centre of the machine.
 	dataCentre string
 
 	mu      sync.Mutex
@@ -24,32 +24,32 @@
 	cancel  context.CancelFunc
 	control *control
 	server  *server
-	// held says that no report of the worker arrives.
-	held bool
+	// reportsLost drops all reports of the worker.
+	reportsLost bool
 }
 
-// Worker is the life of the worker that is there now.
+// Worker returns the current incarnation of the worker.
 func (a *Agent) Worker() *Worker {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.worker
 }
 
-// NewWorker begins a new life of the worker; an earlier one has crashed.
+// NewWorker starts a new incarnation of the worker; the previous one crashes.
 func (a *Agent) NewWorker() {
-	w := a.world
-	w.mu.Lock()
-	w.lives++
-	life := w.lives
-	w.mu.Unlock()
+	sim := a.simulation
+	sim.mu.Lock()
+	sim.incarnations++
+	incarnation := sim.incarnations
+	sim.mu.Unlock()
 	info := workload.Worker{
-		ID: workload.WorkerID(fmt.Sprintf("w-%d", life)), Service: Service, DataCentre: a.dataCentre, Labels: []string{"a", "r1"}, Capacity: w.opt.Capacity,
+		ID: workload.WorkerID(fmt.Sprintf("w-%d", incarnation)), Service: Service, DataCentre: a.dataCentre, Labels: []string{"a", "r1"}, Capacity: sim.opt.Capacity,
 	}
-	worker := NewWorker(info, w.Rules, w.opt.Outcome, w.opt.Seed+uint64(life))
-	worker.advisor = w.advisor
+	worker := NewWorker(info, sim.Rules, sim.opt.Outcome, sim.opt.Seed+uint64(incarnation))
+	worker.advisor = sim.advisor
 	worker.OnCrash(func() {
-		time.Sleep(w.opt.backAfter())
-		if !w.isClosed() && a.Worker() == worker {
+		time.Sleep(sim.opt.restartDelay())
+		if !sim.isClosed() && a.Worker() == worker {
 			a.NewWorker()
 		}
 	})
@@ -63,27 +63,27 @@
 	go a.report(worker)
 }
 
-// report sends the reports of one life.
+// report sends the reports of one incarnation until it ends.
 func (a *Agent) report(worker *Worker) {
 	for n := uint64(1); ; n++ {
 		worker.mu.Lock()
-		alive, dark, info := worker.alive, worker.dark, worker.info
+		alive, unresponsive, info := worker.alive, worker.unresponsive, worker.info
 		worker.mu.Unlock()
 		if !alive {
 			return
 		}
 		a.mu.Lock()
-		r, held := a.runner, a.held
+		r, reportsLost := a.runner, a.reportsLost
 		a.mu.Unlock()
-		if r != nil && !dark && !held {
+		if r != nil && !unresponsive && !reportsLost {
 			r.Reported(info, n)
 		}
 		time.Sleep(heartbeat)
 	}
 }
 
-// Leave lets the worker say that it ends, and end.
-func (a *Agent) Leave() {
+// StopWorker announces the end of the worker to the agent and then ends it.
+func (a *Agent) StopWorker() {
 	a.mu.Lock()
 	worker, r := a.worker, a.runner
 	a.mu.Unlock()
@@ -93,14 +93,15 @@
 	worker.Kill()
 }
 
-// HoldReports sets whether the worker's reports get lost, though it answers.
-func (a *Agent) HoldReports(held bool) {
+// SetReportsLost sets whether the worker's reports get lost. The worker still
+// answers calls.
+func (a *Agent) SetReportsLost(reportsLost bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.held = held
+	a.reportsLost = reportsLost
 }
 
-// Start starts the agent's process, unless one runs.
+// Start starts the agent's process unless it already runs.
 func (a *Agent) Start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,12 +115,12 @@
 }
 
 func (a *Agent) run(ctx context.Context, c *control) {
-	w := a.world
-	log := w.logOf(a.Node)
+	sim := a.simulation
+	log := sim.newLog(a.Node)
 	registration := runner.Registration{
-		Store: &cutStore{Store: w.Store.Client(a.Node), world: w, node: a.Node}, Node: a.Node, Address: a.Node, Log: log,
+		Store: &nodeStore{Store: sim.Store.Client(a.Node), simulation: sim, node: a.Node}, Node: a.Node, Address: a.Node, Log: log,
 	}
-	r := runner.New(runner.Config{MaxLease: longestLease}, runner.Deps{Control: c, Log: log, Now: w.now, Found: registration.Record})
+	r := runner.New(runner.Config{MaxLease: longestLease}, runner.Deps{Control: c, Log: log, Now: sim.now, Found: registration.Record})
 	a.mu.Lock()
 	if ctx.Err() == nil {
 		a.runner = r
@@ -134,13 +135,13 @@
 	must(server.RegisterName("Agent", runner.NewRPC(ctx, r)))
 	a.mu.Lock()
 	if ctx.Err() == nil {
-		a.server = w.listen(a.Node, server)
+		a.server = sim.listen(a.Node, server)
 	}
 	a.mu.Unlock()
 	r.Run(ctx)
 }
 
-// Kill ends the agent's process at once. Its worker lives on.
+// Kill ends the agent's process at once. The worker keeps running.
 func (a *Agent) Kill() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,11 +151,12 @@
 	a.cancel()
 	a.control.kill()
 	a.cancel, a.runner = nil, nil
-	a.world.unlisten(a.Node, a.server)
+	a.simulation.unlisten(a.Node, a.server)
 	a.server = nil
 }
 
-// Counters returns the figures of the agent that runs.
+// Counters returns the counters of the running agent; they are zero while none
+// runs.
 func (a *Agent) Counters() runner.Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sessions/machines/client.go
+++ b/sessions/machines/client.go
@@ -9,19 +9,19 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Jobs is an entry as a client calls it. Errors are those of package
-// workload; any other says nothing of what became of the call.
+// Jobs is an entry as a client calls it. Its errors are those of package
+// workload; after any other error the outcome of the call is unknown.
 type Jobs interface {
 	Submit(ctx context.Context, q workload.Queue, j workload.Job) error
 	State(ctx context.Context, q workload.Queue, id workload.JobID) (workload.State, error)
 	Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error
 }
 
-// Client hands jobs in, asks for their states and cancels them, at whatever
-// entry answers, as the users' clients do. It tells the rules what it sees.
+// Client submits jobs, reads their states and cancels them at any entry that
+// answers, as the users' clients do. It reports its observations to the rules.
 type Client struct {
 	rules *Rules
-	// entry returns the entry to ask at the n-th try, or nil if it is gone.
+	// entry returns the entry for the n-th attempt, or nil if it is down.
 	entry func(n int) Jobs
 	next  int
 }
@@ -31,10 +31,10 @@
 	return &Client{rules: rules, entry: entry}
 }
 
-// NewClient returns a client of the world.
-func (w *World) NewClient() *Client {
-	return NewClient(w.Rules, func(n int) Jobs {
-		if s := w.entries[n%len(w.entries)].Service(); s != nil {
+// NewClient returns a client of the simulation's entries.
+func (sim *Simulation) NewClient() *Client {
+	return NewClient(sim.Rules, func(n int) Jobs {
+		if s := sim.entries[n%len(sim.entries)].Service(); s != nil {
 			return s
 		}
 		return nil
@@ -42,24 +42,24 @@
 }
 
 const (
-	// clientDeadline is how long a client waits for one answer.
-	clientDeadline = 3 * time.Second
-	// clientPause is the pause before it asks again.
-	clientPause = 300 * time.Millisecond
+	// clientTimeout bounds the wait for one answer.
+	clientTimeout = 3 * time.Second
+	// clientRetryDelay is the delay before the next attempt.
+	clientRetryDelay = 300 * time.Millisecond
 )
 
-// Submit hands a job in, up to tries times, and reports whether it was
+// Submit submits a job in at most tries attempts and reports whether it was
 // accepted.
 func (c *Client) Submit(j workload.Job, tries int) bool {
-	c.rules.handIn(j)
+	c.rules.submitted(j)
 	for range tries {
 		service := c.service()
 		if service == nil {
-			time.Sleep(clientPause)
+			time.Sleep(clientRetryDelay)
 			c.rules.answered(j.ID, false, false)
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), clientDeadline)
+		ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 		err := service.Submit(ctx, j.Queue, j)
 		cancel()
 		var unavailable *workload.UnavailableError
@@ -67,7 +67,7 @@
 		if err == nil {
 			return true
 		}
-		time.Sleep(clientPause)
+		time.Sleep(clientRetryDelay)
 	}
 	return false
 }
@@ -77,51 +77,51 @@
 	return c.entry(c.next)
 }
 
-// State asks for a job's state until an entry answers.
+// State reads a job's state, repeating until an entry answers.
 func (c *Client) State(id workload.JobID) workload.State {
 	for {
 		service := c.service()
 		if service == nil {
-			time.Sleep(clientPause)
+			time.Sleep(clientRetryDelay)
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), clientDeadline)
+		ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 		s, err := service.State(ctx, workload.Queue{}, id)
 		cancel()
 		switch {
 		case err == nil:
-			c.rules.show(id, s)
+			c.rules.stateShown(id, s)
 			return s
 		case errors.Is(err, workload.ErrNoJob):
-			c.rules.missing(id)
+			c.rules.notFound(id)
 			return ""
 		}
-		time.Sleep(clientPause)
+		time.Sleep(clientRetryDelay)
 	}
 }
 
-// Cancel cancels a job and reports whether that was acknowledged.
+// Cancel cancels a job and reports whether the cancellation was acknowledged.
 func (c *Client) Cancel(id workload.JobID) bool {
 	for range 10 {
 		service := c.service()
 		if service == nil {
-			time.Sleep(clientPause)
+			time.Sleep(clientRetryDelay)
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), clientDeadline)
+		ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 		err := service.Cancel(ctx, workload.Queue{}, id)
 		cancel()
 		if err == nil {
 			c.rules.cancelled(id)
 			return true
 		}
-		time.Sleep(clientPause)
+		time.Sleep(clientRetryDelay)
 	}
 	return false
 }
 
-// Await asks for the states of jobs until all are final or the time is over,
-// and returns those that are not.
+// Await polls the states of jobs until all are final or the time within has
+// passed, and returns the jobs that are not final.
 func (c *Client) Await(ids []workload.JobID, within time.Duration) map[workload.JobID]workload.State {
 	deadline := time.Now().Add(within)
 	open := map[workload.JobID]workload.State{}
@@ -136,10 +136,10 @@
 				delete(open, id)
 			}
 		}
-		time.Sleep(clientPause)
+		time.Sleep(clientRetryDelay)
 	}
 	return open
 }
 
-// JobID gives the n-th identifier.
+// JobID returns the n-th job identifier.
 func JobID(n int) workload.JobID { return workload.JobID(fmt.Sprintf("%016x", n+1)) }
--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -11,8 +11,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// configRow is a configuration as the operator of this world writes it: one
-// route that names the version, and a filler of some size.
+// configRow is a configuration as the operator of the simulation writes it: one
+// route that names the version, and padding of a chosen size.
 type configRow struct {
 	Version uint64
 	Filler  string
@@ -32,40 +32,41 @@
 	return &workload.Config{Version: row.Version, Queues: []workload.Queue{q}}, nil
 }
 
-// Configure confirms a version of the configuration with a filler of so many
-// bytes. The operator reaches the store whatever its faults.
-func (w *World) Configure(version uint64, size int) {
+// Configure confirms a version of the configuration with size bytes of padding.
+// The operator's write succeeds whatever faults the store has.
+func (sim *Simulation) Configure(version uint64, size int) {
 	value, err := json.Marshal(configRow{Version: version, Filler: strings.Repeat("x", size)})
 	must(err)
-	must(w.Store.ApplyNow(rowstore.Txn{Puts: []rowstore.Put{{Key: operatorRows.Key, Value: value}}}))
-	w.confirmed(version)
+	must(sim.Store.ApplyNow(rowstore.Txn{Puts: []rowstore.Put{{Key: operatorRows.Key, Value: value}}}))
+	sim.confirmed(version)
 }
 
-// ConfigureUnreadable writes a configuration that can't be read.
-func (w *World) ConfigureUnreadable() {
-	must(w.Store.ApplyNow(rowstore.Txn{Puts: []rowstore.Put{{Key: operatorRows.Key, Value: []byte("{")}}}))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.configs != nil {
-		w.configs.lost = len(w.configs.confirmed)
+// ConfigureUnreadable writes a configuration that can't be parsed.
+func (sim *Simulation) ConfigureUnreadable() {
+	must(sim.Store.ApplyNow(rowstore.Txn{Puts: []rowstore.Put{{Key: operatorRows.Key, Value: []byte("{")}}}))
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.configs != nil {
+		sim.configs.overwritten = len(sim.configs.confirmed)
 	}
 }
 
 const (
-	// configApply is how long after its confirmation a version is in force at
-	// each machine in touch, on the users' tightest terms.
-	configApply = 2 * time.Second
-	// configLook is the time between two looks at what the entries serve.
-	configLook = 20 * time.Millisecond
+	// configApplyBound is the time after its confirmation within which a
+	// version must be in force at each reachable machine, the users' strictest
+	// bound.
+	configApplyBound = 2 * time.Second
+	// configPollInterval is the time between two checks of the served versions.
+	configPollInterval = 20 * time.Millisecond
 )
 
-// configWatch checks from outside which version each entry serves by.
+// configWatch checks from outside which version each entry serves.
 type configWatch struct {
 	confirmed []confirmedConfig
-	// lost is the number of the versions that no process can learn any more:
-	// one that can't be read has taken their place.
-	lost int
-	seen map[*Entry]*seenConfig
+	// overwritten is the number of versions that no process can read any more,
+	// because an unreadable configuration has replaced them.
+	overwritten int
+	observed    map[*Entry]*observedConfig
 }
 
 type confirmedConfig struct {
@@ -73,77 +74,79 @@
 	at      time.Time
 }
 
-// seenConfig is what was seen of one entry.
-type seenConfig struct {
+// observedConfig holds the observations of one entry.
+type observedConfig struct {
 	process *entryProcess
-	// calm is since when nothing has disturbed it, zero while something does.
+	// calm is the time since which no fault has disturbed the entry; zero
+	// during a fault.
 	calm time.Time
-	// served is the newest version that this process served by, since since.
-	served uint64
-	since  time.Time
-	// late says that it was reported to serve by too old a version.
+	// served is the newest version that this process has served, servedSince
+	// the time from which it has.
+	served      uint64
+	servedSince time.Time
+	// late marks an entry that was reported for serving too old a version.
 	late bool
 }
 
-// confirmed notes a confirmed version; the first one begins the watch.
-func (w *World) confirmed(version uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.configs == nil {
-		w.configs = &configWatch{seen: map[*Entry]*seenConfig{}}
-		go w.watchConfig()
+// confirmed records a confirmed version; the first one starts the watch.
+func (sim *Simulation) confirmed(version uint64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.configs == nil {
+		sim.configs = &configWatch{observed: map[*Entry]*observedConfig{}}
+		go sim.watchConfig()
 	}
-	w.configs.confirmed = append(w.configs.confirmed, confirmedConfig{version: version, at: time.Now()})
+	sim.configs.confirmed = append(sim.configs.confirmed, confirmedConfig{version: version, at: time.Now()})
 }
 
-func (w *World) watchConfig() {
-	for !w.isClosed() {
-		for _, e := range w.entries {
-			w.lookAtConfig(e)
+func (sim *Simulation) watchConfig() {
+	for !sim.isClosed() {
+		for _, e := range sim.entries {
+			sim.checkConfig(e)
 		}
-		time.Sleep(configLook)
+		time.Sleep(configPollInterval)
 	}
 }
 
-// lookAtConfig checks one entry: no version that is older than one that it
-// served by, and none that is older than what it must have while in touch.
-func (w *World) lookAtConfig(e *Entry) {
+// checkConfig checks that an entry serves no older version than it did before
+// and, while it is reachable, none older than the required one.
+func (sim *Simulation) checkConfig(e *Entry) {
 	p := e.current()
-	calm := p != nil && !w.isCut(e.Node) && !w.isHidden(e.Node) && w.Store.Calm(e.Node)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c, now := w.configs, time.Now()
-	seen := c.seenOf(e, p)
-	seen.setCalm(calm, now)
+	calm := p != nil && !sim.isCut(e.Node) && !sim.isHidden(e.Node) && sim.Store.Calm(e.Node)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	c, now := sim.configs, time.Now()
+	observed := c.observedOf(e, p)
+	observed.setCalm(calm, now)
 	if p == nil {
 		return
 	}
-	served := c.servedBy(p)
-	if served < seen.served {
-		w.Rules.report("%s serves by version %d after version %d", e.Node, served, seen.served)
+	served := c.servedVersion(p)
+	if served < observed.served {
+		sim.Rules.reportBreach("%s serves version %d after version %d", e.Node, served, observed.served)
 	}
-	if served != seen.served {
-		seen.served, seen.since = served, now
+	if served != observed.served {
+		observed.served, observed.servedSince = served, now
 	}
-	required := c.required(now)
-	late := calm && now.Sub(seen.calm) >= contact && served < required
-	if late && !seen.late {
-		w.Rules.report("%s serves by version %d, and version %d was confirmed over %v before", e.Node, served, required, configApply)
+	requiredVersion := c.requiredVersion(now)
+	late := calm && now.Sub(observed.calm) >= contactTime && served < requiredVersion
+	if late && !observed.late {
+		sim.Rules.reportBreach("%s serves version %d, but version %d was confirmed more than %v ago", e.Node, served, requiredVersion, configApplyBound)
 	}
-	seen.late = late
+	observed.late = late
 }
 
-// seenOf returns what was seen of a process of an entry, nil if none runs; a new
-// process has been seen to serve nothing.
-func (c *configWatch) seenOf(e *Entry, p *entryProcess) *seenConfig {
-	if c.seen[e] == nil || c.seen[e].process != p {
-		c.seen[e] = &seenConfig{process: p}
+// observedOf returns the observations of an entry's process, which is nil if
+// none runs; those of a new process are empty.
+func (c *configWatch) observedOf(e *Entry, p *entryProcess) *observedConfig {
+	if c.observed[e] == nil || c.observed[e].process != p {
+		c.observed[e] = &observedConfig{process: p}
 	}
-	return c.seen[e]
+	return c.observed[e]
 }
 
-// setCalm notes whether anything disturbs the entry.
-func (s *seenConfig) setCalm(calm bool, now time.Time) {
+// setCalm records whether the entry is free of faults.
+func (s *observedConfig) setCalm(calm bool, now time.Time) {
 	switch {
 	case !calm:
 		s.calm = time.Time{}
@@ -152,9 +155,9 @@
 	}
 }
 
-// servedBy finds the version of which a process serves the route, newest first;
-// 0 is none.
-func (c *configWatch) servedBy(p *entryProcess) uint64 {
+// servedVersion returns the newest version whose route a process serves, or 0
+// if it serves none.
+func (c *configWatch) servedVersion(p *entryProcess) uint64 {
 	for i := len(c.confirmed) - 1; i >= 0; i-- {
 		version := c.confirmed[i].version
 		if _, _, _, err := p.service.Queue(routeHost, routePath(version)); err == nil {
@@ -164,44 +167,44 @@
 	return 0
 }
 
-// required is the newest version that must be in force everywhere.
-func (c *configWatch) required(now time.Time) uint64 {
+// requiredVersion returns the newest version that must be in force everywhere.
+func (c *configWatch) requiredVersion(now time.Time) uint64 {
 	newest := uint64(0)
-	for _, v := range c.confirmed[c.lost:] {
-		if now.Sub(v.at) > configApply {
+	for _, v := range c.confirmed[c.overwritten:] {
+		if now.Sub(v.at) > configApplyBound {
 			newest = max(newest, v.version)
 		}
 	}
 	return newest
 }
 
-// inForceSince is since when each entry that runs serves by a version; ok is
-// false if one does not.
-func (w *World) inForceSince(version uint64) (latest time.Time, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.entries {
-		seen := w.configs.seen[e]
-		if seen == nil || seen.served != version {
+// inForceSince returns the time from which every running entry has served a
+// version; ok is false if one does not serve it.
+func (sim *Simulation) inForceSince(version uint64) (latest time.Time, ok bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, e := range sim.entries {
+		observed := sim.configs.observed[e]
+		if observed == nil || observed.served != version {
 			return time.Time{}, false
 		}
-		if seen.since.After(latest) {
-			latest = seen.since
+		if observed.servedSince.After(latest) {
+			latest = observed.servedSince
 		}
 	}
 	return latest, true
 }
 
-// awaitConfig waits until all entries serve by a version, and returns how long
-// after from the last one did.
-func (w *World) awaitConfig(version uint64, from time.Time, within time.Duration) (time.Duration, error) {
+// awaitConfig waits until all entries serve a version, and returns the delay
+// after from of the last one.
+func (sim *Simulation) awaitConfig(version uint64, from time.Time, within time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), from.Add(within))
 	defer cancel()
 	for ctx.Err() == nil {
-		if latest, ok := w.inForceSince(version); ok {
+		if latest, ok := sim.inForceSince(version); ok {
 			return latest.Sub(from), nil
 		}
-		time.Sleep(configLook)
+		time.Sleep(configPollInterval)
 	}
-	return 0, fmt.Errorf("version %d is not in force at all entries %v later", version, within)
+	return 0, fmt.Errorf("version %d is not in force at all entries after %v", version, within)
 }
--- a/sessions/machines/config_test.go
+++ b/sessions/machines/config_test.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// slowLink is the users' slowest link of an entry in bytes a second.
+	// slowLink is the users' slowest link of an entry in bytes per second.
 	slowLink = 10e6 / 8
 	// largeConfig is about the size of 1,400 routes.
 	largeConfig = 400 << 10
-	// verySlow lets the store answer after 2.4 s.
+	// verySlow is the slow-down at which the store answers after 2.4 s.
 	verySlow = 600
 )
 
-// A large change is not in force long after the store, slow before, is fast again.
+// Guards against a large change that comes into force long after a slow store
+// has become fast again.
 func TestLargeChangeIsInForceSoonAfterASlowStore(t *testing.T) {
 	for _, size := range []int{largeConfig, 3 * largeConfig} {
 		for phase := range 12 {
@@ -26,36 +27,36 @@
 	}
 }
 
-// changeInASlowStore confirms two changes in a slow store that is fast again
-// before the second one is read. The phase moves the moments.
+// changeInASlowStore confirms two changes in a slow store that becomes fast
+// again before the second one is read. phase shifts the moments of the changes.
 func changeInASlowStore(t *testing.T, size, phase int) {
-	play(t, Options{Seed: uint64(phase), Entries: 6, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetRate(slowLink)
-		w.Configure(1, 0)
+	simulate(t, Options{Seed: uint64(phase), Entries: 6, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetRate(slowLink)
+		sim.Configure(1, 0)
 		time.Sleep(5 * second)
-		w.Store.SetSlow(verySlow)
+		sim.Store.SetSlow(verySlow)
 		time.Sleep(3*second + time.Duration(phase)*200*time.Millisecond)
-		w.Configure(2, size)
+		sim.Configure(2, size)
 		time.Sleep(second)
-		w.Configure(3, size)
+		sim.Configure(3, size)
 		time.Sleep(second / 5)
-		w.Store.SetSlow(1)
-		if _, err := w.awaitConfig(3, time.Now(), contact); err != nil {
+		sim.Store.SetSlow(1)
+		if _, err := sim.awaitConfig(3, time.Now(), contactTime); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A change that takes long to transfer is cut and begun anew for ever.
+// Guards against a change whose long transfer is cut off and restarted forever.
 func TestLargeChangeOverASlowLinkIsInForce(t *testing.T) {
 	for _, size := range []int{largeConfig, 2 * largeConfig, 4 * largeConfig} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			play(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-				w.Store.SetRate(slowLink)
-				w.Configure(1, 0)
+			simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+				sim.Store.SetRate(slowLink)
+				sim.Configure(1, 0)
 				time.Sleep(5 * second)
-				w.Configure(2, size)
-				if _, err := w.awaitConfig(2, time.Now(), configApply); err != nil {
+				sim.Configure(2, size)
+				if _, err := sim.awaitConfig(2, time.Now(), configApplyBound); err != nil {
 					t.Error(err)
 				}
 			})
@@ -63,69 +64,73 @@
 	}
 }
 
-// An entry that starts in a slow store has no configuration until it is fast.
+// Guards against an entry that starts during a slow store and has no
+// configuration until the store is fast.
 func TestEntryThatStartsInASlowStoreGetsTheConfiguration(t *testing.T) {
-	play(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-		w.Configure(1, largeConfig)
+	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Configure(1, largeConfig)
 		time.Sleep(3 * second)
-		w.Store.SetRate(slowLink)
-		w.Store.SetSlow(verySlow)
-		e := w.Entries()[0]
+		sim.Store.SetRate(slowLink)
+		sim.Store.SetSlow(verySlow)
+		e := sim.Entries()[0]
 		e.Kill()
 		e.Start()
-		if _, err := w.awaitConfig(1, time.Now(), 2*verySlow*memstore.AnswerTime); err != nil {
+		if _, err := sim.awaitConfig(1, time.Now(), 2*verySlow*memstore.AnswerTime); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A change during a cut is not in force once the machine is in touch again.
+// Guards against a change during a cut that is not in force soon after the
+// machine is reconnected.
 func TestChangeDuringACutIsInForceSoonAfterIt(t *testing.T) {
-	play(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetRate(slowLink)
-		w.Configure(1, largeConfig)
+	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetRate(slowLink)
+		sim.Configure(1, largeConfig)
 		time.Sleep(3 * second)
-		node := w.Entries()[0].Node
-		w.Cut(node, true)
-		w.Configure(2, largeConfig)
+		node := sim.Entries()[0].Node
+		sim.Cut(node, true)
+		sim.Configure(2, largeConfig)
 		time.Sleep(3 * second)
-		w.Configure(3, largeConfig)
-		w.Store.Compact()
+		sim.Configure(3, largeConfig)
+		sim.Store.Compact()
 		time.Sleep(second)
-		w.Cut(node, false)
-		if _, err := w.awaitConfig(3, time.Now(), contact); err != nil {
+		sim.Cut(node, false)
+		if _, err := sim.awaitConfig(3, time.Now(), contactTime); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A configuration that can't be read replaces the last one, or blocks the next.
+// Guards against a configuration that can't be parsed and that replaces the
+// previous one or blocks the next.
 func TestUnreadableConfigurationChangesNothing(t *testing.T) {
-	play(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-		w.Configure(1, 0)
+	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Configure(1, 0)
 		time.Sleep(3 * second)
-		w.ConfigureUnreadable()
+		sim.ConfigureUnreadable()
 		time.Sleep(3 * second)
-		if _, ok := w.inForceSince(1); !ok {
+		if _, ok := sim.inForceSince(1); !ok {
 			t.Error("version 1 is no longer in force")
 		}
-		w.Configure(2, 0)
-		if _, err := w.awaitConfig(2, time.Now(), configApply); err != nil {
+		sim.Configure(2, 0)
+		if _, err := sim.awaitConfig(2, time.Now(), configApplyBound); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// Connections fall silent one after another, and a change is late.
+// Guards against late changes when one connection after another stops
+// answering.
 func TestChangeIsInForceThoughReadsGetNoAnswer(t *testing.T) {
-	play(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetRate(slowLink)
-		w.Configure(1, 0)
+	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetRate(slowLink)
+		sim.Configure(1, 0)
 		time.Sleep(3 * second)
-		w.Store.SetMute(0.2)
+		sim.Store.SetMute(0.2)
 		for version := uint64(2); version < 12; version++ {
-			w.Configure(version, largeConfig)
-			if _, err := w.awaitConfig(version, time.Now(), 2*contact); err != nil {
+			sim.Configure(version, largeConfig)
+			if _, err := sim.awaitConfig(version, time.Now(), 2*contactTime); err != nil {
 				t.Error(err)
 			}
 		}
--- a/sessions/machines/conn.go
+++ b/sessions/machines/conn.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// stream is one direction of a connection. A write never waits: net/rpc
-// writes under a lock, and in fake time nothing may wait for a lock whose
-// holder sleeps.
+// stream is one direction of a connection. A write never blocks: net/rpc writes
+// under a lock, and in fake time nothing may wait for a lock whose holder
+// sleeps.
 type stream struct {
 	mu     sync.Mutex
 	buf    []byte
 	closed bool
-	// notify has room for one token, which says that there is news.
+	// notify holds at most one token, which signals new bytes or the end.
 	notify chan struct{}
 }
 
@@ -45,10 +45,11 @@
 	return len(p), nil
 }
 
-// cutPoll is how often a connection looks whether a cut has healed.
-const cutPoll = 50 * time.Millisecond
+// cutPollInterval is the interval at which a connection checks whether a cut
+// has healed.
+const cutPollInterval = 50 * time.Millisecond
 
-// read waits for bytes; while cut is true they are held back.
+// read waits for bytes and holds them back while cut returns true.
 func (s *stream) read(p []byte, cut func() bool) (int, error) {
 	for {
 		s.mu.Lock()
@@ -64,7 +65,7 @@
 		case closed && !cut():
 			return 0, io.EOF
 		case ready || closed:
-			time.Sleep(cutPoll)
+			time.Sleep(cutPollInterval)
 		default:
 			<-s.notify
 		}
@@ -78,8 +79,8 @@
 	cut     func() bool
 }
 
-// newPipe returns both ends of a connection whose bytes wait while cut is
-// true.
+// newPipe returns both ends of a connection that holds its bytes back while cut
+// returns true.
 func newPipe(cut func() bool) (*conn, *conn) {
 	a, b := newStream(), newStream()
 	return &conn{in: a, out: b, cut: cut}, &conn{in: b, out: a, cut: cut}
--- a/sessions/machines/control.go
+++ b/sessions/machines/control.go
@@ -9,30 +9,30 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// control is how one process of an agent reaches the worker of its machine.
-// After the process was killed nothing of it reaches the worker.
+// control connects one process of an agent with the worker of its machine. Once
+// the process is killed, none of its calls reaches the worker.
 type control struct {
-	agent *Agent
-	dead  atomic.Bool
+	agent  *Agent
+	killed atomic.Bool
 }
 
-func (c *control) kill() { c.dead.Store(true) }
+func (c *control) kill() { c.killed.Store(true) }
 
 func (c *control) worker(ctx context.Context) (*Worker, error) {
-	if c.dead.Load() {
-		wait.For(ctx, silence)
+	if c.killed.Load() {
+		wait.For(ctx, callTimeout)
 		return nil, workerctl.ErrUnknown
 	}
 	return c.agent.Worker(), nil
 }
 
 // Start implements workerctl.Control.
-func (c *control) Start(ctx context.Context, life workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
+func (c *control) Start(ctx context.Context, incarnation workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
 	w, err := c.worker(ctx)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := w.Start(ctx, life, o)
+	answer, err := w.Start(ctx, incarnation, o)
 	if w.answerLost(ctx) {
 		return 0, workerctl.ErrUnknown
 	}
@@ -40,12 +40,12 @@
 }
 
 // Stop implements workerctl.Control.
-func (c *control) Stop(ctx context.Context, life workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
+func (c *control) Stop(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
 	w, err := c.worker(ctx)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := w.Stop(ctx, life, run, token)
+	answer, err := w.Stop(ctx, incarnation, run, token)
 	if w.answerLost(ctx) {
 		return 0, workerctl.ErrUnknown
 	}
@@ -53,12 +53,12 @@
 }
 
 // Pace implements workerctl.Control.
-func (c *control) Pace(ctx context.Context, life workload.WorkerID, run workload.RunID, percent int, token uint64) (workerctl.Clock, error) {
+func (c *control) Pace(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, percent int, token uint64) (workerctl.Clock, error) {
 	w, err := c.worker(ctx)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := w.Pace(ctx, life, run, percent, token)
+	answer, err := w.Pace(ctx, incarnation, run, percent, token)
 	if w.answerLost(ctx) {
 		return 0, workerctl.ErrUnknown
 	}
@@ -66,12 +66,12 @@
 }
 
 // Hold implements workerctl.Control.
-func (c *control) Hold(ctx context.Context, life workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
+func (c *control) Hold(ctx context.Context, incarnation workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
 	w, err := c.worker(ctx)
 	if err != nil {
 		return workerctl.Listing{}, err
 	}
-	answer, err := w.Hold(ctx, life, o)
+	answer, err := w.Hold(ctx, incarnation, o)
 	if w.answerLost(ctx) {
 		return workerctl.Listing{}, workerctl.ErrUnknown
 	}
--- a/sessions/machines/crash.go
+++ b/sessions/machines/crash.go
@@ -6,20 +6,20 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// formerCapacity is what a worker offered until it shrank.
+// formerCapacity is a capacity that a worker offered until it shrank.
 type formerCapacity struct {
 	capacity workload.Resources
 	until    time.Time
 }
 
-// Crash ends the life of the worker and of all that runs there.
+// Crash ends the worker and all its runs.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.crash(workload.RunID{})
 }
 
-// Kill is Crash with the address of the worker refusing calls.
+// Kill is Crash, but the worker's address then refuses calls.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -27,7 +27,7 @@
 	w.crash(workload.RunID{})
 }
 
-// crash ends the life; by is the run that is the cause, if any.
+// crash ends the worker; by is the run that caused the crash, if any.
 func (w *Worker) crash(by workload.RunID) {
 	if !w.alive {
 		return
@@ -40,15 +40,15 @@
 		w.rules.crashed(x.run, x.run == by)
 		time.AfterFunc(answerTime, func() {
 			for _, m := range w.rules.breakGang(x.run) {
-				m.on.breakOff(m.run)
+				m.on.endBroken(m.run)
 			}
 		})
 	}
-	w.running = map[workload.RunID]*working{}
+	w.running = map[workload.RunID]*activeRun{}
 }
 
-// breakOff ends a member of a gang of which another one is gone.
-func (w *Worker) breakOff(run workload.RunID) {
+// endBroken ends a member of a gang that has lost another member.
+func (w *Worker) endBroken(run workload.RunID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if x := w.running[run]; x != nil && w.alive {
@@ -56,44 +56,45 @@
 	}
 }
 
-// crashSoon lets a run that has begun crash the worker.
-func (w *Worker) crashSoon(x *working) *time.Timer {
+// scheduleCrash makes a run crash the worker after crashTime.
+func (w *Worker) scheduleCrash(x *activeRun) *time.Timer {
 	return time.AfterFunc(crashTime, func() {
 		w.mu.Lock()
-		crashes, then := w.alive && w.running[x.run] == x, w.onCrash
+		crashes, callback := w.alive && w.running[x.run] == x, w.onCrash
 		if crashes {
 			w.refusing = true
 			w.crash(x.run)
 		}
 		w.mu.Unlock()
-		if crashes && then != nil {
-			then()
+		if crashes && callback != nil {
+			callback()
 		}
 	})
 }
 
-// OnCrash sets what is called when a run has crashed the worker.
+// OnCrash sets the function to call after a run has crashed the worker.
 func (w *Worker) OnCrash(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onCrash = f
 }
 
-// SetCapacity changes what the worker offers; its next report says so.
+// SetCapacity changes the offered capacity; the worker's next report holds it.
 func (w *Worker) SetCapacity(c workload.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.larger = append(w.larger, formerCapacity{capacity: w.info.Capacity, until: time.Now()})
+	w.formerCapacities = append(w.formerCapacities, formerCapacity{capacity: w.info.Capacity, until: time.Now()})
 	w.info.Capacity = c
 }
 
-// shrinkGrace is how long after it shrank a worker may still be filled to what
-// it offered before, on the users' tightest terms.
-const shrinkGrace = contact + heartbeat
+// shrinkGrace is the time after a shrink during which a worker may still be
+// filled to its former capacity, the users' strictest bound.
+const shrinkGrace = contactTime + heartbeat
 
-// holds reports whether the worker may hold that much. The caller holds mu.
-func (w *Worker) holds(sum workload.Resources) bool {
-	for _, f := range w.larger {
+// allows reports whether the worker may run tasks that reserve sum. The caller
+// holds mu.
+func (w *Worker) allows(sum workload.Resources) bool {
+	for _, f := range w.formerCapacities {
 		if sum.Fits(f.capacity) && time.Since(f.until) <= shrinkGrace {
 			return true
 		}
--- a/sessions/machines/entry.go
+++ b/sessions/machines/entry.go
@@ -17,14 +17,14 @@
 	"persimmonrock.example/infra/wait"
 )
 
-// Entry is an entry's machine.
+// Entry is the machine of an entry.
 type Entry struct {
-	world *World
-	Node  string
+	simulation *Simulation
+	Node       string
 
 	mu      sync.Mutex
 	process *entryProcess
-	count   int
+	starts  int
 }
 
 type entryProcess struct {
@@ -35,44 +35,44 @@
 	done    chan struct{}
 }
 
-// drainKey begins the key of a drain.
+// drainKey is the prefix of the key of a drain.
 const drainKey = "drain/"
 
-// operatorRows is where the operator's rows are.
+// operatorRows locates the rows that the operator writes.
 var operatorRows = intake.ConfigSource{Key: rowstore.Key{Table: "op", Key: "config"}, Parse: parseConfig, Drained: func(key rowstore.Key) (string, bool, error) {
 	name, ok := strings.CutPrefix(key.Key, drainKey)
 	return name, ok, nil
 }}
 
-// Start starts a process, unless one runs.
+// Start starts the entry's process unless it already runs.
 func (e *Entry) Start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.process != nil {
 		return
 	}
-	e.count++
-	w := e.world
+	e.starts++
+	sim := e.simulation
 	ctx, cancel := context.WithCancel(context.Background())
-	log := w.logOf(e.Node).With().Int("start", e.count).Logger()
-	direct := &cutStore{Store: w.Store.Client(e.Node), world: w, node: e.Node}
-	around := relay.New(direct, e.Node, w.link(e.Node), log)
-	rows := settle.New(around)
-	clock := intake.NewStoreClock(w.now)
-	patient := &cutStore{Store: w.Store.PatientClient(e.Node, configSilence), world: w, node: e.Node}
-	config := intake.NewFollower(around.Reader(patient), operatorRows, log, clock)
+	log := sim.newLog(e.Node).With().Int("start", e.starts).Logger()
+	direct := &nodeStore{Store: sim.Store.Client(e.Node), simulation: sim, node: e.Node}
+	indirect := relay.New(direct, e.Node, sim.link(e.Node), log)
+	rows := settle.New(indirect)
+	clock := intake.NewStoreClock(sim.now)
+	configStore := &nodeStore{Store: sim.Store.PatientClient(e.Node, configIdleTimeout), simulation: sim, node: e.Node}
+	config := intake.NewFollower(indirect.Reader(configStore), operatorRows, log, clock)
 	elector := scheduler.NewElector(scheduler.Config{
-		Node: e.Node, Process: fmt.Sprintf("%s/%d", e.Node, e.count), Address: e.Node, Power: w.power(e), Grant: grant, StatusFor: 2 * time.Minute,
+		Node: e.Node, Process: fmt.Sprintf("%s/%d", e.Node, e.starts), Address: e.Node, Power: sim.power(e), Grant: grant, StatusFor: 2 * time.Minute,
 	}, scheduler.Deps{
-		Store: rows, Log: log, Now: w.now, Config: config.Current, Drains: config.Drains, Link: w.link(e.Node), Policy: w.advisor, Counters: &scheduler.Counters{},
+		Store: rows, Log: log, Now: sim.now, Config: config.Current, Drains: config.Drains, Link: sim.link(e.Node), Policy: sim.advisor, Counters: &scheduler.Counters{},
 	})
 	service := intake.New(rows, config, elector, clock, log)
 	server := rpc.NewServer()
 	must(server.RegisterName("Scheduler", &scheduler.Service{Elector: elector}))
-	must(server.RegisterName("Relay", around.Service()))
-	p := &entryProcess{cancel: cancel, service: service, elector: elector, server: w.listen(e.Node, server), done: make(chan struct{})}
+	must(server.RegisterName("Relay", indirect.Service()))
+	p := &entryProcess{cancel: cancel, service: service, elector: elector, server: sim.listen(e.Node, server), done: make(chan struct{})}
 	e.process = p
-	go around.Run(ctx, e.Node)
+	go indirect.Run(ctx, e.Node)
 	go config.Run(ctx)
 	go func() {
 		defer close(p.done)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Kill ends the process at once: what it has under way at the store is lost
-// to it.
+// Kill ends the process at once; it gets no answer to its store calls in
+// flight.
 func (e *Entry) Kill() {
 	e.mu.Lock()
 	p := e.process
@@ -96,14 +96,14 @@
 	if p == nil {
 		return
 	}
-	e.world.unlisten(e.Node, p.server)
-	e.world.Store.SetFault(e.Node, memstore.Silent)
+	e.simulation.unlisten(e.Node, p.server)
+	e.simulation.Store.SetFault(e.Node, memstore.Silent)
 	p.cancel()
 	<-p.done
-	e.world.Store.SetFault(e.Node, memstore.Healthy)
+	e.simulation.Store.SetFault(e.Node, memstore.Healthy)
 }
 
-// Stop ends the process in an orderly way.
+// Stop shuts the process down gracefully.
 func (e *Entry) Stop() {
 	e.mu.Lock()
 	p := e.process
@@ -114,7 +114,7 @@
 	}
 	p.cancel()
 	<-p.done
-	e.world.unlisten(e.Node, p.server)
+	e.simulation.unlisten(e.Node, p.server)
 }
 
 func (e *Entry) current() *entryProcess {
@@ -131,42 +131,42 @@
 	return nil
 }
 
-// cutStore is the store as seen from a machine that may be cut off.
-type cutStore struct {
+// nodeStore is the store as a machine that may be cut off reaches it.
+type nodeStore struct {
 	rowstore.Store
-	world *World
-	node  string
+	simulation *Simulation
+	node       string
 }
 
-func (c *cutStore) away(ctx context.Context) bool {
-	if !c.world.isCut(c.node) {
+func (c *nodeStore) unreachable(ctx context.Context) bool {
+	if !c.simulation.isCut(c.node) {
 		return false
 	}
-	wait.For(ctx, dialSilence)
+	wait.For(ctx, dialTimeout)
 	return true
 }
 
-// hides reports whether the machine can't read the table.
-func (c *cutStore) hides(table string) bool {
-	return table == operatorRows.Key.Table && c.world.isHidden(c.node)
+// cannotRead reports whether the table is hidden from the machine.
+func (c *nodeStore) cannotRead(table string) bool {
+	return table == operatorRows.Key.Table && c.simulation.isHidden(c.node)
 }
 
-func (c *cutStore) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
-	if c.away(ctx) {
+func (c *nodeStore) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
+	if c.unreachable(ctx) {
 		return rowstore.Stamp{}, rowstore.ErrUnavailable
 	}
 	return c.Store.Apply(ctx, t)
 }
 
-func (c *cutStore) List(ctx context.Context, table, part, from, to string) ([]rowstore.Row, bool, rowstore.Stamp, error) {
-	if c.away(ctx) || c.hides(table) {
+func (c *nodeStore) List(ctx context.Context, table, part, from, to string) ([]rowstore.Row, bool, rowstore.Stamp, error) {
+	if c.unreachable(ctx) || c.cannotRead(table) {
 		return nil, false, rowstore.Stamp{}, rowstore.ErrUnavailable
 	}
 	return c.Store.List(ctx, table, part, from, to)
 }
 
-func (c *cutStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
-	if c.away(ctx) || c.hides(table) {
+func (c *nodeStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
+	if c.unreachable(ctx) || c.cannotRead(table) {
 		return nil, rowstore.Stamp{}, rowstore.ErrUnavailable
 	}
 	return c.Store.Feed(ctx, table, after, wait)
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -12,11 +12,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A queue's policy permits only some workers, and the service that knows them
-// takes its time. Tickets hold for three seconds, and workers refuse starts
+// A queue's policy permits only some workers, and the policy service answers
+// slowly. Tickets are valid for three seconds, and workers refuse starts
 // without one.
 func TestQueueThatNeedsAdvice(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 5}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 5}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 6 {
 			j := job(n, 4)
 			j.Queue.Advised = true
@@ -29,10 +29,10 @@
 	})
 }
 
-// Members of a gang work only together: all of them or none are placed, with
-// one run number, and one end stands for all.
+// Members of a gang work only together: all or none are placed, with one run
+// number, and one end counts for all.
 func TestGangIsPlacedWhole(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 8000, Memory: 64000}}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 8000, Memory: 64000}}, func(t *testing.T, sim *Simulation, c *Client) {
 		j := job(1, 6)
 		j.Steps[0].Gang = true
 		submit(t, c, job(2, 6))
@@ -42,36 +42,36 @@
 	})
 }
 
-// A job that is due at times runs once for each, and not before.
+// A repeated job runs once at each due time, and not before.
 func TestRepeatedJob(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		j := job(1, 2)
 		begun := time.Now()
 		j.Repeat = workload.Repeat{Count: 3, First: begun.Add(2 * second).UnixMilli(), Interval: 4000}
 		submit(t, c, j)
 		if took := await(t, c, JobID(1), workload.Completed, 30*second); took < 10*second || took > 14*second {
-			t.Errorf("three times with 4 s between took %v", took)
+			t.Errorf("three occurrences at an interval of 4 s took %v", took)
 		}
-		if w.Rules.Started != 12 {
-			t.Errorf("%d starts for 12 tasks", w.Rules.Started)
+		if sim.Rules.Started != 12 {
+			t.Errorf("%d starts for 12 tasks", sim.Rules.Started)
 		}
 	})
 }
 
-// A worker is about to leave. Nothing more starts there, and its lasting
-// tasks go on elsewhere before it ends.
-func TestLeavingWorkerIsEvacuated(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+// A worker is draining. No more tasks start there, and its lasting tasks are
+// moved before it ends.
+func TestDrainingWorkerIsEvacuated(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
 		time.Sleep(2 * second)
-		leaving := w.Agents()[0].Worker()
-		leaving.Drain()
+		draining := sim.Agents()[0].Worker()
+		draining.Drain()
 		time.Sleep(3 * second)
-		if runs := leaving.Running(); len(runs) > 0 {
-			t.Errorf("still there: %v", runs)
+		if runs := draining.Running(); len(runs) > 0 {
+			t.Errorf("still running: %v", runs)
 		}
 		running := 0
-		for _, a := range w.Agents() {
+		for _, a := range sim.Agents() {
 			running += len(a.Worker().Running())
 		}
 		if running != 6 {
@@ -80,14 +80,14 @@
 	})
 }
 
-// The store answers nobody, and does not say so. A client that hands a job in
-// is refused at once, with a time to come back, and not kept until its
-// deadline for an outcome that can't be known.
-func TestStoreThatIsAwayRefusesAtOnce(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetFault("", memstore.Silent)
+// The store answers no call and returns no error. A submission must be refused
+// at once with a retry delay, and must not wait until the client's time-out for
+// an outcome that can't be known.
+func TestUnavailableStoreRefusesAtOnce(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetFault("", memstore.Silent)
 		time.Sleep(3 * second)
-		for _, e := range w.Entries() {
+		for _, e := range sim.Entries() {
 			begun := time.Now()
 			err := e.Service().Submit(t.Context(), queue(), job(1, 1))
 			var unavailable *workload.UnavailableError
@@ -98,48 +98,48 @@
 				t.Errorf("refused after %v", took)
 			}
 		}
-		w.Store.SetFault("", memstore.Healthy)
+		sim.Store.SetFault("", memstore.Healthy)
 		time.Sleep(3 * second)
 		submit(t, c, job(2, 1))
 		await(t, c, JobID(2), workload.Completed, 10*second)
 	})
 }
 
-// The store falls silent while a job is handed in. From 1.4 s on it is known to
-// be away, and whoever comes then is told at once; the client of the job under
-// way was kept waiting for its whole deadline, with nothing to gain.
-func TestStoreThatFallsSilentKeepsNobodyWaiting(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetFault("", memstore.Silent)
-		ctx, cancel := context.WithTimeout(t.Context(), clientDeadline)
+// The store stops answering during a submission. After 1.4 s it counts as
+// unavailable, and later calls are refused at once; the submission in flight
+// must fail then, too, and not wait for the client's whole time-out.
+func TestSubmissionFailsSoonWhenStoreStopsAnswering(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetFault("", memstore.Silent)
+		ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 		defer cancel()
 		begun := time.Now()
-		w.Rules.handIn(job(1, 1))
-		err := w.Entries()[0].Service().Submit(ctx, queue(), job(1, 1))
-		w.Rules.answered(job(1, 1).ID, false, false)
+		sim.Rules.submitted(job(1, 1))
+		err := sim.Entries()[0].Service().Submit(ctx, queue(), job(1, 1))
+		sim.Rules.answered(job(1, 1).ID, false, false)
 		if !errors.Is(err, workload.ErrUndecided) {
-			t.Errorf("answer %v, and the write may take effect yet", err)
+			t.Errorf("answer %v, but the write may still take effect", err)
 		}
 		if took := time.Since(begun); took > 1600*time.Millisecond {
-			t.Errorf("told after %v", took)
+			t.Errorf("answered after %v", took)
 		}
-		w.Store.SetFault("", memstore.Healthy)
+		sim.Store.SetFault("", memstore.Healthy)
 		time.Sleep(3 * second)
 		submit(t, c, job(1, 1))
 		await(t, c, JobID(1), workload.Completed, 10*second)
 	})
 }
 
-// Workers carry calls out, and a quarter of the answers of every second worker
-// are lost. A listing waits half a second for an end, and one whose answer is
-// lost was only given up after that: of a step of 13 tasks one end was nearly
-// always told that much later, and short jobs ended late. A client expects its
-// job within 1.5 times its chain of work and 250 ms.
+// Workers execute calls, but a quarter of the answers of every second worker
+// are lost. A listing waits half a second for an end. If a listing with a lost
+// answer is abandoned only after that, one end of a step of 13 tasks is nearly
+// always reported that much later, and short jobs end late. A client expects
+// its job within 1.5 times its chain of work and 250 ms.
 func TestLostAnswersDoNotMakeShortJobsLate(t *testing.T) {
 	const work, jobs = 640 * time.Millisecond, 150
 	opt := Options{Entries: 2, Machines: 60, Outcome: func(workload.RunID) Outcome { return Outcome{For: work} }}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
-		for i, a := range w.Agents() {
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
+		for i, a := range sim.Agents() {
 			if i%2 == 0 {
 				a.Worker().SetLost(0.25)
 			}
@@ -151,7 +151,7 @@
 			group.Go(func() {
 				j := job(n, 13)
 				begun := time.Now()
-				client := w.NewClient()
+				client := sim.NewClient()
 				submit(t, client, j)
 				for client.State(j.ID) != workload.Completed {
 					time.Sleep(10 * time.Millisecond)
@@ -169,22 +169,22 @@
 	})
 }
 
-// The store takes 70 times as long for everything, for seconds, while ten
-// jobs a second are handed in. A part of its rows carries out one transaction
-// at a time, 560 ms each: with few parts the writes queue behind each other,
-// time out, are repeated, and clients wait for their whole deadline.
-func TestSlowStoreTakesAllSubmissions(t *testing.T) {
-	play(t, Options{Entries: 4, Machines: 4}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetSlow(70)
+// The store is 70 times slower for seconds while ten jobs per second are
+// submitted. A part of its rows executes one transaction at a time, 560 ms
+// each: with few parts the writes queue, time out and are repeated, and clients
+// wait for their whole time-out.
+func TestSlowStoreAcceptsAllSubmissions(t *testing.T) {
+	simulate(t, Options{Entries: 4, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetSlow(70)
 		const jobs = 50
 		var group sync.WaitGroup
 		var accepted [jobs]bool
 		for n := range jobs {
-			group.Go(func() { accepted[n] = w.NewClient().Submit(job(n, 1), 1) })
+			group.Go(func() { accepted[n] = sim.NewClient().Submit(job(n, 1), 1) })
 			time.Sleep(second / 10)
 		}
 		group.Wait()
-		w.Store.SetSlow(1)
+		sim.Store.SetSlow(1)
 		failed := 0
 		for n := range jobs {
 			if !accepted[n] {
@@ -199,21 +199,21 @@
 	})
 }
 
-// All entries are killed and back a second later. The lease names a process
-// that is gone, at an address where another one answers: nobody is to wait
-// until the lease has stood still for two seconds.
+// All entries are killed and restart a second later. The lease names a process
+// that no longer exists, at an address where another one answers: the entries
+// must not wait until the lease has been unchanged for two seconds.
 func TestRestartedEntriesTakeTheLeaseAtOnce(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 1}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 		for range 5 {
-			for _, e := range w.Entries() {
+			for _, e := range sim.Entries() {
 				e.Kill()
 			}
 			time.Sleep(second)
-			for _, e := range w.Entries() {
+			for _, e := range sim.Entries() {
 				e.Start()
 			}
 			begun := time.Now()
-			for w.Leader() == nil {
+			for sim.Leader() == nil {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(begun); took > 700*time.Millisecond {
@@ -224,11 +224,11 @@
 	})
 }
 
-// Nothing in the store expires by itself. Jobs that ended long ago are
-// deleted, also by a scheduler that begins its term in between, and those that
-// still run or can be asked for are kept.
-func TestOldJobsAreRetired(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, w *World, c *Client) {
+// Rows in the store have no expiry of their own. Jobs that ended long ago are
+// deleted, also by a scheduler that starts its term in between; jobs that still
+// run or can be queried are kept.
+func TestOldJobsAreDeleted(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(100, 1))
 		for n := range 8 {
 			submit(t, c, job(n, 2))
@@ -239,10 +239,10 @@
 		if s := c.State(JobID(7)); s != workload.Completed {
 			t.Errorf("after 110 s the job is %q", s)
 		}
-		w.Leader().Kill()
+		sim.Leader().Kill()
 		time.Sleep(5 * time.Minute)
-		if left := w.Store.Rows("jobs") + w.Store.Rows("progress"); left != 2 {
-			t.Errorf("%d rows are left, not the two of the lasting job", left)
+		if left := sim.Store.Rows("jobs") + sim.Store.Rows("progress"); left != 2 {
+			t.Errorf("%d rows remain, not the two of the lasting job", left)
 		}
 		if s := c.State(JobID(100)); s != workload.Running {
 			t.Errorf("the lasting job is %q", s)
@@ -250,12 +250,12 @@
 	})
 }
 
-// All that begins on one worker stands still, while its reports and answers
-// are as good as ever. Its tasks are taken to other workers within two seconds,
-// and later ones don't begin there as long as it goes on.
-func TestTasksLeaveAWorkerThatHangs(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, w *World, c *Client) {
-		w.Agents()[1].Worker().SetHangs(true)
+// All runs that start on one worker make no progress, while its reports and
+// answers stay normal. Its tasks are moved to other workers within two seconds,
+// and later ones don't start there while the fault lasts.
+func TestTasksMoveFromHangingWorker(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Agents()[1].Worker().SetHangs(true)
 		for n := range 4 {
 			submit(t, c, job(n, 8))
 			if took := await(t, c, JobID(n), workload.Completed, 30*second); took > 7*second {
@@ -265,21 +265,21 @@
 	})
 }
 
-// One worker fails all that it starts within moments, and so is the emptiest
-// one all the time; what began there before goes on and ends well. Tasks used
-// up their attempts there in a tenth of a second, and jobs were told to have
-// failed. Each task may lose one attempt there, and no job fails.
-func TestWorkerThatFailsAllCostsNoJob(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+// One worker fails all new runs at once and thus is always the emptiest; its
+// earlier runs continue and end done. Guards against tasks that use up their
+// attempts there in a tenth of a second, so that their jobs fail. Each task may
+// lose one attempt there, and no job fails.
+func TestWorkerThatFailsAllRunsFailsNoJob(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 24))
 		time.Sleep(500 * time.Millisecond)
-		w.Agents()[1].Worker().SetFails(true)
+		sim.Agents()[1].Worker().SetFails(true)
 		for n := range 8 {
 			submit(t, c, job(10+n, 6))
 			time.Sleep(300 * time.Millisecond)
 		}
 		time.Sleep(4 * second)
-		w.Agents()[1].Worker().SetFails(false)
+		sim.Agents()[1].Worker().SetFails(false)
 		for n := range 8 {
 			await(t, c, JobID(10+n), workload.Completed, 60*second)
 		}
@@ -287,10 +287,10 @@
 	})
 }
 
-// On a deployment of one worker a failed task has nowhere else to go.
+// In a deployment of one worker a failed task has no other worker to run on.
 func TestTaskThatFailedRunsAgainOnTheOnlyWorker(t *testing.T) {
 	first := func(r workload.RunID) Outcome { return Outcome{For: second, Fails: r.Run == 1} }
-	play(t, Options{Entries: 2, Machines: 1, Outcome: first}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 1, Outcome: first}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 4))
 		if took := await(t, c, JobID(1), workload.Completed, 20*second); took > 6*second {
 			t.Errorf("two steps of two runs of a second each took %v", took)
@@ -298,25 +298,26 @@
 	})
 }
 
-// A job is far larger than its client thought, on every worker: nothing is
-// taken from anywhere.
+// A job is far larger than its client's estimate on every worker: no task may
+// be moved.
 func TestWrongEstimatesMoveNothing(t *testing.T) {
 	long := func(workload.RunID) Outcome { return Outcome{For: 9 * second} }
-	play(t, Options{Entries: 2, Machines: 4, Outcome: long}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 4, Outcome: long}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 4))
 		await(t, c, JobID(1), workload.Completed, 40*second)
-		if w.Rules.Started != 8 {
-			t.Errorf("%d starts for 8 tasks", w.Rules.Started)
+		if sim.Rules.Started != 8 {
+			t.Errorf("%d starts for 8 tasks", sim.Rules.Started)
 		}
 	})
 }
 
-// For a while half of all starts get no answer, and are carried out seconds
-// later or not at all. Each is repeated soon, so that jobs hardly notice; what
-// is carried out late finds its run there, or ended, and does nothing.
+// Half of all starts get no answer for a while, and are executed seconds later
+// or not at all. Each is repeated soon, so that jobs are hardly delayed; a
+// start that is executed late finds its run started or ended, and has no
+// effect.
 func TestLostStartsAreRepeatedSoon(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, w *World, c *Client) {
-		for _, a := range w.Agents() {
+	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
+		for _, a := range sim.Agents() {
 			a.Worker().SetLate(0.5)
 		}
 		var sum time.Duration
@@ -326,7 +327,7 @@
 			sum += await(t, c, JobID(n), workload.Completed, 30*second)
 		}
 		if mean := sum / jobs; mean > 3700*time.Millisecond {
-			t.Errorf("jobs of two seconds took %v in the mean", mean)
+			t.Errorf("jobs of two seconds took %v on average", mean)
 		}
 		time.Sleep(12 * second)
 	})
--- a/sessions/machines/leave_test.go
+++ b/sessions/machines/leave_test.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Failure guarded against: tasks of a worker that has left wait for the grant of its agent, which is gone, too.
-func TestTasksOfAWorkerThatHasLeftDoNotWaitForItsAgent(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+// Guards against tasks of a stopped worker that wait for the grant of its
+// agent, which is down, too.
+func TestTasksOfStoppedWorkerDoNotWaitForItsAgent(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
 		time.Sleep(2 * second)
-		w.Agents()[0].Leave()
+		sim.Agents()[0].StopWorker()
 		time.Sleep(4 * second)
-		w.Agents()[0].Kill()
+		sim.Agents()[0].Kill()
 		time.Sleep(2 * second)
 		running := 0
-		for _, a := range w.Agents()[1:] {
+		for _, a := range sim.Agents()[1:] {
 			running += len(a.Worker().Running())
 		}
 		if running != 6 {
-			t.Errorf("%d of 6 lasting tasks run six seconds after a worker has left", running)
+			t.Errorf("%d of 6 lasting tasks run six seconds after the stop of a worker", running)
 		}
 	})
 }
--- a/sessions/machines/logs_test.go
+++ b/sessions/machines/logs_test.go
@@ -13,7 +13,7 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// sharedBuffer is a log that all processes write to.
+// sharedBuffer is a log to which all processes write.
 type sharedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -31,9 +31,9 @@
 	b.buf.Reset()
 }
 
-// told is what the lines of a log say of jobs.
-type told struct {
-	// known and ended are jobs, placed, started, ends runs.
+// logRecords holds the data of the log lines about jobs and runs.
+type logRecords struct {
+	// known and ended hold jobs; placed, started and ends hold runs.
 	known, ended          map[string]bool
 	placed, started, ends map[string]bool
 	// perSecond counts the lines of each process and second.
@@ -41,9 +41,9 @@
 	leftOut   int
 }
 
-func read(t *testing.T, text []byte) told {
+func parseLog(t *testing.T, text []byte) logRecords {
 	t.Helper()
-	x := told{known: map[string]bool{}, ended: map[string]bool{}, placed: map[string]bool{}, started: map[string]bool{}, ends: map[string]bool{}, perSecond: map[string]int{}}
+	x := logRecords{known: map[string]bool{}, ended: map[string]bool{}, placed: map[string]bool{}, started: map[string]bool{}, ends: map[string]bool{}, perSecond: map[string]int{}}
 	err := logs.EachObject(bytes.NewReader(text), func(object []byte) {
 		var l struct {
 			Time             time.Time
@@ -82,12 +82,13 @@
 	return x
 }
 
-// 840 tasks a second start on a fleet, a worker fails and some runs with
-// it. An engineer asks why one of these jobs was late, and all there is are the
-// logs, 500 lines a second of each process: the scheduler wrote two lines a
-// task and left out most of them. Every job is told from the first line to the
-// last, and every run from its placement to its end.
-func TestLogsOfAFleetTellEveryRun(t *testing.T) {
+// 840 tasks per second start on a fleet, and a worker fails with some of the
+// runs. An engineer has only the logs, limited to 500 lines per second of each
+// process, to explain why a job was late. Guards against a scheduler that
+// writes two lines for each task, most of which are dropped. The log must cover
+// every job from its first line to its last, and every run from its placement
+// to its end.
+func TestLogsOfAFleetCoverEveryRun(t *testing.T) {
 	const (
 		lines   = 500
 		jobs    = 150
@@ -98,16 +99,16 @@
 	opt := Options{Entries: 5, Machines: fleetWorkers / 2, Log: log, LogLines: lines, Outcome: func(r workload.RunID) Outcome {
 		return Outcome{For: second, Fails: r.Run == 1 && r.Task.Index == 3}
 	}}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
-		// The lines of a fleet that starts are not about jobs; what was left
-		// out of them is told with the first job.
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
+		// The lines of a starting fleet are not about jobs; the number of
+		// dropped ones is logged with the first job.
 		submit(t, c, job(jobs, 1))
 		await(t, c, JobID(jobs), workload.Completed, 10*second)
 		log.reset()
 		for n := range jobs {
 			submit(t, c, job(n, width))
 			if n == jobs/2 {
-				w.Agents()[7].NewWorker()
+				sim.Agents()[7].NewWorker()
 			}
 			time.Sleep(between)
 		}
@@ -115,7 +116,7 @@
 			await(t, c, JobID(n), workload.Completed, 20*second)
 		}
 		log.mu.Lock()
-		x := read(t, log.buf.Bytes())
+		x := parseLog(t, log.buf.Bytes())
 		log.mu.Unlock()
 		if x.leftOut > 0 {
 			t.Errorf("%d lines were left out", x.leftOut)
@@ -132,7 +133,7 @@
 			}
 		}
 		if len(x.started) < 2*jobs*width {
-			t.Errorf("%d starts told of %d tasks", len(x.started), 2*jobs*width)
+			t.Errorf("%d starts logged for %d tasks", len(x.started), 2*jobs*width)
 		}
 		for run := range x.started {
 			if !x.placed[run] {
@@ -141,22 +142,22 @@
 		}
 		for run := range x.placed {
 			if !x.started[run] && !x.ends[run] {
-				t.Logf("run %s was placed and never started", run)
+				t.Logf("run %s was placed but never started", run)
 			}
 		}
 	})
 }
 
-// A scheduler is killed, and the next one reads the jobs of a fleet. It wrote a
-// line for each that is under way, which crowded out the lines of the first
-// second of its term. Those were told of before; only a job that came while
-// nobody scheduled is told of now.
-func TestNewSchedulerTellsOnlyOfNewJobs(t *testing.T) {
+// A scheduler is killed, and the next one reads the jobs of a fleet. Guards
+// against a log line for each job in progress, which crowds out the other lines
+// of the first second of the term. These jobs were logged before; only a job
+// that was submitted without a scheduler is logged now.
+func TestNewSchedulerLogsOnlyNewJobs(t *testing.T) {
 	log := &sharedBuffer{}
-	play(t, Options{Entries: 3, Machines: 4, Log: log}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 4, Log: log}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 4))
 		time.Sleep(second)
-		w.Leader().Kill()
+		sim.Leader().Kill()
 		submit(t, c, job(2, 4))
 		await(t, c, JobID(2), workload.Completed, 15*second)
 		log.mu.Lock()
@@ -170,7 +171,7 @@
 				}
 			}
 			if known != 1 {
-				t.Errorf("job %d is told of %d times", n, known)
+				t.Errorf("job %d is logged as known %d times", n, known)
 			}
 		}
 	})
--- a/sessions/machines/power_loss_test.go
+++ b/sessions/machines/power_loss_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A fleet of the size that the users run today.
+// The size of the users' fleet.
 const (
 	fleetEntries = 55
 	fleetWorkers = 240
 )
 
-// reachedWithin is how soon after a term begins nine of ten agents take
-// orders, however many there are.
-const reachedWithin = 500 * time.Millisecond
+// agentsReadyWithin is the time after the start of a term within which nine of
+// ten agents accept orders, however many there are.
+const agentsReadyWithin = 500 * time.Millisecond
 
-// busyWorkers counts the workers on which something runs.
-func busyWorkers(w *World) int {
+// busyWorkers returns the number of workers with at least one run.
+func busyWorkers(sim *Simulation) int {
 	n := 0
-	for _, a := range w.Agents() {
+	for _, a := range sim.Agents() {
 		if len(a.Worker().Running()) > 0 {
 			n++
 		}
@@ -26,49 +26,49 @@
 	return n
 }
 
-// Power goes on a whole fleet at once, workers included, and comes back. Jobs
-// that were accepted wait, entries schedule again within a tenth of a second,
-// but tasks started only as agents came back one after the other over seconds:
-// all of them wrote their rows to one part of the store, which takes one
+// A whole fleet with its workers loses power at once and gets it back. Accepted
+// jobs wait, and entries schedule again within a tenth of a second. Guards
+// against agents that become ready one after another over seconds, because all
+// of them write their rows to one part of the store, which executes one
 // transaction at a time.
-func TestAgentsOfAFleetComeBackTogether(t *testing.T) {
+func TestAgentsOfAFleetRegisterTogether(t *testing.T) {
 	opt := Options{Entries: fleetEntries, Machines: fleetWorkers}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
 		j := lastingJob(1, fleetWorkers)
 		j.Steps[0].Need.CPU = capacity.CPU * 3 / 4
 		submit(t, c, j)
-		w.KillAll()
-		for _, a := range w.Agents() {
+		sim.KillAll()
+		for _, a := range sim.Agents() {
 			a.NewWorker()
 		}
 		time.Sleep(second)
-		w.StartAll()
-		for w.Leader() == nil {
+		sim.StartAll()
+		for sim.Leader() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		begun := time.Now()
-		for busyWorkers(w) < fleetWorkers*9/10 {
+		for busyWorkers(sim) < fleetWorkers*9/10 {
 			if time.Since(begun) > 10*second {
 				break
 			}
 			time.Sleep(time.Millisecond)
 		}
 		took := time.Since(begun)
-		t.Logf("%d of %d workers have work %v after the term began", busyWorkers(w), fleetWorkers, took)
-		if took > reachedWithin {
-			t.Errorf("%d of %d workers have work %v after the term began", busyWorkers(w), fleetWorkers, took)
+		t.Logf("%d of %d workers have work %v after the term began", busyWorkers(sim), fleetWorkers, took)
+		if took > agentsReadyWithin {
+			t.Errorf("%d of %d workers have work %v after the term began", busyWorkers(sim), fleetWorkers, took)
 		}
 	})
 }
 
-// A machine gets its power back, and its worker begins together with the
-// agent. The worker reports at once, and again 1.1 s later; the agent still
-// writes its row when the first report comes. The report was lost, and nothing
-// started on the worker until the next.
-func TestReportIsTakenWhileTheAgentRegisters(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, w *World, c *Client) {
+// A machine gets its power back, and its worker starts together with the agent.
+// The worker reports at once, and again 1.1 s later; the agent still writes its
+// row when the first report arrives. Guards against the loss of that report,
+// after which nothing starts on the worker until the next one.
+func TestReportDuringRegistrationIsKept(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 1))
-		a := w.Agents()[0]
+		a := sim.Agents()[0]
 		a.Kill()
 		a.Start()
 		time.Sleep(time.Millisecond)
@@ -77,7 +77,7 @@
 		for len(a.Worker().Running()) == 0 && time.Since(begun) < 10*second {
 			time.Sleep(time.Millisecond)
 		}
-		if took := time.Since(begun); took > reachedWithin {
+		if took := time.Since(begun); took > agentsReadyWithin {
 			t.Errorf("the worker has work %v after it began", took)
 		}
 	})
--- a/sessions/machines/power_test.go
+++ b/sessions/machines/power_test.go
@@ -7,11 +7,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// awaitLeader waits until an entry of the given node schedules.
-func awaitLeader(t *testing.T, w *World, node string, within time.Duration) {
+// awaitLeader waits until the entry on the given node schedules.
+func awaitLeader(t *testing.T, sim *Simulation, node string, within time.Duration) {
 	t.Helper()
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		if l := w.Leader(); l != nil && l.Node == node {
+		if l := sim.Leader(); l != nil && l.Node == node {
 			return
 		}
 		if time.Since(begun) > within {
@@ -20,42 +20,42 @@
 	}
 }
 
-// The strongest machine's entry is away while the lease is taken, so one with a
-// fifth of a core schedules, and all jobs wait for it. Once the strong one is
-// back it asks for the lease; jobs under way go on, and no start is lost or
-// made twice.
+// The entry on the strongest machine is down while the lease is acquired, so an
+// entry with a fifth of a core schedules, and all jobs wait for it. Once the
+// strong one is back, it requests the lease; running jobs continue, and no
+// start is lost or duplicated.
 func TestStrongestMachineSchedules(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4, Power: []float64{0.2, 0.8, 0.2}}, func(t *testing.T, w *World, c *Client) {
-		strong := w.Entries()[1]
-		awaitLeader(t, w, strong.Node, 6*second)
+	simulate(t, Options{Entries: 3, Machines: 4, Power: []float64{0.2, 0.8, 0.2}}, func(t *testing.T, sim *Simulation, c *Client) {
+		strong := sim.Entries()[1]
+		awaitLeader(t, sim, strong.Node, 6*second)
 		strong.Kill()
 		time.Sleep(4 * second)
-		if w.Leader() == nil {
-			t.Fatal("nobody schedules")
+		if sim.Leader() == nil {
+			t.Fatal("no entry schedules")
 		}
 		strong.Start()
 		for n := range 10 {
 			submit(t, c, job(n, 3))
 			time.Sleep(second / 2)
 		}
-		awaitLeader(t, w, strong.Node, 4*second)
+		awaitLeader(t, sim, strong.Node, 4*second)
 		for n := range 10 {
 			await(t, c, JobID(n), workload.Completed, 10*second)
 		}
 	})
 }
 
-// The machine that is to take the lease dies in the moment in which it is
-// released for it. The others take it a second later.
-func TestHeirThatDiesIsPassedOver(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 2, Power: []float64{0.2, 0.2, 0.8}}, func(t *testing.T, w *World, c *Client) {
-		strong := w.Entries()[2]
-		awaitLeader(t, w, strong.Node, 6*second)
+// The designated successor is killed at the moment in which the lease is
+// released to it. Another entry acquires the lease a second later.
+func TestKilledSuccessorIsSkipped(t *testing.T) {
+	simulate(t, Options{Entries: 3, Machines: 2, Power: []float64{0.2, 0.2, 0.8}}, func(t *testing.T, sim *Simulation, c *Client) {
+		strong := sim.Entries()[2]
+		awaitLeader(t, sim, strong.Node, 6*second)
 		strong.Kill()
 		time.Sleep(4 * second)
 		strong.Start()
-		weak := w.Leader()
-		for w.Leader() == weak {
+		weak := sim.Leader()
+		for sim.Leader() == weak {
 			time.Sleep(time.Millisecond)
 		}
 		strong.Kill()
@@ -64,20 +64,21 @@
 	})
 }
 
-// Machines of one size leave the lease where it is.
+// The lease does not move between machines of similar power.
 func TestLeaseStaysAmongEquals(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 1, Power: []float64{0.4, 0.5, 0.4}}, func(t *testing.T, w *World, c *Client) {
-		first := w.Leader()
+	simulate(t, Options{Entries: 3, Machines: 1, Power: []float64{0.4, 0.5, 0.4}}, func(t *testing.T, sim *Simulation, c *Client) {
+		first := sim.Leader()
 		for range 100 {
 			time.Sleep(second / 10)
-			if w.Leader() != first {
+			if sim.Leader() != first {
 				t.Fatal("the lease has moved")
 			}
 		}
 	})
 }
 
-// powers are those of a fleet: a few strong machines, many weak ones.
+// powers returns the powers of a fleet with a few strong and many weak
+// machines.
 func powers(strong, weak int) []float64 {
 	var all []float64
 	for range weak {
@@ -89,82 +90,82 @@
 	return all
 }
 
-// The strong machine that schedules is gone for good, without a word. Jobs
-// waited for 2.4 s until the lease had stood still for long enough, then for a
-// weak machine that happened to look first, and again when that one handed the
-// lease to a strong machine. With the holder's silence as evidence another
-// strong machine has it within 1.5 s.
-func TestSilentSchedulerIsOvertakenByAStrongMachine(t *testing.T) {
+// The strong machine that schedules becomes unreachable without notice. Guards
+// against jobs that wait 2.4 s until the lease has been unchanged for long
+// enough, then for a weak machine that happened to read it first, and again
+// when that machine hands the lease to a strong one. Since the holder does not
+// answer, another strong machine acquires the lease within 1.5 s.
+func TestStrongMachineReplacesUnresponsiveScheduler(t *testing.T) {
 	opt := Options{Entries: 12, Machines: 4, Power: powers(3, 9)}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
-		for l := w.Leader(); l == nil || w.power(l) < 0.5; l = w.Leader() {
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
+		for l := sim.Leader(); l == nil || sim.power(l) < 0.5; l = sim.Leader() {
 			time.Sleep(second / 10)
 		}
 		for n := range 20 {
 			submit(t, c, job(n, 3))
 		}
-		gone := w.Leader()
-		w.Cut(gone.Node, true)
+		unreachable := sim.Leader()
+		sim.Cut(unreachable.Node, true)
 		begun := time.Now()
-		for l := gone; l == gone || l == nil; l = w.leaderBut(gone) {
+		for l := unreachable; l == unreachable || l == nil; l = sim.leaderExcept(unreachable) {
 			time.Sleep(time.Millisecond)
 		}
 		took := time.Since(begun)
-		if next := w.leaderBut(gone); w.power(next) < 0.5 || took > 1500*time.Millisecond {
-			t.Errorf("%s with %.1f of a core schedules after %v", next.Node, w.power(next), took)
+		if next := sim.leaderExcept(unreachable); sim.power(next) < 0.5 || took > 1500*time.Millisecond {
+			t.Errorf("%s with %.1f of a core schedules after %v", next.Node, sim.power(next), took)
 		}
-		w.Cut(gone.Node, false)
+		sim.Cut(unreachable.Node, false)
 		for n := range 20 {
 			await(t, c, JobID(n), workload.Completed, 15*second)
 		}
 	})
 }
 
-// The store answers 70 times slower than usual, so the lease stands still for
-// a second at a time. Its holder answers, and keeps it: a takeover would only
-// cost another pause.
+// The store answers 70 times slower than usual, so the lease is unchanged for a
+// second at a time. Its holder answers and keeps it: a takeover would only cost
+// another pause.
 func TestSlowStoreDoesNotCostTheLease(t *testing.T) {
-	play(t, Options{Entries: 6, Machines: 4, Power: powers(2, 4)}, func(t *testing.T, w *World, c *Client) {
-		for l := w.Leader(); l == nil || w.power(l) < 0.5; l = w.Leader() {
+	simulate(t, Options{Entries: 6, Machines: 4, Power: powers(2, 4)}, func(t *testing.T, sim *Simulation, c *Client) {
+		for l := sim.Leader(); l == nil || sim.power(l) < 0.5; l = sim.Leader() {
 			time.Sleep(second / 10)
 		}
-		first := w.Leader()
-		w.Store.SetSlow(70)
+		first := sim.Leader()
+		sim.Store.SetSlow(70)
 		for n := range 8 {
 			submit(t, c, job(n, 2))
 			time.Sleep(second)
-			if w.Leader() != first {
+			if sim.Leader() != first {
 				t.Fatal("the lease has moved")
 			}
 		}
-		w.Store.SetSlow(1)
+		sim.Store.SetSlow(1)
 	})
 }
 
-// All machines lose their power at once, again and again, and come back
-// together. Whichever looked at the lease first took it, mostly a weak machine,
-// which took a second to read the jobs of a fleet and handed the lease over two
-// seconds later. The weak ones leave it to the strong ones.
+// All machines lose power at once, repeatedly, and restart together. Guards
+// against a lease that goes to the first reader, mostly a weak machine, which
+// takes a second to read the jobs of a fleet and hands the lease over two
+// seconds later. Weak machines leave the lease to strong ones.
 func TestStrongMachineSchedulesAfterAPowerLoss(t *testing.T) {
 	opt := Options{Entries: 24, Machines: 4, Power: powers(2, 22)}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
-		for l := w.Leader(); l == nil || w.power(l) < 0.5; l = w.Leader() {
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
+		for l := sim.Leader(); l == nil || sim.power(l) < 0.5; l = sim.Leader() {
 			time.Sleep(second / 10)
 		}
 		for range 4 {
-			for _, e := range w.Entries() {
+			for _, e := range sim.Entries() {
 				e.Kill()
 			}
 			time.Sleep(second / 2)
-			for _, e := range w.Entries() {
+			for _, e := range sim.Entries() {
 				e.Start()
 			}
 			begun := time.Now()
-			for w.Leader() == nil {
+			for sim.Leader() == nil {
 				time.Sleep(time.Millisecond)
 			}
-			if l, took := w.Leader(), time.Since(begun); w.power(l) < 0.5 || took > second {
-				t.Errorf("%s with %.1f of a core schedules after %v", l.Node, w.power(l), took)
+			if l, took := sim.Leader(), time.Since(begun); sim.power(l) < 0.5 || took > second {
+				t.Errorf("%s with %.1f of a core schedules after %v", l.Node, sim.power(l), took)
 			}
 			time.Sleep(second)
 		}
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -17,10 +17,10 @@
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first random day")
 )
 
-// TestRandomDays plays days of jobs of all kinds while processes are killed
-// and stopped, machines are cut off, workers crash, fall silent and carry
-// orders out late, and the store is down, slow, loses answers and forgets.
-// After the faults all jobs have to end. Run more with -seeds.
+// TestRandomDays simulates days of jobs of all kinds while processes are killed
+// and stopped, machines are cut off, workers crash, become unresponsive and
+// execute orders late, and the store is down, slow, loses answers and drops its
+// history. After the faults all jobs must end. Run more days with -seeds.
 func TestRandomDays(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestRandomDaysOfChanges plays such days with few faults but those that keep
-// the entries from reading the configuration.
+// TestRandomDaysOfChanges simulates such days with hardly any faults but those
+// that keep the entries from reading the configuration.
 func TestRandomDaysOfChanges(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestRandomDaysOfCrashes plays such days on which a fifth of the jobs crash
-// their workers.
+// TestRandomDaysOfCrashes simulates such days on which a fifth of the jobs
+// crash their workers.
 func TestRandomDaysOfCrashes(t *testing.T) {
 	for i := range max(1, *seeds/3) {
 		seed := *firstSeed + uint64(i)
@@ -46,12 +46,13 @@
 	}
 }
 
-// TestRandomDaysOfChangesThatBroke plays days on which rules were broken, each a
-// few times, as not all that happens at the same moment is drawn.
+// TestRandomDaysOfChangesThatBroke simulates days on which rules were broken,
+// each several times, as the order of simultaneous events is not drawn from the
+// seed.
 func TestRandomDaysOfChangesThatBroke(t *testing.T) {
 	const times = 8
 	for _, seed := range []uint64{
-		73297, // a term that was not ready heard of no cancelling
+		73297, // a term that was not ready received no cancellations
 	} {
 		for i := range times {
 			t.Run(fmt.Sprintf("%d/%d", seed, i), func(t *testing.T) { randomDay(t, seed, 0, (*day).readFault) })
@@ -68,28 +69,28 @@
 
 // day is one random day.
 type day struct {
-	w   *World
+	sim *Simulation
 	rng *rand.Rand
 	// faultRNG draws the faults.
-	faultRNG *rand.Rand
-	ids      []workload.JobID
-	last     []workload.JobID
+	faultRNG   *rand.Rand
+	ids        []workload.JobID
+	lastingIDs []workload.JobID
 }
 
 func randomDay(t *testing.T, seed uint64, crashing float64, fault func(*day) func()) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	outcome := func(r workload.RunID) Outcome {
-		luck := rand.New(rand.NewPCG(seed, uint64(r.Run)<<32|uint64(r.Task.Index)<<16|uint64(len(r.Task.Job))))
-		o := Outcome{For: time.Duration(100+luck.IntN(2500)) * time.Millisecond}
-		o.Fails = r.Task.Job[len(r.Task.Job)-1] == '7' || luck.IntN(25) == 0
+		runRNG := rand.New(rand.NewPCG(seed, uint64(r.Run)<<32|uint64(r.Task.Index)<<16|uint64(len(r.Task.Job))))
+		o := Outcome{For: time.Duration(100+runRNG.IntN(2500)) * time.Millisecond}
+		o.Fails = r.Task.Job[len(r.Task.Job)-1] == '7' || runRNG.IntN(25) == 0
 		o.Crashes = r.Task.Index%3 == 0 && crashesWorkers(seed, r.Task.Job, crashing)
 		return o
 	}
 	opt := Options{Seed: seed, Entries: 2 + rng.IntN(3), Machines: 2 + rng.IntN(4), Outcome: outcome, Capacity: workload.Resources{CPU: 10000, Memory: 40000}}
-	play(t, opt, func(t *testing.T, w *World, c *Client) {
-		d := &day{w: w, rng: rng}
-		// The story and its faults have each their own luck: they run at the
-		// same time.
+	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
+		d := &day{sim: sim, rng: rng}
+		// The jobs and the faults draw from separate sources, because they run
+		// concurrently.
 		d.faultRNG = rand.New(rand.NewPCG(seed, 101))
 		stop := make(chan bool)
 		ended := make(chan bool)
@@ -99,25 +100,25 @@
 		}()
 		changed := make(chan bool)
 		go func() {
-			d.change(rand.New(rand.NewPCG(seed, 103)), ended)
+			d.changeConfig(rand.New(rand.NewPCG(seed, 103)), ended)
 			close(changed)
 		}()
 		for n := range 30 {
-			d.handIn(c, n)
+			d.submitRandomJob(c, n)
 			time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 		}
 		close(stop)
 		<-changed
-		for _, id := range d.last {
+		for _, id := range d.lastingIDs {
 			c.Cancel(id)
 		}
-		if open := c.Await(append(d.ids, d.last...), 3*time.Minute); len(open) > 0 {
+		if open := c.Await(append(d.ids, d.lastingIDs...), 3*time.Minute); len(open) > 0 {
 			t.Errorf("not ended: %v", open)
 		}
 	})
 }
 
-func (d *day) handIn(c *Client, n int) {
+func (d *day) submitRandomJob(c *Client, n int) {
 	j := job(n, 1+d.rng.IntN(6))
 	for i := range j.Steps {
 		s := &j.Steps[i]
@@ -137,7 +138,7 @@
 		return
 	}
 	if lasts {
-		d.last = append(d.last, j.ID)
+		d.lastingIDs = append(d.lastingIDs, j.ID)
 		return
 	}
 	d.ids = append(d.ids, j.ID)
@@ -146,7 +147,7 @@
 	}
 }
 
-// faults lets one fault after the other happen, some of them together.
+// faults injects one fault after another, some of them overlapping.
 func (d *day) faults(stop chan bool, fault func() func()) {
 	done := make(chan bool)
 	running := 0
@@ -169,16 +170,16 @@
 	}
 }
 
-// fault draws a fault; the function ends when it is over.
+// fault draws a fault; the returned function injects it and ends after it.
 func (d *day) fault() func() {
-	w := d.w
-	entry := w.Entries()[d.faultRNG.IntN(len(w.Entries()))]
-	agent := w.Agents()[d.faultRNG.IntN(len(w.Agents()))]
+	sim := d.sim
+	entry := sim.Entries()[d.faultRNG.IntN(len(sim.Entries()))]
+	agent := sim.Agents()[d.faultRNG.IntN(len(sim.Agents()))]
 	wait := time.Duration(500+d.faultRNG.IntN(9000)) * time.Millisecond
 	faults := []func(){
 		func() { entry.Kill(); time.Sleep(wait / 4); entry.Start() },
 		func() {
-			if l := w.Leader(); l != nil {
+			if l := sim.Leader(); l != nil {
 				l.Kill()
 				time.Sleep(wait / 4)
 				l.Start()
@@ -186,31 +187,31 @@
 		},
 		func() { entry.Stop(); time.Sleep(wait / 8); entry.Start() },
 		func() { agent.Kill(); time.Sleep(wait / 2); agent.Start() },
-		func() { w.Cut(agent.Node, true); time.Sleep(wait); w.Cut(agent.Node, false) },
-		func() { w.Cut(entry.Node, true); time.Sleep(wait); w.Cut(entry.Node, false) },
+		func() { sim.Cut(agent.Node, true); time.Sleep(wait); sim.Cut(agent.Node, false) },
+		func() { sim.Cut(entry.Node, true); time.Sleep(wait); sim.Cut(entry.Node, false) },
 		func() { agent.Worker().Crash(); time.Sleep(wait / 2); agent.NewWorker() },
 		func() { agent.Worker().Kill(); time.Sleep(wait); agent.NewWorker() },
 		func() { o := agent.Worker(); o.SetDark(true); time.Sleep(wait); o.SetDark(false) },
 		func() { o := agent.Worker(); o.SetLate(0.3); time.Sleep(wait); o.SetLate(0) },
 		func() {
-			w.Store.SetFault("", memstore.Refused)
+			sim.Store.SetFault("", memstore.Refused)
 			time.Sleep(wait / 2)
-			w.Store.SetFault("", memstore.Healthy)
+			sim.Store.SetFault("", memstore.Healthy)
 		},
 		func() {
-			w.Store.SetFault("", memstore.Silent)
+			sim.Store.SetFault("", memstore.Silent)
 			time.Sleep(wait / 2)
-			w.Store.SetFault("", memstore.Healthy)
+			sim.Store.SetFault("", memstore.Healthy)
 		},
 		func() {
-			w.Store.SetFault(entry.Node, memstore.Refused)
+			sim.Store.SetFault(entry.Node, memstore.Refused)
 			time.Sleep(wait)
-			w.Store.SetFault(entry.Node, memstore.Healthy)
+			sim.Store.SetFault(entry.Node, memstore.Healthy)
 		},
-		func() { w.Store.SetSlow(40); time.Sleep(wait); w.Store.SetSlow(1) },
-		func() { w.Store.SetLost(0.4, true); time.Sleep(wait); w.Store.SetLost(0, false) },
-		func() { w.Store.SetLost(0.3, false); time.Sleep(wait); w.Store.SetLost(0, false) },
-		func() { w.Store.Compact() },
+		func() { sim.Store.SetSlow(40); time.Sleep(wait); sim.Store.SetSlow(1) },
+		func() { sim.Store.SetLost(0.4, true); time.Sleep(wait); sim.Store.SetLost(0, false) },
+		func() { sim.Store.SetLost(0.3, false); time.Sleep(wait); sim.Store.SetLost(0, false) },
+		func() { sim.Store.Compact() },
 		func() {
 			o := agent.Worker()
 			info, _ := o.Info()
@@ -222,16 +223,16 @@
 	return faults[d.faultRNG.IntN(len(faults))]
 }
 
-// change changes the configuration until the faults have ended; some changes are
-// large, and some can't be read.
-func (d *day) change(rng *rand.Rand, ended chan bool) {
-	d.w.Store.SetRate(slowLink * float64(1+rng.IntN(20)))
+// changeConfig changes the configuration until the faults have ended; some
+// changes are large, and some can't be parsed.
+func (d *day) changeConfig(rng *rand.Rand, ended chan bool) {
+	d.sim.Store.SetRate(slowLink * float64(1+rng.IntN(20)))
 	for version := uint64(1); ; {
 		if rng.IntN(8) == 0 {
-			d.w.ConfigureUnreadable()
+			d.sim.ConfigureUnreadable()
 		} else {
 			version += 1 + rng.Uint64N(4)
-			d.w.Configure(version, rng.IntN(4)/3*rng.IntN(2*largeConfig))
+			d.sim.Configure(version, rng.IntN(4)/3*rng.IntN(2*largeConfig))
 		}
 		select {
 		case <-ended:
@@ -241,30 +242,34 @@
 	}
 }
 
-// readFault draws a fault that bears on who reads the configuration.
+// readFault draws a fault that affects the reading of the configuration.
 func (d *day) readFault() func() {
-	w, rng := d.w, d.faultRNG
-	entry := w.Entries()[rng.IntN(len(w.Entries()))]
+	sim, rng := d.sim, d.faultRNG
+	entry := sim.Entries()[rng.IntN(len(sim.Entries()))]
 	wait := time.Duration(500+rng.IntN(9000)) * time.Millisecond
 	slow, mute := float64(20+rng.IntN(2*verySlow)), rng.Float64()/2
 	faults := []func(){
-		func() { w.Store.SetSlow(slow); time.Sleep(wait); w.Store.SetSlow(1) },
-		func() { w.Store.SetSlow(slow); time.Sleep(wait); w.Store.SetSlow(1) },
-		func() { w.Store.SetMute(mute); time.Sleep(wait); w.Store.SetMute(0) },
+		func() { sim.Store.SetSlow(slow); time.Sleep(wait); sim.Store.SetSlow(1) },
+		func() { sim.Store.SetSlow(slow); time.Sleep(wait); sim.Store.SetSlow(1) },
+		func() { sim.Store.SetMute(mute); time.Sleep(wait); sim.Store.SetMute(0) },
 		func() { entry.Kill(); time.Sleep(wait / 4); entry.Start() },
 		func() { entry.Stop(); time.Sleep(wait / 8); entry.Start() },
-		func() { w.Cut(entry.Node, true); time.Sleep(wait); w.Cut(entry.Node, false) },
-		func() { w.HideOperator(entry.Node, true); time.Sleep(wait); w.HideOperator(entry.Node, false) },
-		func() { w.Store.Compact() },
+		func() { sim.Cut(entry.Node, true); time.Sleep(wait); sim.Cut(entry.Node, false) },
 		func() {
-			w.Store.SetFault(entry.Node, memstore.Silent)
+			sim.HideOperatorRows(entry.Node, true)
 			time.Sleep(wait)
-			w.Store.SetFault(entry.Node, memstore.Healthy)
+			sim.HideOperatorRows(entry.Node, false)
 		},
+		func() { sim.Store.Compact() },
 		func() {
-			w.Store.SetFault("", memstore.Silent)
+			sim.Store.SetFault(entry.Node, memstore.Silent)
+			time.Sleep(wait)
+			sim.Store.SetFault(entry.Node, memstore.Healthy)
+		},
+		func() {
+			sim.Store.SetFault("", memstore.Silent)
 			time.Sleep(wait / 2)
-			w.Store.SetFault("", memstore.Healthy)
+			sim.Store.SetFault("", memstore.Healthy)
 		},
 	}
 	return faults[rng.IntN(len(faults))]
--- a/sessions/machines/rules.go
+++ b/sessions/machines/rules.go
@@ -9,99 +9,101 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Rules watches what the workers do and what clients are told, and keeps
-// what must never happen.
+// Rules observes the workers' actions and the answers to clients, and records
+// each breach of an invariant.
 type Rules struct {
 	mu sync.Mutex
-	// readsFineFor is for how long the store's reads have met no fault; nil if
-	// they never do.
-	readsFineFor func() time.Duration
-	jobs         map[workload.JobID]*watched
-	broken       []string
-	cutAt        time.Time
-	// drained is since when each data centre is drained, lastStart how long
-	// after that the last task began there.
-	drained   map[string]time.Time
-	lastStart time.Duration
-	Started   int
-	Done      int
-	// crashes counts the workers that were crashed by what they ran.
+	// readsHealthyFor returns the time since the store's reads last met a
+	// fault; nil if reads never fail.
+	readsHealthyFor func() time.Duration
+	jobs            map[workload.JobID]*jobRecord
+	breaches        []string
+	cutAt           time.Time
+	// drained holds the time from which each data centre is drained,
+	// lastStartAfterDrain the longest time from a drain to a task start there.
+	drained             map[string]time.Time
+	lastStartAfterDrain time.Duration
+	Started             int
+	Done                int
+	// crashes counts the workers that were crashed by their runs.
 	crashes int
 }
 
-// watched is a job as clients and workers have seen it.
-type watched struct {
+// jobRecord is the state of a job as clients and workers have observed it.
+type jobRecord struct {
 	spec     workload.Job
 	accepted bool
-	// attempts counts the answered attempts to hand it in, refused those
-	// that were refused for certain.
+	// attempts counts the answered attempts to submit the job, refused those
+	// that were definitely refused.
 	attempts, refused int
 	started           bool
 	cancelled         time.Time
 	running           map[workload.TaskID]map[workload.RunID]*Worker
 	done              map[workload.TaskID]bool
-	// noted are the tasks of which a done end was noted.
-	noted map[workload.TaskID]bool
-	// failed are the runs that ended failed, true once that was noted;
-	// before holds, for each start, the runs that had failed before it.
-	failed map[workload.TaskID]map[int]bool
-	before map[workload.TaskID][][]int
-	// doneRuns are the runs that ended done, true if the task has started
+	// acknowledged holds the tasks of which an agent has acknowledged a done
+	// end.
+	acknowledged map[workload.TaskID]bool
+	// failed holds the runs that ended failed, true once the end is
+	// acknowledged; failedBefore holds, for each start, the runs that had
+	// failed before it.
+	failed       map[workload.TaskID]map[int]bool
+	failedBefore map[workload.TaskID][][]int
+	// doneRuns holds the runs that ended done, true if the task has started
 	// again since.
 	doneRuns map[workload.TaskID]map[int]bool
-	// lost counts the workers that crashed while a run of a task was there,
-	// crashes those of them that it crashed itself, again its starts after
-	// the third such crash.
-	lost, crashes, again map[workload.TaskID]int
-	// brokenGangs are the runs of gangs of which a member is gone.
+	// workersLost counts the workers that crashed during a run of a task,
+	// crashes those that the task itself crashed, and startsAfterCrashes its
+	// starts after crashBound such crashes.
+	workersLost, crashes, startsAfterCrashes map[workload.TaskID]int
+	// brokenGangs holds the runs of gangs that have lost a member.
 	brokenGangs map[workload.RunID]bool
-	shown       workload.State
+	lastState   workload.State
 }
 
-// NewRules returns rules that know of no job.
+// NewRules returns rules without jobs.
 func NewRules() *Rules {
-	return &Rules{jobs: map[workload.JobID]*watched{}, drained: map[string]time.Time{}}
+	return &Rules{jobs: map[workload.JobID]*jobRecord{}, drained: map[string]time.Time{}}
 }
 
-// Broken lists what must not have happened.
+// Broken returns a description of each breach.
 func (r *Rules) Broken() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	broken := append([]string(nil), r.broken...)
+	breaches := append([]string(nil), r.breaches...)
 	for id, j := range r.jobs {
 		if j.started && j.attempts > 0 && j.refused == j.attempts {
-			broken = append(broken, fmt.Sprintf("job %s has started, and all attempts to hand it in were refused", id))
+			breaches = append(breaches, fmt.Sprintf("job %s has started, but all attempts to submit it were refused", id))
 		}
 	}
-	return broken
+	return breaches
 }
 
-// report notes a breach that was seen outside of what the rules watch.
-func (r *Rules) report(format string, args ...any) {
+// reportBreach records a breach that was detected outside the rules.
+func (r *Rules) reportBreach(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breach(format, args...)
 }
 
 func (r *Rules) breach(format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
-func (r *Rules) handIn(spec workload.Job) {
+func (r *Rules) submitted(spec workload.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[spec.ID] == nil {
-		r.jobs[spec.ID] = &watched{
+		r.jobs[spec.ID] = &jobRecord{
 			spec: spec, running: map[workload.TaskID]map[workload.RunID]*Worker{}, done: map[workload.TaskID]bool{},
-			noted: map[workload.TaskID]bool{}, failed: map[workload.TaskID]map[int]bool{},
-			before: map[workload.TaskID][][]int{}, doneRuns: map[workload.TaskID]map[int]bool{},
-			lost: map[workload.TaskID]int{}, crashes: map[workload.TaskID]int{}, again: map[workload.TaskID]int{},
+			acknowledged: map[workload.TaskID]bool{}, failed: map[workload.TaskID]map[int]bool{},
+			failedBefore: map[workload.TaskID][][]int{}, doneRuns: map[workload.TaskID]map[int]bool{},
+			workersLost: map[workload.TaskID]int{}, crashes: map[workload.TaskID]int{}, startsAfterCrashes: map[workload.TaskID]int{},
 			brokenGangs: map[workload.RunID]bool{},
 		}
 	}
 }
 
-// answered notes a client's answer: accepted, refused for certain, or
+// answered records the answer to a submission: accepted, definitely refused, or
 // neither.
 func (r *Rules) answered(id workload.JobID, accepted, refused bool) {
 	r.mu.Lock()
@@ -122,15 +124,15 @@
 	}
 }
 
-// show notes a state that a client was shown.
-func (r *Rules) show(id workload.JobID, s workload.State) {
+// stateShown records a state that a client was shown.
+func (r *Rules) stateShown(id workload.JobID, s workload.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
-	if j.shown.Final() && s != j.shown {
-		r.breach("job %s was shown as %s and then as %s", id, j.shown, s)
+	if j.lastState.Final() && s != j.lastState {
+		r.breach("job %s was shown as %s and then as %s", id, j.lastState, s)
 	}
-	j.shown = s
+	j.lastState = s
 	if s == workload.Failed && !j.mayFail() {
 		r.breach("job %s is shown as failed without cause", id)
 	}
@@ -140,7 +142,7 @@
 	for si, step := range j.spec.Steps {
 		for i := range step.Count {
 			if t := (workload.TaskID{Job: id, Step: si, Index: i}); !j.done[t] {
-				r.breach("job %s is shown as completed and task %s has not ended so", id, t)
+				r.breach("job %s is shown as completed, but task %s is not done", id, t)
 				return
 			}
 		}
@@ -148,14 +150,14 @@
 }
 
 // mayFail reports whether a task of the job has failed as often as its queue
-// allows, or two workers have crashed under it.
-func (j *watched) mayFail() bool {
+// allows, or at least two workers have crashed during its runs.
+func (j *jobRecord) mayFail() bool {
 	for _, runs := range j.failed {
 		if n := j.spec.Queue.MaxAttempts; n > 0 && len(runs) >= n {
 			return true
 		}
 	}
-	for _, n := range j.lost {
+	for _, n := range j.workersLost {
 		if n >= 2 {
 			return true
 		}
@@ -163,38 +165,41 @@
 	return false
 }
 
-func (r *Rules) missing(id workload.JobID) {
+func (r *Rules) notFound(id workload.JobID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[id].accepted {
-		r.breach("job %s was accepted and is not known", id)
+		r.breach("job %s was accepted but is unknown", id)
 	}
 }
 
 const (
-	// cancelGrace is how long after a cancellation a start may still be seen.
+	// cancelGrace is the time after a cancellation during which a start may
+	// still occur.
 	cancelGrace = 3 * time.Second
-	// contact is how long a machine must have been reachable for that: an
-	// order that a cut held up may arrive when it heals.
-	contact = 3 * time.Second
+	// contactTime is the time for which machines must have been reachable for
+	// a breach: an order that a cut delayed may arrive when the cut heals.
+	contactTime = 3 * time.Second
 )
 
-// inTouch reports whether reads have been answered in time for as long as it takes
-// until machines count as in touch.
-func (r *Rules) inTouch() bool { return r.readsFineFor == nil || r.readsFineFor() > contact }
+// readsHealthy reports whether the store's reads have been free of faults for
+// long enough that machines count as reachable.
+func (r *Rules) readsHealthy() bool {
+	return r.readsHealthyFor == nil || r.readsHealthyFor() > contactTime
+}
 
-// Cut notes that a machine was cut off, or that a cut has healed.
+// Cut records that a machine was cut off or reconnected.
 func (r *Rules) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cutAt = time.Now()
 }
 
-// drainBound is how long after its drain a task may still begin in a data
-// centre, on the users' tightest terms.
+// drainBound is the time after its drain during which a task may still start in
+// a data centre, the users' strictest bound.
 const drainBound = 5 * time.Second
 
-// drain notes that a data centre is drained, or that this was taken back.
+// drain records the drain of a data centre or its revocation.
 func (r *Rules) drain(dataCentre string, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,35 +212,35 @@
 	}
 }
 
-// LastStart is how long after the drain of its data centre the last task began
-// there.
-func (r *Rules) LastStart() time.Duration {
+// LastStartAfterDrain returns the longest time from the drain of a data centre
+// to a task start there.
+func (r *Rules) LastStartAfterDrain() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lastStart
+	return r.lastStartAfterDrain
 }
 
-// startedDrained checks a start against the drains.
-func (r *Rules) startedDrained(w *Worker, o workerctl.StartOrder) {
+// checkDrain checks a start against the drains.
+func (r *Rules) checkDrain(w *Worker, o workerctl.StartOrder) {
 	since, ok := r.drained[w.info.DataCentre]
 	if !ok {
 		return
 	}
-	r.lastStart = max(r.lastStart, time.Since(since))
-	if r.lastStart > drainBound {
+	r.lastStartAfterDrain = max(r.lastStartAfterDrain, time.Since(since))
+	if r.lastStartAfterDrain > drainBound {
 		r.breach("%s started %s %v after its data centre was drained", w, o.Run, time.Since(since))
 	}
 }
 
-func (r *Rules) started(w *Worker, x *working, o workerctl.StartOrder) {
+func (r *Rules) started(w *Worker, x *activeRun, o workerctl.StartOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Started++
-	r.startedDrained(w, o)
+	r.checkDrain(w, o)
 	t := o.Run.Task
 	j := r.jobs[t.Job]
 	if j == nil || j.spec.Payload != o.Payload || t.Step >= len(j.spec.Steps) {
-		r.breach("%s started %s, which no client handed in", w, o.Run)
+		r.breach("%s started %s, which no client submitted", w, o.Run)
 		return
 	}
 	step := j.spec.Steps[t.Step]
@@ -245,8 +250,8 @@
 			r.breach("%s started %s while %s runs on %s", w, o.Run, other, on)
 		}
 	}
-	if j.noted[t] && !step.Copies {
-		r.breach("%s started %s after its end was noted", w, o.Run)
+	if j.acknowledged[t] && !step.Copies {
+		r.breach("%s started %s after its end was acknowledged", w, o.Run)
 	}
 	for run := range j.doneRuns[t] {
 		j.doneRuns[t][run] = true
@@ -259,26 +264,26 @@
 			}
 		}
 	}
-	var before []int
+	var failedBefore []int
 	for run := range j.failed[t] {
-		before = append(before, run)
+		failedBefore = append(failedBefore, run)
 	}
-	j.before[t] = append(j.before[t], before)
-	r.budget(j, t)
-	r.crashBudget(j, t)
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > cancelGrace && time.Since(r.cutAt) > contact && r.inTouch() {
+	j.failedBefore[t] = append(j.failedBefore[t], failedBefore)
+	r.checkAttempts(j, t)
+	r.countStartAfterCrashes(j, t)
+	if !j.cancelled.IsZero() && time.Since(j.cancelled) > cancelGrace && time.Since(r.cutAt) > contactTime && r.readsHealthy() {
 		r.breach("%s started %s %v after its job was cancelled", w, o.Run, time.Since(j.cancelled))
 	}
 	if j.running[t] == nil {
 		j.running[t] = map[workload.RunID]*Worker{}
 	}
 	j.running[t][o.Run] = w
-	r.room(w, x)
+	r.checkCapacity(w, x)
 }
 
-// room checks the worker's room with x among what runs. The worker's lock is
-// held.
-func (r *Rules) room(w *Worker, x *working) {
+// checkCapacity checks the worker's capacity and the step's spread after the
+// start of x. The caller holds the worker's lock.
+func (r *Rules) checkCapacity(w *Worker, x *activeRun) {
 	var sum workload.Resources
 	ofStep := 0
 	for _, y := range w.running {
@@ -291,7 +296,7 @@
 			ofStep++
 		}
 	}
-	if !w.holds(sum) {
+	if !w.allows(sum) {
 		r.breach("%s is over its capacity with %s: %+v", w, x.run, sum)
 	}
 	if n := r.jobs[x.run.Task.Job].spec.Steps[x.run.Task.Step].Spread; n > 0 && ofStep > n {
@@ -299,17 +304,17 @@
 	}
 }
 
-// lasting reports whether a run is one of a task that lasts.
-func (r *Rules) lasting(run workload.RunID) bool {
+// isLasting reports whether a run belongs to a lasting task.
+func (r *Rules) isLasting(run workload.RunID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[run.Task.Job]
 	return j != nil && run.Task.Step < len(j.spec.Steps) && j.spec.Steps[run.Task.Step].Lasting
 }
 
-// advised reports whether a run belongs to a queue that needs the policy
-// service's word.
-func (r *Rules) advised(run workload.RunID) bool {
+// needsAdvice reports whether a run belongs to a queue that needs the
+// permission of the policy service.
+func (r *Rules) needsAdvice(run workload.RunID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[run.Task.Job]
@@ -340,57 +345,60 @@
 	}
 }
 
-// budget checks that no start came after as many noted failures as the queue
-// allows.
-func (r *Rules) budget(j *watched, t workload.TaskID) {
+// checkAttempts checks that no start followed as many acknowledged failures as
+// the queue allows.
+func (r *Rules) checkAttempts(j *jobRecord, t workload.TaskID) {
 	n := j.spec.Queue.MaxAttempts
 	if n == 0 || j.spec.Steps[t.Step].Lasting {
 		return
 	}
-	for _, before := range j.before[t] {
-		noted := 0
-		for _, run := range before {
+	for _, failedBefore := range j.failedBefore[t] {
+		acknowledged := 0
+		for _, run := range failedBefore {
 			if j.failed[t][run] {
-				noted++
+				acknowledged++
 			}
 		}
-		if noted >= n {
-			r.breach("%s started after %d noted failures", t, noted)
+		if acknowledged >= n {
+			r.breach("%s started after %d acknowledged failures", t, acknowledged)
 		}
 	}
 }
 
 const (
 	// crashBound is the number of workers that a task may crash before its
-	// starts are counted, moreStarts that of the starts that break the rule.
-	crashBound = 3
-	moreStarts = 3
+	// further starts are counted, excessStarts the number of further starts
+	// that breaks the rule.
+	crashBound   = 3
+	excessStarts = 3
 )
 
-// crashBudget counts a start of a task that has crashed crashBound workers.
-func (r *Rules) crashBudget(j *watched, t workload.TaskID) {
+// countStartAfterCrashes counts a start of a task that has crashed crashBound
+// workers.
+func (r *Rules) countStartAfterCrashes(j *jobRecord, t workload.TaskID) {
 	if j.crashes[t] < crashBound {
 		return
 	}
-	j.again[t]++
-	if j.again[t] == moreStarts {
-		r.breach("%s was started %d times more after %d workers had crashed under it", t, moreStarts, crashBound)
+	j.startsAfterCrashes[t]++
+	if j.startsAfterCrashes[t] == excessStarts {
+		r.breach("%s was started %d more times after it had crashed %d workers", t, excessStarts, crashBound)
 	}
 }
 
-// gangRun names one run of a gang.
-func gangRun(run workload.RunID) workload.RunID {
+// gangKey returns the identifier that all members of a gang's run share.
+func gangKey(run workload.RunID) workload.RunID {
 	run.Task.Index = 0
 	return run
 }
 
-// member is a run of a gang and where it is.
+// member is a run of a gang and its worker.
 type member struct {
 	run workload.RunID
 	on  *Worker
 }
 
-// breakGang notes that a member of a gang is gone, and returns the others.
+// breakGang records that a gang has lost a member and returns the remaining
+// ones.
 func (r *Rules) breakGang(run workload.RunID) []member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -398,11 +406,11 @@
 	if j == nil || !j.spec.Steps[run.Task.Step].Gang {
 		return nil
 	}
-	j.brokenGangs[gangRun(run)] = true
+	j.brokenGangs[gangKey(run)] = true
 	var others []member
 	for _, runs := range j.running {
 		for other, on := range runs {
-			if gangRun(other) == gangRun(run) {
+			if gangKey(other) == gangKey(run) {
 				others = append(others, member{run: other, on: on})
 			}
 		}
@@ -410,22 +418,24 @@
 	return others
 }
 
-// alone reports whether the run is of a gang of which a member is gone.
-func (r *Rules) alone(run workload.RunID) bool {
+// inBrokenGang reports whether the run belongs to a gang that has lost a
+// member.
+func (r *Rules) inBrokenGang(run workload.RunID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[run.Task.Job]
-	return j != nil && j.brokenGangs[gangRun(run)]
+	return j != nil && j.brokenGangs[gangKey(run)]
 }
 
-// Crashes counts the workers that were crashed by what they ran.
+// Crashes returns the number of workers that were crashed by their runs.
 func (r *Rules) Crashes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashes
 }
 
-// crashed notes that a run ended with its worker, and whether it was the cause.
+// crashed records that a worker's crash ended a run, and whether the run caused
+// it.
 func (r *Rules) crashed(run workload.RunID, cause bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -434,26 +444,26 @@
 		return
 	}
 	delete(j.running[run.Task], run)
-	j.lost[run.Task]++
+	j.workersLost[run.Task]++
 	if cause {
 		j.crashes[run.Task]++
 		r.crashes++
 	}
 }
 
-// noted notes that an agent has acknowledged an end.
-func (r *Rules) noted(e workload.End) {
+// acknowledged records that an agent has acknowledged an end.
+func (r *Rules) acknowledged(e workload.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[e.Run.Task.Job]
 	if j != nil && e.Kind == workload.EndFailed {
 		j.failed[e.Run.Task][e.Run.Run] = true
-		r.budget(j, e.Run.Task)
+		r.checkAttempts(j, e.Run.Task)
 	}
 	if j != nil && e.Kind == workload.EndDone {
-		j.noted[e.Run.Task] = true
+		j.acknowledged[e.Run.Task] = true
 		if j.doneRuns[e.Run.Task][e.Run.Run] && !j.spec.Steps[e.Run.Task.Step].Copies {
-			r.breach("the end of %s was noted after the task had started again", e.Run)
+			r.breach("the end of %s was acknowledged after the task had started again", e.Run)
 		}
 	}
 }
--- a/sessions/machines/shrink_test.go
+++ b/sessions/machines/shrink_test.go
@@ -7,33 +7,33 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// small is what a worker offers after it shrank.
-var small = workload.Resources{CPU: 4000, Memory: 16000}
+// shrunkCapacity is the capacity of the worker after it shrank.
+var shrunkCapacity = workload.Resources{CPU: 4000, Memory: 16000}
 
-// Failure guarded against: a worker that has shrunk is filled to what it offered before.
+// Guards against a worker that has shrunk and is filled to its former capacity.
 func TestShrunkWorkerIsNotOverfilled(t *testing.T) {
-	restart := map[string]func(w *World){
-		"nothing restarts":     func(*World) {},
-		"its agent restarts":   func(w *World) { w.Agents()[0].Kill(); time.Sleep(second); w.Agents()[0].Start() },
-		"all restart":          func(w *World) { w.KillAll(); time.Sleep(second); w.StartAll() },
-		"its reports are late": func(w *World) { w.Agents()[0].HoldReports(true) },
+	restart := map[string]func(sim *Simulation){
+		"nothing restarts":     func(*Simulation) {},
+		"its agent restarts":   func(sim *Simulation) { sim.Agents()[0].Kill(); time.Sleep(second); sim.Agents()[0].Start() },
+		"all restart":          func(sim *Simulation) { sim.KillAll(); time.Sleep(second); sim.StartAll() },
+		"its reports are late": func(sim *Simulation) { sim.Agents()[0].SetReportsLost(true) },
 	}
 	for name, f := range restart {
 		t.Run(name, func(t *testing.T) {
-			play(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, w *World, c *Client) {
+			simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 				if name == "its reports are late" {
-					f(w)
+					f(sim)
 				}
-				w.Agents()[0].Worker().SetCapacity(small)
+				sim.Agents()[0].Worker().SetCapacity(shrunkCapacity)
 				time.Sleep(6 * second)
-				f(w)
+				f(sim)
 				for n := range 4 {
-					go w.NewClient().Submit(job(10+n, 2), 5)
+					go sim.NewClient().Submit(job(10+n, 2), 5)
 				}
 				time.Sleep(20 * second)
-				w.Agents()[0].HoldReports(false)
-				w.Agents()[0].Worker().SetCapacity(capacity)
-				expect(t, c, workload.Completed, JobID(10), JobID(11), JobID(12), JobID(13))
+				sim.Agents()[0].SetReportsLost(false)
+				sim.Agents()[0].Worker().SetCapacity(capacity)
+				expectAll(t, c, workload.Completed, JobID(10), JobID(11), JobID(12), JobID(13))
 			})
 		})
 	}
--- a/sessions/machines/starve_test.go
+++ b/sessions/machines/starve_test.go
@@ -7,11 +7,12 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A lasting task without a worker finds no room, as short ones take each bit of it.
+// Guards against a lasting task that finds no capacity because short tasks take
+// all that becomes free.
 func TestLastingTaskIsNotStarvedByShortOnes(t *testing.T) {
-	// restored is the users' bound for a lasting task without a run.
+	// restored is the users' bound on the time of a lasting task without a run.
 	const restored = 6 * second
-	play(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 16000, Memory: 1 << 20}}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 16000, Memory: 1 << 20}}, func(t *testing.T, sim *Simulation, c *Client) {
 		last := lastingJob(1, 1)
 		last.Steps[0].Need.CPU = 8000
 		submit(t, c, last)
@@ -24,15 +25,15 @@
 			submit(t, c, j)
 		}
 		time.Sleep(2 * second)
-		a := w.runningOn(last.ID)
+		a := sim.agentRunning(last.ID)
 		a.Kill()
 		a.Worker().Crash()
 		time.Sleep(grant + restored)
-		if w.runningOn(last.ID) == nil {
+		if sim.agentRunning(last.ID) == nil {
 			t.Error("the lasting task does not run")
 		}
 		if c.State(JobID(33)).Final() {
-			t.Error("no short tasks wait any more")
+			t.Error("no more short tasks are waiting")
 		}
 	})
 }
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -13,102 +13,103 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Outcome says how a run behaves.
+// Outcome describes the behaviour of a run.
 type Outcome struct {
-	// For is how long the run works; 0 means that it lasts until stopped, as
-	// the tasks of a lasting step always do.
+	// For is the time that the run works; 0 makes it run until stopped, as the
+	// tasks of a lasting step always do.
 	For time.Duration
-	// Fails says that it ends failed.
+	// Fails makes the run end failed.
 	Fails bool
-	// Hangs says that it never ends by itself.
+	// Hangs makes the run never end by itself.
 	Hangs bool
-	// Crashes says that its worker crashes soon after it has begun.
+	// Crashes makes the run crash its worker after crashTime.
 	Crashes bool
 }
 
 const (
-	// answerTime is how long a worker takes to answer.
+	// answerTime is the time that a worker takes to answer.
 	answerTime = time.Millisecond
-	// silence is how long a caller waits for an answer that never comes.
-	silence = 500 * time.Millisecond
-	// failTime is how soon a run ends on a worker that fails what it starts.
+	// callTimeout is the time that a caller waits for a missing answer.
+	callTimeout = 500 * time.Millisecond
+	// failTime is the time after which a run ends on a worker that fails all
+	// its runs.
 	failTime = 30 * time.Millisecond
-	// crashTime is how soon a run that crashes its worker does so.
+	// crashTime is the time from the start of a run to the crash that it
+	// causes.
 	crashTime = 10 * time.Millisecond
-	// aloneTime is how long a member of a gang waits for the others.
-	aloneTime = 3 * time.Second
-	// stopTime is how long a run takes to stop.
+	// gangWait is the time that a member of a gang waits for the others.
+	gangWait = 3 * time.Second
+	// stopTime is the time that a run takes to stop.
 	stopTime = 200 * time.Millisecond
 	// longestLease is the longest lease that a worker grants.
 	longestLease = 10 * time.Second
-	// listedEnds is the most ends of one listing.
+	// listedEnds is the maximum number of ends in one listing.
 	listedEnds = 500
 )
 
-// Worker is a stand-in of the worker of one machine. It obeys orders, keeps
-// leases on a clock that runs slow, and tells the rules what it does.
+// Worker is a stand-in of the worker of one machine. It executes orders, keeps
+// leases on a clock that runs slow, and reports its actions to the rules.
 type Worker struct {
 	rules   *Rules
 	outcome func(workload.RunID) Outcome
 	advisor *advisor
 	info    workload.Worker
-	// onCrash is called when a run has crashed the worker; nil for nothing.
+	// onCrash is called after a run has crashed the worker; it may be nil.
 	onCrash func()
-	// slow is the worker's clock against true time, 0.98 to 1.
-	slow  float64
-	began time.Time
+	// clockRate is the rate of the worker's clock against true time, 0.98 to 1.
+	clockRate float64
+	began     time.Time
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	alive bool
-	// refusing says that after its end the worker's address refuses calls, and is
-	// not silent.
+	// refusing makes the address refuse calls after the worker's end; otherwise
+	// they get no answer.
 	refusing bool
-	// dark says that no call gets an answer, though what runs goes on.
-	dark bool
-	// late is the share of orders without an answer that are carried out
-	// seconds later.
+	// unresponsive leaves calls unanswered while the runs continue.
+	unresponsive bool
+	// late is the share of orders that get no answer and are executed seconds
+	// later.
 	late float64
-	// lost is the share of calls that are carried out and whose answer never
-	// arrives.
+	// lost is the share of calls that are executed but whose answer is lost.
 	lost float64
-	// fails says that what begins soon ends failed.
+	// fails makes new runs fail after failTime.
 	fails bool
-	// hangs says that what begins stands still.
-	hangs   bool
-	refuses bool
-	token   uint64
-	lease   workerctl.Clock
-	running map[workload.RunID]*working
-	highest map[workload.TaskID]int
-	ended   []workload.End
-	number  uint64
-	seen    uint64
-	// lapsedEnds is the number of the last end before a lease lapsed; those
-	// up to it can't be noted any more.
+	// hangs makes new runs make no progress.
+	hangs            bool
+	refuses          bool
+	token            uint64
+	lease            workerctl.Clock
+	running          map[workload.RunID]*activeRun
+	highest          map[workload.TaskID]int
+	ended            []workload.End
+	number           uint64
+	lastAcknowledged uint64
+	// lapsedEnds is the highest end number at the last lapse of a lease; ends up
+	// to it can't be acknowledged any more.
 	lapsedEnds uint64
 	changed    chan struct{}
-	// larger are the capacities that the worker had before it shrank.
-	larger []formerCapacity
+	// formerCapacities holds the capacities from before each shrink.
+	formerCapacities []formerCapacity
 }
 
-type working struct {
+type activeRun struct {
 	run        workload.RunID
 	payload    string
 	began      time.Time
 	checkpoint int
-	// takes is how long the run works; 0 means that it lasts or stands still.
-	takes    time.Duration
-	lasts    bool
+	// duration is the time that the run works; 0 means that it lasts or hangs.
+	duration time.Duration
+	lasting  bool
 	stopping bool
 	timer    *time.Timer
 }
 
-// NewWorker begins the life of a worker. Its luck follows seed.
+// NewWorker starts a worker. seed determines its random faults.
 func NewWorker(info workload.Worker, rules *Rules, outcome func(workload.RunID) Outcome, seed uint64) *Worker {
 	w := &Worker{
-		rules: rules, outcome: outcome, info: info, slow: 0.98, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), alive: true,
-		running: map[workload.RunID]*working{}, highest: map[workload.TaskID]int{}, changed: make(chan struct{}),
+		rules: rules, outcome: outcome, info: info, clockRate: 0.98, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), alive: true,
+		running: map[workload.RunID]*activeRun{}, highest: map[workload.TaskID]int{}, changed: make(chan struct{}),
 	}
 	go w.watchLease()
 	return w
@@ -116,10 +117,10 @@
 
 // clock reads the worker's own clock.
 func (w *Worker) clock() workerctl.Clock {
-	return workerctl.Clock(float64(time.Since(w.began).Milliseconds())*w.slow) + 1000
+	return workerctl.Clock(float64(time.Since(w.began).Milliseconds())*w.clockRate) + 1000
 }
 
-// watchLease ends everything when the lease is over.
+// watchLease ends all runs when the lease expires.
 func (w *Worker) watchLease() {
 	for {
 		time.Sleep(20 * time.Millisecond)
@@ -138,14 +139,15 @@
 	}
 }
 
-// Info is what the worker reports of itself; alive is false after its end.
+// Info returns the worker's description for reports; alive is false after its
+// end.
 func (w *Worker) Info() (info workload.Worker, alive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.info, w.alive
 }
 
-// Drain makes the worker report that it leaves.
+// Drain makes the worker report that it is draining.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,13 +155,13 @@
 }
 
 // SetDark sets whether calls get no answer.
-func (w *Worker) SetDark(dark bool) {
+func (w *Worker) SetDark(unresponsive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dark = dark
+	w.unresponsive = unresponsive
 }
 
-// SetLate sets the share of orders that are carried out late.
+// SetLate sets the share of orders that are executed late.
 func (w *Worker) SetLate(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -173,34 +175,34 @@
 	w.lost = share
 }
 
-// answerLost reports whether the answer to a call is lost; its caller has
-// waited for it then.
+// answerLost reports whether the answer to a call is lost, after the caller's
+// time-out.
 func (w *Worker) answerLost(ctx context.Context) bool {
 	w.mu.Lock()
 	lost := w.rng.Float64() < w.lost
 	w.mu.Unlock()
 	if lost {
-		wait.For(ctx, silence)
+		wait.For(ctx, callTimeout)
 	}
 	return lost
 }
 
-// SetFails lets all that begins from now on fail within moments.
+// SetFails sets whether new runs fail after failTime.
 func (w *Worker) SetFails(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fails = fails
 }
 
-// SetHangs sets whether what begins from now on stands still, though the
-// worker looks healthy.
+// SetHangs sets whether new runs make no progress while the worker looks
+// healthy.
 func (w *Worker) SetHangs(hangs bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hangs = hangs
 }
 
-// Running lists what runs.
+// Running returns the current runs.
 func (w *Worker) Running() []workload.RunID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,35 +213,35 @@
 	return runs
 }
 
-// enter waits the time of a call and says whether it is lost; a lost order
-// may be carried out later by do.
-func (w *Worker) enter(ctx context.Context, life workload.WorkerID, order bool, do func()) error {
+// receive takes the time of a call and returns an error if the call is lost or
+// refused; do executes a lost order later.
+func (w *Worker) receive(ctx context.Context, incarnation workload.WorkerID, order bool, do func()) error {
 	w.mu.Lock()
-	silent := w.dark || !w.alive
-	refusing := !w.dark && !w.alive && w.refusing
-	late := order && !silent && w.rng.Float64() < w.late
+	unanswered := w.unresponsive || !w.alive
+	refusing := !w.unresponsive && !w.alive && w.refusing
+	late := order && !unanswered && w.rng.Float64() < w.late
 	delay := 2*time.Second + time.Duration(w.rng.Float64()*float64(10*time.Second))
 	w.mu.Unlock()
 	if refusing {
 		return workerctl.ErrDown
 	}
-	if silent || late {
+	if unanswered || late {
 		if late {
 			time.AfterFunc(delay, do)
 		}
-		wait.For(ctx, silence)
+		wait.For(ctx, callTimeout)
 		return workerctl.ErrUnknown
 	}
 	if !wait.For(ctx, answerTime) {
 		return workerctl.ErrUnknown
 	}
-	if life != w.info.ID {
+	if incarnation != w.info.ID {
 		return workerctl.ErrGone
 	}
 	return nil
 }
 
-// fence keeps the highest token; a lower one is refused.
+// fence records the highest token and refuses lower ones.
 func (w *Worker) fence(token uint64) error {
 	if token < w.token {
 		return &workerctl.RefusedError{Reason: workerctl.RefusedFence}
@@ -248,13 +250,13 @@
 	return nil
 }
 
-func (w *Worker) extend(lease workerctl.Clock) {
+func (w *Worker) extendLease(lease workerctl.Clock) {
 	w.lease = max(w.lease, min(lease, w.clock().Add(longestLease)))
 }
 
 // Start implements workerctl.Control.
-func (w *Worker) Start(ctx context.Context, life workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
-	if err := w.enter(ctx, life, true, func() { _, _ = w.start(o) }); err != nil {
+func (w *Worker) Start(ctx context.Context, incarnation workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
+	if err := w.receive(ctx, incarnation, true, func() { _, _ = w.start(o) }); err != nil {
 		return 0, err
 	}
 	return w.start(o)
@@ -272,14 +274,14 @@
 	if o.Lease < w.clock() {
 		return w.clock(), &workerctl.RefusedError{Reason: workerctl.RefusedLate}
 	}
-	w.extend(o.Lease)
+	w.extendLease(o.Lease)
 	if w.running[o.Run] != nil {
 		return w.clock(), nil
 	}
 	if o.Run.Run <= w.highest[o.Run.Task] {
 		return w.clock(), &workerctl.RefusedError{Reason: workerctl.RefusedOld}
 	}
-	if w.rules.advised(o.Run) && !w.advisor.holds(o.Run.Task, w.info.ID, o.Ticket) {
+	if w.rules.needsAdvice(o.Run) && !w.advisor.validTicket(o.Run.Task, w.info.ID, o.Ticket) {
 		return w.clock(), &workerctl.RefusedError{Reason: workerctl.RefusedTicket}
 	}
 	if w.refuses {
@@ -290,7 +292,7 @@
 }
 
 func (w *Worker) begin(o workerctl.StartOrder) {
-	x := &working{run: o.Run, payload: o.Payload, began: time.Now()}
+	x := &activeRun{run: o.Run, payload: o.Payload, began: time.Now()}
 	if o.Checkpoint != "" {
 		x.checkpoint, _ = strconv.Atoi(o.Checkpoint)
 	}
@@ -304,19 +306,19 @@
 	if out.Fails {
 		kind = workload.EndFailed
 	}
-	if w.rules.alone(o.Run) {
-		out, kind = Outcome{For: aloneTime}, workload.EndAlone
+	if w.rules.inBrokenGang(o.Run) {
+		out, kind = Outcome{For: gangWait}, workload.EndAlone
 	}
-	x.lasts = out.For == 0 || w.rules.lasting(o.Run)
+	x.lasting = out.For == 0 || w.rules.isLasting(o.Run)
 	if out.Crashes {
-		x.timer = w.crashSoon(x)
+		x.timer = w.scheduleCrash(x)
 		return
 	}
-	if x.lasts || out.Hangs || w.hangs {
+	if x.lasting || out.Hangs || w.hangs {
 		x.timer = time.AfterFunc(time.Hour, func() {})
 		return
 	}
-	x.takes = out.For
+	x.duration = out.For
 	x.timer = time.AfterFunc(out.For, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -326,18 +328,18 @@
 	})
 }
 
-// progress is how much of its work is done, in whole per cents.
-func (x *working) progress() int {
+// progress returns the share of the run's work that is done, in whole per cent.
+func (x *activeRun) progress() int {
 	switch {
-	case x.lasts:
+	case x.lasting:
 		return 100
-	case x.takes == 0:
+	case x.duration == 0:
 		return 0
 	}
-	return min(99, int(100*time.Since(x.began)/x.takes))
+	return min(99, int(100*time.Since(x.began)/x.duration))
 }
 
-func (w *Worker) end(x *working, kind workload.EndKind) {
+func (w *Worker) end(x *activeRun, kind workload.EndKind) {
 	x.timer.Stop()
 	delete(w.running, x.run)
 	w.highest[x.run.Task] = max(w.highest[x.run.Task], x.run.Run)
@@ -353,8 +355,8 @@
 }
 
 // Stop implements workerctl.Control.
-func (w *Worker) Stop(ctx context.Context, life workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
-	if err := w.enter(ctx, life, true, func() { _, _ = w.stop(run, token) }); err != nil {
+func (w *Worker) Stop(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
+	if err := w.receive(ctx, incarnation, true, func() { _, _ = w.stop(run, token) }); err != nil {
 		return 0, err
 	}
 	return w.stop(run, token)
@@ -383,8 +385,8 @@
 }
 
 // Pace implements workerctl.Control.
-func (w *Worker) Pace(ctx context.Context, life workload.WorkerID, _ workload.RunID, _ int, token uint64) (workerctl.Clock, error) {
-	if err := w.enter(ctx, life, false, nil); err != nil {
+func (w *Worker) Pace(ctx context.Context, incarnation workload.WorkerID, _ workload.RunID, _ int, token uint64) (workerctl.Clock, error) {
+	if err := w.receive(ctx, incarnation, false, nil); err != nil {
 		return 0, err
 	}
 	w.mu.Lock()
@@ -393,8 +395,8 @@
 }
 
 // Hold implements workerctl.Control.
-func (w *Worker) Hold(ctx context.Context, life workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
-	if err := w.enter(ctx, life, false, nil); err != nil {
+func (w *Worker) Hold(ctx context.Context, incarnation workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
+	if err := w.receive(ctx, incarnation, false, nil); err != nil {
 		return workerctl.Listing{}, err
 	}
 	w.mu.Lock()
@@ -403,9 +405,9 @@
 		return workerctl.Listing{}, err
 	}
 	if o.Lease > 0 {
-		w.extend(o.Lease)
+		w.extendLease(o.Lease)
 	}
-	w.forget(o.Seen)
+	w.dropAcknowledged(o.Seen)
 	wait, number, changed := o.Wait, w.number, w.changed
 	w.mu.Unlock()
 	if wait > 0 && number <= o.Seen {
@@ -420,20 +422,20 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.alive || w.dark {
+	if !w.alive || w.unresponsive {
 		return workerctl.Listing{}, workerctl.ErrUnknown
 	}
 	return w.listing(), nil
 }
 
-func (w *Worker) forget(seen uint64) {
-	w.seen = max(w.seen, seen)
+func (w *Worker) dropAcknowledged(lastAcknowledged uint64) {
+	w.lastAcknowledged = max(w.lastAcknowledged, lastAcknowledged)
 	kept := w.ended[:0]
 	for _, e := range w.ended {
-		if e.Number > w.seen {
+		if e.Number > w.lastAcknowledged {
 			kept = append(kept, e)
 		} else if e.Number > w.lapsedEnds {
-			w.rules.noted(e)
+			w.rules.acknowledged(e)
 		}
 	}
 	w.ended = kept
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -1,8 +1,8 @@
-// Package machines is a stand-in of the users' machines in one process: their
-// store, their workers and the network between the programs, with the faults
-// that they have. It runs the code of entries and agents as it is, over
-// connections in memory, so that whole days of jobs can be played in the fake
-// time of testing/synctest. Rules watches what must never happen.
+// Package machines simulates the users' machines in one process: their store,
+// their workers and the network between the programs, with their faults. It
+// runs the unmodified code of entries and agents over connections in memory, so
+// that whole days of jobs can be simulated in the fake time of
+// testing/synctest. Rules checks the invariants.
 package machines
 
 import (
@@ -28,37 +28,38 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Options describe a world.
+// Options describe a simulation.
 type Options struct {
 	Seed     uint64
 	Entries  int
 	Machines int
-	// Power is the processor of each entry's machine in cores; an entry
-	// without one has none named.
+	// Power is the processor capacity of each entry's machine in cores; entries
+	// beyond its length report none.
 	Power []float64
-	// DataCentres is the number of data centres, dc-0 and so on, to which the
-	// workers belong in turn; 0 gives them none.
+	// DataCentres is the number of data centres, named dc-0 and so on, among
+	// which the workers are distributed in turn; with 0 they belong to none.
 	DataCentres int
-	// Capacity is that of each worker.
+	// Capacity is the capacity of each worker.
 	Capacity workload.Resources
-	// BackAfter is how long a worker that was crashed by a run is away; 0
-	// stands for three seconds.
-	BackAfter time.Duration
-	// Outcome tells how runs behave.
+	// RestartDelay is the time until a worker that was crashed by a run
+	// restarts; 0 means three seconds.
+	RestartDelay time.Duration
+	// Outcome returns the behaviour of a run.
 	Outcome func(workload.RunID) Outcome
-	// Log takes the programs' logs; nil drops them.
+	// Log receives the programs' logs; nil discards them.
 	Log io.Writer
-	// LogLines bounds the lines of a process in a second; 0 does not.
+	// LogLines limits the lines that a process logs per second; 0 means no
+	// limit.
 	LogLines int
 }
 
-// usuallyBack is how long a worker is away that was crashed by a run.
-const usuallyBack = 3 * time.Second
+// defaultRestartDelay is the default of Options.RestartDelay.
+const defaultRestartDelay = 3 * time.Second
 
-func (o Options) backAfter() time.Duration { return cmp.Or(o.BackAfter, usuallyBack) }
+func (o Options) restartDelay() time.Duration { return cmp.Or(o.RestartDelay, defaultRestartDelay) }
 
-// World is a deployment.
-type World struct {
+// Simulation is a simulated deployment.
+type Simulation struct {
 	Store *memstore.Store
 	Rules *Rules
 	// advisor is the policy service.
@@ -72,154 +73,154 @@
 	agents  []*Agent
 	servers map[string]*server
 	cut     map[string]bool
-	// hidden lists the machines that can't read the operator's rows.
-	hidden map[string]bool
-	lives  int
-	closed bool
-	// configs is what the operator has confirmed; nil before the first one.
+	// hidden holds the machines that can't read the operator's rows.
+	hidden       map[string]bool
+	incarnations int
+	closed       bool
+	// configs watches the confirmed configurations; nil before the first one.
 	configs *configWatch
 }
 
-// server is what listens at an address.
+// server serves an address.
 type server struct {
 	rpc   *rpc.Server
 	conns map[net.Conn]bool
 }
 
-// Service is the service of all workers of a world.
+// Service is the service of all workers of a simulation.
 const Service = "svc"
 
-// dialSilence is how long a dial to a machine that is gone hangs.
-const dialSilence = 600 * time.Millisecond
+// dialTimeout is the time after which a dial to an unreachable machine fails.
+const dialTimeout = 600 * time.Millisecond
 
 // heartbeat is the time between two reports of a worker.
 const heartbeat = 1100 * time.Millisecond
 
-// configSilence bounds the silence of the store in one attempt to read the
-// operator's rows.
-const configSilence = 10 * time.Second
+// configIdleTimeout bounds the time without data from the store in one attempt
+// to read the operator's rows.
+const configIdleTimeout = 10 * time.Second
 
-// grant is the grant of the scheduler.
+// grant is the length of the scheduler's grants to agents.
 const grant = 6 * time.Second
 
-// New returns a world whose programs run.
-func New(opt Options) *World {
-	w := &World{
+// New returns a simulation with all its programs running.
+func New(opt Options) *Simulation {
+	sim := &Simulation{
 		Store: memstore.New(opt.Seed), Rules: NewRules(), advisor: newAdvisor(), opt: opt, began: time.Now(), log: zerolog.Nop(),
 		servers: map[string]*server{}, cut: map[string]bool{}, hidden: map[string]bool{},
 	}
-	w.Rules.readsFineFor = w.Store.ReadsFineFor
+	sim.Rules.readsHealthyFor = sim.Store.ReadsFineFor
 	if opt.Log != nil {
-		w.log = zerolog.New(opt.Log).With().Timestamp().Logger()
+		sim.log = zerolog.New(opt.Log).With().Timestamp().Logger()
 	}
 	for i := range opt.Entries {
-		e := &Entry{world: w, Node: fmt.Sprintf("entry-%d", i)}
-		w.entries = append(w.entries, e)
+		e := &Entry{simulation: sim, Node: fmt.Sprintf("entry-%d", i)}
+		sim.entries = append(sim.entries, e)
 		e.Start()
 	}
 	for i := range opt.Machines {
-		a := &Agent{world: w, Node: fmt.Sprintf("machine-%d", i), dataCentre: w.DataCentre(i)}
-		w.agents = append(w.agents, a)
+		a := &Agent{simulation: sim, Node: fmt.Sprintf("machine-%d", i), dataCentre: sim.DataCentre(i)}
+		sim.agents = append(sim.agents, a)
 		a.NewWorker()
 		a.Start()
 	}
-	return w
+	return sim
 }
 
-// logOf is the log of a new process of a machine.
-func (w *World) logOf(node string) zerolog.Logger {
-	log := w.log.With().Str("process", node).Logger()
-	if w.opt.LogLines == 0 {
+// newLog returns the log of a new process on a machine.
+func (sim *Simulation) newLog(node string) zerolog.Logger {
+	log := sim.log.With().Str("process", node).Logger()
+	if sim.opt.LogLines == 0 {
 		return log
 	}
-	return log.Hook(&logs.Limit{PerSecond: w.opt.LogLines, Tell: logs.TellLeftOut(log)})
+	return log.Hook(&logs.Limit{PerSecond: sim.opt.LogLines, Tell: logs.TellLeftOut(log)})
 }
 
-func (w *World) isClosed() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.closed
+func (sim *Simulation) isClosed() bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.closed
 }
 
 // Close ends all programs and workers.
-func (w *World) Close() {
-	w.mu.Lock()
-	w.closed = true
-	w.mu.Unlock()
-	for _, e := range w.entries {
+func (sim *Simulation) Close() {
+	sim.mu.Lock()
+	sim.closed = true
+	sim.mu.Unlock()
+	for _, e := range sim.entries {
 		e.Kill()
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.Kill()
 		a.Worker().Crash()
 	}
-	// What is still on its way ends within the longest time-out.
+	// Calls in flight end within the longest time-out.
 	time.Sleep(time.Minute)
 }
 
-// KillAll ends all programs at once. The workers live on.
-func (w *World) KillAll() {
-	for _, e := range w.entries {
+// KillAll ends all programs at once. The workers keep running.
+func (sim *Simulation) KillAll() {
+	for _, e := range sim.entries {
 		e.Kill()
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.Kill()
 	}
 }
 
-// StartAll starts all programs that do not run.
-func (w *World) StartAll() {
-	for _, e := range w.entries {
+// StartAll starts all programs that are not running.
+func (sim *Simulation) StartAll() {
+	for _, e := range sim.entries {
 		e.Start()
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.Start()
 	}
 }
 
-// Entries and Agents are the programs.
-func (w *World) Entries() []*Entry { return w.entries }
+// Entries returns the entries.
+func (sim *Simulation) Entries() []*Entry { return sim.entries }
 
 // Agents returns the agents.
-func (w *World) Agents() []*Agent { return w.agents }
-
-// HideOperator sets whether a machine can't read the operator's rows, though it
-// reaches the rest of the store.
-func (w *World) HideOperator(node string, hidden bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hidden[node] = hidden
+func (sim *Simulation) Agents() []*Agent { return sim.agents }
+
+// HideOperatorRows sets whether a machine can't read the operator's rows,
+// though it reaches the rest of the store.
+func (sim *Simulation) HideOperatorRows(node string, hidden bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.hidden[node] = hidden
 }
 
-func (w *World) isHidden(node string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.hidden[node]
+func (sim *Simulation) isHidden(node string) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.hidden[node]
 }
 
-// DataCentre names the data centre of the n-th machine.
-func (w *World) DataCentre(n int) string {
-	if w.opt.DataCentres == 0 {
+// DataCentre returns the name of the data centre of the n-th machine.
+func (sim *Simulation) DataCentre(n int) string {
+	if sim.opt.DataCentres == 0 {
 		return ""
 	}
-	return fmt.Sprintf("dc-%d", n%w.opt.DataCentres)
+	return fmt.Sprintf("dc-%d", n%sim.opt.DataCentres)
 }
 
-// Drain drains a data centre, or takes that back. The operator reaches the
-// store whatever its faults.
-func (w *World) Drain(dataCentre string, drained bool) {
+// Drain drains a data centre or revokes its drain. The operator's write
+// succeeds whatever faults the store has.
+func (sim *Simulation) Drain(dataCentre string, drained bool) {
 	key := rowstore.Key{Table: operatorRows.Key.Table, Key: drainKey + dataCentre}
 	txn := rowstore.Txn{Deletes: []rowstore.Key{key}}
 	if drained {
 		txn = rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: []byte("{}")}}}
 	}
-	must(w.Store.ApplyNow(txn))
-	w.Rules.drain(dataCentre, drained)
+	must(sim.Store.ApplyNow(txn))
+	sim.Rules.drain(dataCentre, drained)
 }
 
 // Leader returns the entry whose scheduler leads, or nil.
-func (w *World) Leader() *Entry {
-	for _, e := range w.entries {
+func (sim *Simulation) Leader() *Entry {
+	for _, e := range sim.entries {
 		if p := e.current(); p != nil && p.elector.Term() != nil {
 			return e
 		}
@@ -227,20 +228,20 @@
 	return nil
 }
 
-// leaderBut is Leader among the entries other than one that is cut off, which
-// does not know yet that its term is over.
-func (w *World) leaderBut(gone *Entry) *Entry {
-	for _, e := range w.entries {
-		if p := e.current(); e != gone && p != nil && p.elector.Term() != nil {
+// leaderExcept is Leader without one entry, which is cut off and may not have
+// noticed the end of its term.
+func (sim *Simulation) leaderExcept(excluded *Entry) *Entry {
+	for _, e := range sim.entries {
+		if p := e.current(); e != excluded && p != nil && p.elector.Term() != nil {
 			return e
 		}
 	}
 	return nil
 }
 
-// runningOn returns the machine on which a run of the job is, or nil.
-func (w *World) runningOn(id workload.JobID) *Agent {
-	for _, a := range w.agents {
+// agentRunning returns the machine of a run of the job, or nil.
+func (sim *Simulation) agentRunning(id workload.JobID) *Agent {
+	for _, a := range sim.agents {
 		for _, r := range a.Worker().Running() {
 			if r.Task.Job == id {
 				return a
@@ -250,32 +251,32 @@
 	return nil
 }
 
-// power is the processor of an entry's machine.
-func (w *World) power(e *Entry) float64 {
-	for i, x := range w.entries {
-		if x == e && i < len(w.opt.Power) {
-			return w.opt.Power[i]
+// power returns the processor capacity of an entry's machine.
+func (sim *Simulation) power(e *Entry) float64 {
+	for i, x := range sim.entries {
+		if x == e && i < len(sim.opt.Power) {
+			return sim.opt.Power[i]
 		}
 	}
 	return 0
 }
 
-// now is a clock of the world.
-func (w *World) now() time.Duration { return time.Since(w.began) + time.Second }
+// now is the clock of the simulation.
+func (sim *Simulation) now() time.Duration { return time.Since(sim.began) + time.Second }
 
-// Cut cuts a machine off from all others, or heals the cut.
-func (w *World) Cut(node string, cut bool) {
-	w.Rules.Cut()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut[node] = cut
+// Cut cuts a machine off from all others, or reconnects it.
+func (sim *Simulation) Cut(node string, cut bool) {
+	sim.Rules.Cut()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.cut[node] = cut
 }
 
-func (w *World) isCut(nodes ...string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *Simulation) isCut(nodes ...string) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, n := range nodes {
-		if w.cut[n] {
+		if sim.cut[n] {
 			return true
 		}
 	}
@@ -284,59 +285,59 @@
 
 var errNoRoute = errors.New("no route")
 
-// link is how the programs of node reach an address.
-func (w *World) link(node string) func(string) *dispatch.Link {
+// link returns the function that links programs on node to an address.
+func (sim *Simulation) link(node string) func(string) *dispatch.Link {
 	return func(address string) *dispatch.Link {
 		return dispatch.NewLinkOver(address, func(context.Context) (net.Conn, error) {
-			return w.dial(node, address)
+			return sim.dial(node, address)
 		})
 	}
 }
 
-func (w *World) dial(from, to string) (net.Conn, error) {
-	if w.isCut(from, to) {
-		time.Sleep(dialSilence)
+func (sim *Simulation) dial(from, to string) (net.Conn, error) {
+	if sim.isCut(from, to) {
+		time.Sleep(dialTimeout)
 		return nil, errNoRoute
 	}
 	time.Sleep(time.Millisecond)
-	near, far := newPipe(func() bool { return w.isCut(from, to) })
-	w.mu.Lock()
-	s := w.servers[to]
+	near, far := newPipe(func() bool { return sim.isCut(from, to) })
+	sim.mu.Lock()
+	s := sim.servers[to]
 	if s == nil {
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		return nil, syscall.ECONNREFUSED
 	}
 	s.conns[far] = true
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	go func() {
 		s.rpc.ServeConn(far)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		delete(s.conns, far)
 	}()
 	return near, nil
 }
 
-// listen serves at an address, instead of what listened there.
-func (w *World) listen(address string, r *rpc.Server) *server {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// listen serves an address, replacing the server that it had.
+func (sim *Simulation) listen(address string, r *rpc.Server) *server {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	s := &server{rpc: r, conns: map[net.Conn]bool{}}
-	w.servers[address] = s
+	sim.servers[address] = s
 	return s
 }
 
-// unlisten ends a server, and not the one that has taken its address since.
-func (w *World) unlisten(address string, s *server) {
+// unlisten ends a server, but not a later one at the same address.
+func (sim *Simulation) unlisten(address string, s *server) {
 	if s == nil {
 		return
 	}
-	w.mu.Lock()
-	if w.servers[address] == s {
-		delete(w.servers, address)
+	sim.mu.Lock()
+	if sim.servers[address] == s {
+		delete(sim.servers, address)
 	}
 	conns := slices.Collect(maps.Keys(s.conns))
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	for _, c := range conns {
 		_ = c.Close() // a pipe always closes
 	}
--- a/sessions/machines/world_test.go
+++ b/sessions/machines/world_test.go
@@ -12,7 +12,7 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// second is the unit of the tests' stories.
+// second is the unit of time in the tests.
 const second = time.Second
 
 var capacity = workload.Resources{CPU: 16000, Memory: 64000}
@@ -21,7 +21,7 @@
 	return workload.Queue{Name: "q", Service: Service, MaxAttempts: 3, Stretch: 2, TargetLatency: second}
 }
 
-// job is a job of two steps of n tasks each.
+// job returns a job of two steps of n tasks each.
 func job(number, n int) workload.Job {
 	s := workload.Step{Count: n, Need: workload.Resources{CPU: 2000, Memory: 1000}, Estimate: second}
 	after := s
@@ -34,14 +34,14 @@
 	return workload.Job{ID: JobID(number), Queue: queue(), Payload: "lasting", Steps: []workload.Step{s}}
 }
 
-// oneSecond lets finite tasks take a second and lasting ones go on.
-func oneSecond(r workload.RunID) Outcome { return Outcome{For: second} }
+// oneSecondOutcome makes finite tasks take a second; lasting ones continue.
+func oneSecondOutcome(r workload.RunID) Outcome { return Outcome{For: second} }
 
-// play runs a story in fake time and checks the rules after it.
-func play(t *testing.T, opt Options, story func(t *testing.T, w *World, c *Client)) {
+// simulate runs a scenario in fake time and then checks the rules.
+func simulate(t *testing.T, opt Options, scenario func(t *testing.T, sim *Simulation, c *Client)) {
 	t.Helper()
 	if opt.Outcome == nil {
-		opt.Outcome = oneSecond
+		opt.Outcome = oneSecondOutcome
 	}
 	if opt.Capacity == (workload.Resources{}) {
 		opt.Capacity = capacity
@@ -50,17 +50,17 @@
 		opt.Log = os.Stderr
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := New(opt)
+		sim := New(opt)
 		time.Sleep(3 * second)
-		story(t, w, w.NewClient())
-		for _, b := range w.Rules.Broken() {
+		scenario(t, sim, sim.NewClient())
+		for _, b := range sim.Rules.Broken() {
 			t.Error(b)
 		}
-		w.Close()
+		sim.Close()
 	})
 }
 
-// await fails the test if a job does not end as wanted in time.
+// await fails the test if a job does not end in the state want in time.
 func await(t *testing.T, c *Client, id workload.JobID, want workload.State, within time.Duration) time.Duration {
 	t.Helper()
 	begun := time.Now()
@@ -69,7 +69,7 @@
 		t.Fatalf("job %s is %s after %v", id, s, within)
 	}
 	if s := c.State(id); s != want {
-		t.Fatalf("job %s ended %s, not %s", id, s, want)
+		t.Fatalf("job %s ended as %s, not %s", id, s, want)
 	}
 	return time.Since(begun)
 }
@@ -82,7 +82,7 @@
 }
 
 func TestJobOfStepsEndsInItsTime(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
 		if took := await(t, c, JobID(1), workload.Completed, 10*second); took > 2900*time.Millisecond {
 			t.Errorf("two steps of a second took %v", took)
@@ -90,55 +90,55 @@
 	})
 }
 
-// Power goes on all machines of the system in the moment in which a client is
-// told that its job was accepted. What only a process knew is gone; the job
-// has to run all the same, and what ran goes on.
+// All machines lose power at the moment in which a client receives the
+// acceptance of its job. State held only in processes is lost; the job must
+// still run, and running tasks continue.
 func TestAllProcessesAreKilledRightAfterAnAcceptance(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
 		time.Sleep(300 * time.Millisecond)
 		submit(t, c, job(2, 6))
-		w.KillAll()
+		sim.KillAll()
 		time.Sleep(second)
-		w.StartAll()
+		sim.StartAll()
 		await(t, c, JobID(1), workload.Completed, 12*second)
 		await(t, c, JobID(2), workload.Completed, 12*second)
-		if w.Rules.Started != 24 {
-			t.Errorf("%d starts for 24 tasks: the workers lived on, and their work was done again", w.Rules.Started)
+		if sim.Rules.Started != 24 {
+			t.Errorf("%d starts for 24 tasks: the workers kept running, but their work was repeated", sim.Rules.Started)
 		}
 	})
 }
 
-// The entry that schedules is killed. The others see that nothing listens at
-// its address any more and take over within two seconds; nothing runs twice.
-func TestKilledSchedulerIsOvertaken(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, w *World, c *Client) {
+// The scheduling entry is killed. The others find its address refusing
+// connections and take over within two seconds; nothing runs twice.
+func TestKilledSchedulerIsReplaced(t *testing.T) {
+	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
 		time.Sleep(500 * time.Millisecond)
-		w.Leader().Kill()
+		sim.Leader().Kill()
 		if took := await(t, c, JobID(1), workload.Completed, 12*second); took > 5*second {
 			t.Errorf("the job took %v", took)
 		}
 	})
 }
 
-// The scheduler's process is told to stop while one of its transactions is
-// under way. Were the transaction cut off, the release of the lease would meet
-// a newer version and be refused, and clients would wait until the others take
-// over a lease that stands still: two seconds and more.
+// The scheduler's process is stopped during one of its transactions. If the
+// transaction were aborted, the release of the lease would meet a newer version
+// and be refused, and clients would wait until the others take over a lease
+// that is unchanged for two seconds or more.
 func TestStoppedSchedulerHandsOver(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 10 {
 			submit(t, c, job(n, 2))
-			w.Leader().Stop()
+			sim.Leader().Stop()
 			begun := time.Now()
-			for w.Leader() == nil {
+			for sim.Leader() == nil {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(begun); took > second {
 				t.Errorf("round %d: %v without a scheduler", n, took)
 			}
-			for _, e := range w.Entries() {
+			for _, e := range sim.Entries() {
 				e.Start()
 			}
 			time.Sleep(second)
@@ -146,19 +146,19 @@
 	})
 }
 
-// A worker's machine stays up and its agent with it, but the worker is gone
-// for good: it answers nothing and begins no new life. An agent that went on
-// renewing the lease would keep its tasks from ever starting elsewhere.
-func TestWorkerThatIsSilentForGoodLosesItsTasks(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+// A worker's machine and agent stay up, but the worker is dead: it answers
+// nothing and does not restart. An agent that kept renewing the lease would
+// keep its tasks from ever starting elsewhere.
+func TestTasksOfDeadWorkerRestartElsewhere(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		j := lastingJob(1, 6)
 		submit(t, c, j)
 		time.Sleep(2 * second)
-		lost := w.Agents()[0].Worker()
+		lost := sim.Agents()[0].Worker()
 		lost.Crash()
 		time.Sleep(10 * second)
 		running := 0
-		for _, a := range w.Agents()[1:] {
+		for _, a := range sim.Agents()[1:] {
 			running += len(a.Worker().Running())
 		}
 		if running != 6 {
@@ -167,60 +167,60 @@
 	})
 }
 
-// A worker is cut off from its agent and runs on. Its tasks may start
-// elsewhere only once its last lease, on its slow clock, is over.
+// A worker is cut off from its agent and runs on. Its tasks may start elsewhere
+// only once its last lease has expired on its slow clock.
 func TestTasksOfAWorkerOutOfReachWaitForItsLease(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
 		time.Sleep(2 * second)
-		w.Agents()[0].Worker().SetDark(true)
+		sim.Agents()[0].Worker().SetDark(true)
 		time.Sleep(15 * second)
-		w.Agents()[0].Worker().SetDark(false)
+		sim.Agents()[0].Worker().SetDark(false)
 		time.Sleep(5 * second)
 	})
 }
 
 // A machine with agent and worker is cut off from all others for longer than
-// its grant, and comes back.
+// its grant, and is then reconnected.
 func TestMachineThatIsCutOffComesBack(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
 		submit(t, c, job(2, 12))
 		time.Sleep(500 * time.Millisecond)
-		node := w.Agents()[0].Node
-		w.Cut(node, true)
+		node := sim.Agents()[0].Node
+		sim.Cut(node, true)
 		time.Sleep(15 * second)
-		w.Cut(node, false)
+		sim.Cut(node, false)
 		await(t, c, JobID(2), workload.Completed, 10*second)
 		time.Sleep(3 * second)
 	})
 }
 
-// An agent is killed beside a living worker and started anew. It has to fence
-// its predecessor, whose orders may still be on their way, and to learn what
-// runs, without stopping it.
+// An agent is killed beside a running worker and restarted. It must fence its
+// predecessor, whose orders may still be in flight, and learn the current runs
+// without stopping them.
 func TestNewAgentTakesOverWhatRuns(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 4))
 		submit(t, c, job(2, 6))
 		for range 4 {
 			time.Sleep(700 * time.Millisecond)
-			w.Agents()[0].Kill()
+			sim.Agents()[0].Kill()
 			time.Sleep(2 * second)
-			w.Agents()[0].Start()
+			sim.Agents()[0].Start()
 		}
 		await(t, c, JobID(2), workload.Completed, 12*second)
-		if w.Rules.Started != 16 {
-			t.Errorf("%d starts for 16 tasks", w.Rules.Started)
+		if sim.Rules.Started != 16 {
+			t.Errorf("%d starts for 16 tasks", sim.Rules.Started)
 		}
 	})
 }
 
-// Workers leave a third of their orders unanswered and carry them out up to
-// 12 s later, after newer ones.
+// Workers leave a third of their orders unanswered and execute them up to 12 s
+// later, after newer ones.
 func TestOrdersThatAreCarriedOutLate(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3, Seed: 5}, func(t *testing.T, w *World, c *Client) {
-		for _, a := range w.Agents() {
+	simulate(t, Options{Entries: 2, Machines: 3, Seed: 5}, func(t *testing.T, sim *Simulation, c *Client) {
+		for _, a := range sim.Agents() {
 			a.Worker().SetLate(0.33)
 		}
 		var ids []workload.JobID
@@ -237,23 +237,23 @@
 	})
 }
 
-// The store falls silent towards the scheduler's machine, and serves all
-// others. What the scheduler had under way at the store waited for a second and
-// a half before it went through another entry; no task was placed meanwhile,
-// and clients' short jobs ended late.
-func TestSilentWayToTheStoreIsLeftSoon(t *testing.T) {
-	play(t, Options{Entries: 5, Machines: 4}, func(t *testing.T, w *World, c *Client) {
+// The store stops answering the scheduler's machine, and serves all others.
+// Guards against store calls in flight that wait for 1.5 s before they go
+// through another entry: no task is placed meanwhile, and clients' short jobs
+// end late.
+func TestUnresponsiveStorePathIsAbandonedSoon(t *testing.T) {
+	simulate(t, Options{Entries: 5, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		time.Sleep(6 * second) // the entries have learnt of each other
-		leader := w.Leader()
-		client := NewClient(w.Rules, func(n int) Jobs {
-			for _, e := range w.Entries() {
+		leader := sim.Leader()
+		client := NewClient(sim.Rules, func(n int) Jobs {
+			for _, e := range sim.Entries() {
 				if e != leader {
 					return e.Service()
 				}
 			}
 			return nil
 		})
-		w.Store.SetFault(leader.Node, memstore.Silent)
+		sim.Store.SetFault(leader.Node, memstore.Silent)
 		for n := range 5 {
 			j := job(n, 4)
 			submit(t, client, j)
@@ -261,28 +261,28 @@
 			for client.State(j.ID) != workload.Completed {
 				time.Sleep(10 * time.Millisecond)
 			}
-			// Two steps of a second each; the silence is noticed once.
+			// Two steps of a second each; the fault is noticed once.
 			if took := time.Since(begun); took > 2900*time.Millisecond {
 				t.Errorf("job %d took %v", n, took)
 			}
 		}
-		w.Store.SetFault(leader.Node, memstore.Healthy)
+		sim.Store.SetFault(leader.Node, memstore.Healthy)
 	})
 }
 
-// The store carries transactions out and loses a third of its answers, for six
-// seconds. The scheduler waited a second and a half for each lost one, and
-// hardly anything was placed meanwhile: jobs took seconds longer than their work.
-func TestStoreThatLosesAnswersHoldsUpLittle(t *testing.T) {
-	play(t, Options{Entries: 5, Machines: 8}, func(t *testing.T, w *World, c *Client) {
+// The store executes transactions and loses a third of its answers for six
+// seconds. Guards against a scheduler that waits 1.5 s for each lost answer, so
+// that hardly any task is placed and jobs take seconds longer than their work.
+func TestLostStoreAnswersDelayJobsLittle(t *testing.T) {
+	simulate(t, Options{Entries: 5, Machines: 8}, func(t *testing.T, sim *Simulation, c *Client) {
 		time.Sleep(6 * second) // the entries have learnt of each other
-		w.Store.SetLost(0.35, false)
+		sim.Store.SetLost(0.35, false)
 		const jobs = 30
 		var group sync.WaitGroup
 		var took [jobs]time.Duration
 		for n := range jobs {
 			group.Go(func() {
-				client, j := w.NewClient(), job(n, 2)
+				client, j := sim.NewClient(), job(n, 2)
 				begun := time.Now()
 				submit(t, client, j)
 				for client.State(j.ID) != workload.Completed {
@@ -292,25 +292,25 @@
 			})
 			time.Sleep(second / 5)
 		}
-		w.Store.SetLost(0, false)
+		sim.Store.SetLost(0, false)
 		group.Wait()
 		slices.Sort(took[:])
 		// Two steps of a second each.
-		t.Logf("%v in the middle, %v at most", took[jobs/2], took[jobs-1])
+		t.Logf("%v in the median, %v at most", took[jobs/2], took[jobs-1])
 		if middle, most := took[jobs/2], took[jobs-1]; middle > 3*second || most > 5*second {
-			t.Errorf("jobs of 2 s took %v in the middle and %v at most", middle, most)
+			t.Errorf("jobs of 2 s took %v in the median and %v at most", middle, most)
 		}
 	})
 }
 
-// The store turns the scheduler's machine away and serves the others. Clients
-// that reach this entry are not to be refused, and work goes on.
-func TestStoreThatTurnsOneMachineAway(t *testing.T) {
+// The store refuses the scheduler's machine and serves the others. Clients that
+// reach this entry must not be refused, and jobs still run.
+func TestStoreThatRefusesOneMachine(t *testing.T) {
 	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Silent} {
-		play(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+		simulate(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 			time.Sleep(6 * second)
-			leader := w.Leader()
-			w.Store.SetFault(leader.Node, fault)
+			leader := sim.Leader()
+			sim.Store.SetFault(leader.Node, fault)
 			for n := range 6 {
 				submit(t, c, job(n, 2))
 				await(t, c, JobID(n), workload.Completed, 12*second)
@@ -319,14 +319,14 @@
 	}
 }
 
-// The scheduler's machine is cut off from the store for ten seconds, and does
-// not hear so: its calls get no answer. Another entry makes them. Calls that
-// tried the direct way now and then would wait for its time-out each time, and
-// with them every start.
-func TestSchedulerCutOffFromTheStoreGoesOn(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, w *World, c *Client) {
-		leader := w.Leader()
-		w.Store.SetFault(leader.Node, memstore.Silent)
+// The scheduler's machine is cut off from the store for ten seconds without an
+// error: its calls get no answer. Another entry makes them. If calls tried the
+// direct path now and then, they would wait for its time-out each time, and
+// every start with them.
+func TestSchedulerCutOffFromTheStoreContinues(t *testing.T) {
+	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
+		leader := sim.Leader()
+		sim.Store.SetFault(leader.Node, memstore.Silent)
 		time.Sleep(4 * second)
 		slow := 0
 		for n := range 8 {
@@ -338,25 +338,25 @@
 		if slow > 1 {
 			t.Errorf("%d of 8 jobs of two seconds took more than three", slow)
 		}
-		w.Store.SetFault(leader.Node, memstore.Healthy)
+		sim.Store.SetFault(leader.Node, memstore.Healthy)
 		time.Sleep(2 * second)
 	})
 }
 
-// The store answers nobody for a while. Nothing is accepted, nothing that was
-// accepted is lost, and running tasks go on under their leases.
+// The store answers no machine for a while. No job is accepted, no accepted job
+// is lost, and running tasks continue under their leases.
 func TestStoreOutage(t *testing.T) {
 	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Silent} {
-		play(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+		simulate(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 			submit(t, c, lastingJob(1, 4))
 			submit(t, c, job(2, 4))
 			time.Sleep(second)
-			w.Store.SetFault("", fault)
-			go w.NewClient().Submit(job(3, 2), 2)
+			sim.Store.SetFault("", fault)
+			go sim.NewClient().Submit(job(3, 2), 2)
 			time.Sleep(5 * second)
-			w.Store.SetFault("", memstore.Healthy)
+			sim.Store.SetFault("", memstore.Healthy)
 			await(t, c, JobID(2), workload.Completed, 12*second)
-			for _, a := range w.Agents() {
+			for _, a := range sim.Agents() {
 				for _, r := range a.Worker().Running() {
 					if r.Task.Job == JobID(1) && r.Run > 1 {
 						t.Errorf("%s: a lasting task was lost in an outage of 5 s", r)
@@ -367,19 +367,19 @@
 	}
 }
 
-// Answers of the store are lost, and the writes land seconds later. A job
-// whose submission got no answer may run, once, and only if its client was
+// Answers of the store are lost, and the writes are applied seconds later. A
+// job whose submission got no answer may run once, and only if its client was
 // not told that it never will.
-func TestWritesThatLandLate(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 3, Seed: 3}, func(t *testing.T, w *World, c *Client) {
-		w.Store.SetLost(0.4, true)
+func TestWritesThatAreAppliedLate(t *testing.T) {
+	simulate(t, Options{Entries: 3, Machines: 3, Seed: 3}, func(t *testing.T, sim *Simulation, c *Client) {
+		sim.Store.SetLost(0.4, true)
 		var ids []workload.JobID
 		for n := range 15 {
 			if c.Submit(job(n, 3), 3) {
 				ids = append(ids, JobID(n))
 			}
 		}
-		w.Store.SetLost(0, false)
+		sim.Store.SetLost(0, false)
 		if open := c.Await(ids, 60*second); len(open) > 0 {
 			t.Errorf("not ended: %v", open)
 		}
@@ -387,12 +387,12 @@
 	})
 }
 
-// The store forgets its history: every feed has to begin anew.
-func TestStoreThatForgetsItsHistory(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+// The store drops its history: every feed must restart.
+func TestJobsCompleteAfterStoreCompaction(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 5 {
 			submit(t, c, job(n, 3))
-			w.Store.Compact()
+			sim.Store.Compact()
 			time.Sleep(300 * time.Millisecond)
 		}
 		for n := range 5 {
@@ -401,13 +401,13 @@
 	})
 }
 
-// A job whose tasks fail wherever they run fails after its attempts, and the
-// workers that ran it go on taking the good jobs.
-func TestHopelessJobFails(t *testing.T) {
+// A job whose tasks fail on every worker fails after its attempts, and the
+// workers that ran it still run the other jobs.
+func TestJobWhoseTasksAlwaysFailFails(t *testing.T) {
 	outcome := func(r workload.RunID) Outcome {
 		return Outcome{For: 200 * time.Millisecond, Fails: r.Task.Job == JobID(1)}
 	}
-	play(t, Options{Entries: 2, Machines: 3, Outcome: outcome}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 2, Machines: 3, Outcome: outcome}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 4))
 		submit(t, c, job(2, 4))
 		await(t, c, JobID(1), workload.Failed, 10*second)
@@ -415,33 +415,33 @@
 	})
 }
 
-// A cancellation is acknowledged while no scheduler leads. The next one must
-// not start the job's tasks, and stops those that run.
+// A cancellation is acknowledged while no scheduler leads. The next scheduler
+// must not start the job's tasks, and must stop those that run.
 func TestCancelWhileNobodySchedules(t *testing.T) {
-	play(t, Options{Entries: 3, Machines: 2}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 4))
 		time.Sleep(2 * second)
-		w.Leader().Kill()
+		sim.Leader().Kill()
 		if !c.Cancel(JobID(1)) {
 			t.Fatal("not cancelled")
 		}
 		await(t, c, JobID(1), workload.Cancelled, second)
 		time.Sleep(4 * second)
-		for _, a := range w.Agents() {
+		for _, a := range sim.Agents() {
 			if runs := a.Worker().Running(); len(runs) > 0 {
-				t.Errorf("still runs: %v", runs)
+				t.Errorf("still running: %v", runs)
 			}
 		}
 	})
 }
 
-// The same identifier arrives at all entries at once, as after answers that
-// were lost. It is one job, and every entry accepts it.
+// The same identifier arrives at all entries at once, as after lost answers. It
+// is one job, and every entry accepts it.
 func TestOneIdentifierIsOneJob(t *testing.T) {
-	play(t, Options{Entries: 4, Machines: 3}, func(t *testing.T, w *World, c *Client) {
+	simulate(t, Options{Entries: 4, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		done := make(chan bool)
 		for range 8 {
-			go func() { done <- w.NewClient().Submit(job(1, 3), 1) }()
+			go func() { done <- sim.NewClient().Submit(job(1, 3), 1) }()
 		}
 		for range 8 {
 			if !<-done {
@@ -449,16 +449,16 @@
 			}
 		}
 		await(t, c, JobID(1), workload.Completed, 10*second)
-		if w.Rules.Started != 6 {
-			t.Errorf("%d starts for 6 tasks", w.Rules.Started)
+		if sim.Rules.Started != 6 {
+			t.Errorf("%d starts for 6 tasks", sim.Rules.Started)
 		}
 	})
 }
 
-// More work than room: what is accepted ends in time, and no worker is ever
-// over its capacity, also with starts and stops on their way.
-func TestWorkBeyondTheRoomWaits(t *testing.T) {
-	play(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 5000, Memory: 64000}}, func(t *testing.T, w *World, c *Client) {
+// More work than capacity: accepted jobs end in time, and no worker ever
+// exceeds its capacity, even with starts and stops in flight.
+func TestWorkBeyondCapacityWaits(t *testing.T) {
+	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 5000, Memory: 64000}}, func(t *testing.T, sim *Simulation, c *Client) {
 		var ids []workload.JobID
 		for n := range 8 {
 			submit(t, c, job(n, 4))
