--- a/sessions/inproc/network.go
+++ b/sessions/inproc/network.go
@@ -1,7 +1,7 @@
 // Package inproc runs entries, agents and backend servers in one process, with
-// a network between them that can be cut, delayed and made to lose answers. It
-// uses no sockets, so that whole sessions run under testing/synctest and give
-// the same verdict each time.
+// a network between them that can be cut, delayed and made to lose answers. The
+// network uses no sockets, so that whole sessions run under testing/synctest
+// and give the same result each time.
 package inproc
 
 import (
@@ -19,14 +19,15 @@
 // latency is the time that a message takes one way.
 const latency = time.Millisecond
 
-// errCut is the cause of a PeerError that this network makes.
-var errCut = errors.New("inproc: cut")
+// errCut is the cause of a PeerError when the network does not deliver a
+// message.
+var errCut = errors.New("inproc: message not delivered")
 
-// Fault is what happens to one message.
+// Fault is a fault that the network injects into one message.
 type Fault int
 
-// The faults of a message. LoseAnswer lets the receiver handle it; Late lets
-// the receiver handle it after the sender has given up.
+// The faults of a message. With LoseAnswer the receiver handles the message;
+// with Late it does so after the sender has timed out.
 const (
 	Deliver Fault = iota
 	Unsent
@@ -35,53 +36,56 @@
 	Late
 )
 
-// Message describes a message to a script.
+// Message describes a message to the function that is set by Script.
 type Message struct {
 	From, To, Method string
 }
 
 // Network carries messages between the processes of one session.
 type Network struct {
-	mu     sync.Mutex
-	agents map[string]wire.AgentAPI
-	entry  map[string]wire.EntryAPI
-	clocks map[string]wire.Clock
-	// owner names the process that is reached at an address.
+	mu      sync.Mutex
+	agents  map[string]wire.AgentAPI
+	entries map[string]wire.EntryAPI
+	clocks  map[string]wire.Clock
+	// owner is the name of the process that is reached at an address.
 	owner  map[string]string
 	dead   map[string]bool
 	frozen map[string]chan struct{}
 	cut    map[[2]string]bool
 	script func(Message) Fault
 	random *rand.Rand
-	// Chance is how likely each fault of a message is, drawn from the seed.
-	chance map[Fault]float64
-	late   time.Duration
+	// chance is the probability of each fault of a message, drawn from the
+	// seed.
+	chance    map[Fault]float64
+	lateDelay time.Duration
 }
 
 // NewNetwork returns a network without faults.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		agents: make(map[string]wire.AgentAPI), entry: make(map[string]wire.EntryAPI), clocks: make(map[string]wire.Clock), owner: make(map[string]string),
+		agents: make(map[string]wire.AgentAPI), entries: make(map[string]wire.EntryAPI), clocks: make(map[string]wire.Clock), owner: make(map[string]string),
 		dead: make(map[string]bool), frozen: make(map[string]chan struct{}), cut: make(map[[2]string]bool),
-		random: rand.New(rand.NewPCG(seed, seed)), chance: make(map[Fault]float64), late: 3 * time.Second,
+		random: rand.New(rand.NewPCG(seed, seed)), chance: make(map[Fault]float64), lateDelay: 3 * time.Second,
 	}
 }
 
-// Script decides the fault of each message before chance does; nil ends it.
+// Script sets a function that chooses the fault of each message; a message that
+// it delivers is then subject to Chance. nil removes the function.
 func (n *Network) Script(f func(Message) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.script = f
 }
 
-// Chance sets how likely each fault is, 0 to 1.
+// Chance sets the probability of each fault, 0 to 1.
 func (n *Network) Chance(c map[Fault]float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.chance = c
 }
 
-// Cut cuts two processes off from each other, or joins them again.
+// Cut disconnects two processes from each other if on is true, and reconnects
+// them otherwise.
 func (n *Network) Cut(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +93,7 @@
 	n.cut[[2]string{b, a}] = on
 }
 
-// Kill makes a process unreachable for good; its messages are lost.
+// Kill makes a process permanently unreachable; its messages are lost.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,7 +113,7 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (n *Network) Thaw(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,8 +123,8 @@
 	}
 }
 
-// ServeAgent makes the named process reachable at address, in place of any
-// other that was.
+// ServeAgent makes the named process reachable at address and replaces the
+// process that was reached there before.
 func (n *Network) ServeAgent(address, name string, a wire.AgentAPI, clock wire.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,18 +135,18 @@
 func (n *Network) ServeEntry(address, name string, e wire.EntryAPI, clock wire.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.entry[address], n.owner[address], n.clocks[name] = e, name, clock
+	n.entries[address], n.owner[address], n.clocks[name] = e, name, clock
 }
 
-// at names the process at an address.
-func (n *Network) at(address string) string {
+// ownerOf returns the name of the process at an address.
+func (n *Network) ownerOf(address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner[address]
 }
 
-// judge decides what happens to a message.
-func (n *Network) judge(m Message, to string) Fault {
+// chooseFault chooses the fault of a message.
+func (n *Network) chooseFault(m Message, to string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dead[to] || n.dead[m.From] || n.cut[[2]string{m.From, to}] {
@@ -163,8 +167,8 @@
 	return Deliver
 }
 
-// awake waits until neither process is frozen.
-func (n *Network) awake(names ...string) {
+// waitThawed waits until none of the processes is frozen.
+func (n *Network) waitThawed(names ...string) {
 	for _, name := range names {
 		for {
 			n.mu.Lock()
@@ -191,16 +195,16 @@
 }
 
 // exchange carries one request and its answer. The request and the reply are
-// copied through gob, as on the wire, so that nothing is shared and what can't
-// be encoded fails here too.
+// copied through gob, as on the wire, so that they share no memory, and values
+// that gob can't encode fail here too.
 func exchange[Q, R any](ctx context.Context, n *Network, m Message, request Q, handle func(Q, *R) error) (R, error) {
 	var none R
 	failed := func(sent bool, err error) (R, error) {
 		return none, &wire.PeerError{Step: m.Method, Peer: m.To, Sent: sent, Err: err}
 	}
-	n.awake(m.From)
-	to := n.at(m.To)
-	fault := n.judge(m, to)
+	n.waitThawed(m.From)
+	to := n.ownerOf(m.To)
+	fault := n.chooseFault(m, to)
 	if fault == Unsent || ctx.Err() != nil {
 		return failed(false, errCut)
 	}
@@ -212,10 +216,10 @@
 	go func() { done <- receive(n, m, to, fault, copied, handle) }()
 	select {
 	case <-ctx.Done():
-		n.awake(m.From)
+		n.waitThawed(m.From)
 		return failed(true, ctx.Err())
 	case a := <-done:
-		n.awake(m.From)
+		n.waitThawed(m.From)
 		if a.err != nil {
 			return failed(true, a.err)
 		}
@@ -229,7 +233,7 @@
 	err   error
 }
 
-// receive is the receiver's side of an exchange.
+// receive runs the receiver's side of an exchange.
 func receive[Q, R any](n *Network, m Message, to string, fault Fault, request Q, handle func(Q, *R) error) answer[R] {
 	var reply R
 	time.Sleep(latency)
@@ -237,15 +241,15 @@
 	case LoseRequest:
 		return answer[R]{err: errCut}
 	case Late:
-		time.Sleep(n.late)
+		time.Sleep(n.lateDelay)
 	}
-	n.awake(to)
+	n.waitThawed(to)
 	if !n.alive(to) {
 		return answer[R]{err: errCut}
 	}
 	n.observe(to, m.From)
 	err := handle(request, &reply)
-	n.awake(to)
+	n.waitThawed(to)
 	time.Sleep(latency)
 	if err != nil {
 		return answer[R]{err: err}
@@ -257,7 +261,7 @@
 	return answer[R]{reply: copied, err: err}
 }
 
-// observe moves one process's logical clock past another's.
+// observe advances one process's logical clock past another's.
 func (n *Network) observe(to, from string) {
 	a, b := n.clock(to), n.clock(from)
 	if a != nil && b != nil {
--- a/sessions/inproc/peers.go
+++ b/sessions/inproc/peers.go
@@ -6,7 +6,7 @@
 	"persimmonrock.example/wire"
 )
 
-// Dialer returns the network as the named process reaches it.
+// Dialer returns a dialer that connects from the named process.
 func (n *Network) Dialer(from string) wire.Dialer { return dialer{n, from} }
 
 type dialer struct {
@@ -20,7 +20,7 @@
 // Entry implements wire.Dialer.
 func (d dialer) Entry(address string) wire.EntryPeer { return entryPeer{peer{d, address}} }
 
-// peer is one process as another reaches it.
+// peer is the connection from one process to another.
 type peer struct {
 	dialer
 	to string
@@ -37,7 +37,7 @@
 func (p peer) entry() wire.EntryAPI {
 	p.n.mu.Lock()
 	defer p.n.mu.Unlock()
-	return p.n.entry[p.to]
+	return p.n.entries[p.to]
 }
 
 func callAgent[Q, R any](ctx context.Context, p peer, method string, request Q, handle func(wire.AgentAPI) func(Q, *R) error) (R, error) {
@@ -88,7 +88,7 @@
 	return callAgent(ctx, p, "Agent.Events", r, func(a wire.AgentAPI) func(wire.EventsRequest, *wire.EventsReply) error { return a.Events })
 }
 
-// entryPeer is an entry as another process reaches it.
+// entryPeer is the connection from a process to an entry.
 type entryPeer struct{ p peer }
 
 func (e entryPeer) Hello(ctx context.Context, r wire.HelloRequest) (wire.HelloReply, error) {
--- a/sessions/inproc/web.go
+++ b/sessions/inproc/web.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// WebFault is what happens to one HTTP exchange between an agent and a
-// backend server.
+// WebFault is a fault that Web injects into one HTTP exchange between an agent
+// and a backend server.
 type WebFault int
 
 // The faults of an HTTP exchange. CutBody delivers half of the body.
@@ -34,14 +34,15 @@
 // NewWeb returns a web without hosts.
 func NewWeb() *Web { return &Web{handlers: make(map[string]http.Handler)} }
 
-// Serve makes h reachable as http://host; nil takes the host away.
+// Serve makes h reachable as http://host; nil removes the host.
 func (w *Web) Serve(host string, h http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handlers[host] = h
 }
 
-// Script decides the fault of each request; nil ends it.
+// Script sets a function that chooses the fault of each request; nil removes
+// it.
 func (w *Web) Script(f func(*http.Request) WebFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,7 +52,7 @@
 // Client returns an HTTP client that uses the web.
 func (w *Web) Client() *http.Client { return &http.Client{Transport: w} }
 
-func (w *Web) plan(r *http.Request) (http.Handler, WebFault) {
+func (w *Web) route(r *http.Request) (http.Handler, WebFault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.handlers[r.URL.Host]
@@ -64,10 +65,10 @@
 	return h, w.script(r)
 }
 
-// RoundTrip implements http.RoundTripper. The handler goes on when the client
-// gives up, as a server does that does not look at its connection.
+// RoundTrip implements http.RoundTripper. The handler keeps running after the
+// client has timed out, as in a server that does not monitor its connection.
 func (w *Web) RoundTrip(r *http.Request) (*http.Response, error) {
-	handler, fault := w.plan(r)
+	handler, fault := w.route(r)
 	if fault == WebRefuse {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
@@ -91,7 +92,7 @@
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	case answer := <-done:
-		return damage(answer, fault)
+		return applyFault(answer, fault)
 	}
 }
 
@@ -103,8 +104,8 @@
 	return io.ReadAll(r)
 }
 
-// damage applies the fault to an answer.
-func damage(answer *http.Response, fault WebFault) (*http.Response, error) {
+// applyFault applies the fault to an answer.
+func applyFault(answer *http.Response, fault WebFault) (*http.Response, error) {
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
 		return nil, err
@@ -114,14 +115,14 @@
 	case WebLoseAnswer:
 		return nil, &net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}
 	case WebCutBody:
-		answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader(body[:len(body)/2]), broken{}))
+		answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader(body[:len(body)/2]), truncated{}))
 	default:
 		answer.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	return answer, nil
 }
 
-// broken is the rest of a connection that was cut.
-type broken struct{}
+// truncated is the unread rest of a body whose connection was cut.
+type truncated struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncated) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/sessions/inproc/world.go
+++ b/sessions/inproc/world.go
@@ -22,29 +22,30 @@
 	"persimmonrock.example/structs"
 )
 
-// Keys of the operator and of every customer in a World.
+// Keys of the operator and of every customer in a Cluster.
 const (
 	OperatorKey = "operator-key"
 	customerKey = "key-of-"
 )
 
-// CustomerKey is the key of a customer in a World.
+// CustomerKey returns the key of a customer in a Cluster.
 func CustomerKey(c structs.Customer) string { return customerKey + string(c) }
 
-// ringSize is how many events a process keeps.
+// ringSize is the number of events that a process keeps.
 const ringSize = 1 << 15
 
-// World is one deployment in one process.
-type World struct {
+// Cluster is one deployment that runs in a single process.
+type Cluster struct {
 	Net      *Network
 	Web      *Web
 	Table    *memory.Table
 	Objects  *memory.Objects
 	Registry *memory.RunRegistry
 	Log      zerolog.Logger
-	// AgentLease and WorkerLease are the leases of agents started next.
+	// AgentLease and WorkerLease are the lease durations of agents that are
+	// started afterwards.
 	AgentLease, WorkerLease time.Duration
-	// Kinds are the programs of the workers started next.
+	// Kinds are the programs of workers that are started afterwards.
 	Kinds map[structs.Kind]memory.Program
 
 	mu        sync.Mutex
@@ -56,54 +57,55 @@
 	started   int
 }
 
-// NewWorld returns a world without processes.
-func NewWorld(seed uint64, log zerolog.Logger) *World {
+// NewCluster returns a cluster without processes.
+func NewCluster(seed uint64, log zerolog.Logger) *Cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &World{
+	return &Cluster{
 		Net: NewNetwork(seed), Web: NewWeb(), Table: memory.NewTable(), Objects: memory.NewObjects(), Registry: memory.NewRunRegistry(log),
 		Log: log, entries: make(map[string]*Entry), instances: make(map[structs.InstanceID]*Instance), ctx: ctx, cancel: cancel,
 	}
 }
 
-// Close ends every process at once.
-func (w *World) Close() { w.cancel() }
+// Close ends all processes immediately.
+func (w *Cluster) Close() { w.cancel() }
 
-// process is what entries and agents have alike.
+// process holds the state that entries and agents have in common.
 type process struct {
-	// Name is unique to the process; its address may be taken over.
+	// Name is unique to the process; a later process may reuse its address.
 	Name  string
 	Store *fault.Control
-	// Local is the worker as the process reaches it: on the same instance, so
-	// only a frozen or killed process is cut off from it.
-	Local  *fault.Control
-	Events *events.Ring
-	cancel context.CancelFunc
-	world  *World
+	// Local controls the access to the worker. The worker is on the same
+	// instance, so that only a frozen or killed process can't reach it.
+	Local   *fault.Control
+	Events  *events.Ring
+	cancel  context.CancelFunc
+	cluster *Cluster
 }
 
-// Kill ends the process as SIGKILL does: nothing it does later reaches anyone.
+// Kill ends the process as SIGKILL does: none of its later actions has an
+// effect on other processes.
 func (p *process) Kill() {
 	p.Store.Cut(true)
 	p.Local.Cut(true)
-	p.world.Net.Kill(p.Name)
+	p.cluster.Net.Kill(p.Name)
 	p.cancel()
 }
 
-// Freeze stops the process as SIGSTOP does, as far as others can see.
+// Freeze stops the process as SIGSTOP does, as observed by other processes.
 func (p *process) Freeze() {
 	p.Store.Freeze()
 	p.Local.Freeze()
-	p.world.Net.Freeze(p.Name)
+	p.cluster.Net.Freeze(p.Name)
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *process) Thaw() {
 	p.Store.Unfreeze()
 	p.Local.Unfreeze()
-	p.world.Net.Thaw(p.Name)
+	p.cluster.Net.Thaw(p.Name)
 }
 
-func (w *World) process(address string) (process, context.Context) {
+func (w *Cluster) newProcess(address string) (process, context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
@@ -112,7 +114,7 @@
 	w.rings = append(w.rings, ring)
 	return process{
 		Name: fmt.Sprintf("%s#%d", address, w.started), Store: fault.NewControl(uint64(w.started)),
-		Local: fault.NewControl(0), Events: ring, cancel: cancel, world: w,
+		Local: fault.NewControl(0), Events: ring, cancel: cancel, cluster: w,
 	}, ctx
 }
 
@@ -124,8 +126,8 @@
 }
 
 // StartEntry starts an entry that is reached at address.
-func (w *World) StartEntry(address string) *Entry {
-	p, ctx := w.process(address)
+func (w *Cluster) StartEntry(address string) *Entry {
+	p, ctx := w.newProcess(address)
 	e := &Entry{process: p}
 	w.mu.Lock()
 	var seeds []string
@@ -146,8 +148,8 @@
 	return e
 }
 
-// Do sends one request to the entry's HTTP interface as its caller would; a
-// caller of a killed or frozen entry gets nothing until ctx ends (status 0).
+// Do sends one request to the entry's HTTP interface. If the entry is killed or
+// frozen, the caller gets no answer until ctx ends (status 0).
 func (e *Entry) Do(ctx context.Context, method, path, key, body string, header ...string) Response {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -156,31 +158,31 @@
 	}
 	done := make(chan Response, 1)
 	go func() {
-		e.world.Net.awake(e.Name)
+		e.cluster.Net.waitThawed(e.Name)
 		recorder := httptest.NewRecorder()
 		e.mux.ServeHTTP(recorder, request)
-		e.world.Net.awake(e.Name)
+		e.cluster.Net.waitThawed(e.Name)
 		done <- Response{Status: recorder.Code, Header: recorder.Header(), Body: recorder.Body.String()}
 	}()
 	select {
 	case <-ctx.Done():
 		return Response{}
 	case r := <-done:
-		if !e.world.Net.alive(e.Name) {
+		if !e.cluster.Net.alive(e.Name) {
 			return Response{}
 		}
 		return r
 	}
 }
 
-// Response is an HTTP answer as a caller sees it.
+// Response is an HTTP answer as received by the caller.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
 }
 
-// Outcome is the outcome of a problem document, or "".
+// Outcome returns the outcome of a problem document, or "".
 func (r Response) Outcome() structs.Outcome {
 	var doc struct{ Outcome structs.Outcome }
 	_ = json.Unmarshal([]byte(r.Body), &doc)
@@ -188,13 +190,13 @@
 }
 
 // Instance is one instance: a worker, backend servers and an agent, which can
-// be replaced while the others go on.
+// be replaced while the others keep running.
 type Instance struct {
-	ID     structs.InstanceID
-	Worker *memory.Worker
-	Agent  *Agent
-	slots  int
-	world  *World
+	ID      structs.InstanceID
+	Worker  *memory.Worker
+	Agent   *Agent
+	slots   int
+	cluster *Cluster
 }
 
 // Agent is one agent process.
@@ -204,8 +206,8 @@
 }
 
 // StartInstance starts a worker and an agent on an instance.
-func (w *World) StartInstance(id structs.InstanceID, slots int) *Instance {
-	i := &Instance{ID: id, slots: slots, world: w, Worker: memory.NewWorker(memory.WorkerOptions{
+func (w *Cluster) StartInstance(id structs.InstanceID, slots int) *Instance {
+	i := &Instance{ID: id, slots: slots, cluster: w, Worker: memory.NewWorker(memory.WorkerOptions{
 		Instance: id, Kinds: w.Kinds, Registry: w.Registry, Log: w.Log,
 	})}
 	w.mu.Lock()
@@ -215,11 +217,11 @@
 	return i
 }
 
-// StartAgent starts an agent in place of an earlier one.
+// StartAgent starts an agent and replaces an earlier one.
 func (i *Instance) StartAgent() *Agent {
-	w := i.world
+	w := i.cluster
 	address := string(i.ID)
-	p, ctx := w.process(address)
+	p, ctx := w.newProcess(address)
 	a := &Agent{process: p}
 	w.mu.Lock()
 	var seeds []string
@@ -245,7 +247,7 @@
 	return a
 }
 
-// Backend is one backend server and its own count of what runs on it.
+// Backend is one backend server.
 type Backend struct {
 	*backend.Server
 	cancel context.CancelFunc
@@ -253,7 +255,7 @@
 
 // StartBackend starts a backend server on the instance.
 func (i *Instance) StartBackend(service structs.Service, idempotent bool, slots int, h http.Handler) *Backend {
-	w := i.world
+	w := i.cluster
 	host := fmt.Sprintf("%s.%s", service, i.ID)
 	b := backend.New(backend.Config{
 		Agent: "http://agent." + string(i.ID), Name: string(service), Service: service, Address: "http://" + host,
@@ -266,7 +268,7 @@
 }
 
 // Contract writes a customer's contract through the entry.
-func (w *World) Contract(e *Entry, c structs.Customer, share float64, queue int) Response {
+func (w *Cluster) Contract(e *Entry, c structs.Customer, share float64, queue int) Response {
 	body, _ := json.Marshal(structs.Contract{
 		Customer: c, LatencyTarget: structs.Duration(2 * time.Second), BatchQueue: queue, Share: share,
 		KeyHashes: []string{keys.Hash(CustomerKey(c))},
@@ -274,8 +276,9 @@
 	return e.Do(context.Background(), "PUT", "/v1/admin/contracts/"+string(c), OperatorKey, string(body))
 }
 
-// Timeline merges the events of all processes that ever ran, also killed ones.
-func (w *World) Timeline(request structs.RequestID, job structs.JobID) []structs.Event {
+// Timeline merges the events of all processes that have ever run, including
+// killed ones.
+func (w *Cluster) Timeline(request structs.RequestID, job structs.JobID) []structs.Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	parts := make([][]structs.Event, 0, len(w.rings))
--- a/sessions/learning_test.go
+++ b/sessions/learning_test.go
@@ -81,9 +81,9 @@
 // only the first agent knows the pair, and the next noisy task is placed there.
 func TestHarmSeenOnOneInstanceIsAvoidedOnAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := inproc.NewWorld(1, zerolog.Nop())
+		w := inproc.NewCluster(1, zerolog.Nop())
 		defer w.Close()
-		p := &pairs{session: &session{World: w, t: t}, noisy: make(map[structs.InstanceID]*atomic.Int64)}
+		p := &pairs{session: &session{Cluster: w, t: t}, noisy: make(map[structs.InstanceID]*atomic.Int64)}
 		p.entries = append(p.entries, w.StartEntry("entry-1"))
 		synctest.Wait()
 		if r := w.Contract(p.entries[0], customer, 1, 1000); r.Status != 200 {
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -35,7 +35,7 @@
 
 // session is a world with entries, instances and a contract, in fake time.
 type session struct {
-	*inproc.World
+	*inproc.Cluster
 	t         *testing.T
 	slots     int
 	entries   []*inproc.Entry
@@ -79,10 +79,10 @@
 }
 
 func newSession(t *testing.T, o options) *session {
-	w := inproc.NewWorld(o.seed, zerolog.Nop())
+	w := inproc.NewCluster(o.seed, zerolog.Nop())
 	t.Cleanup(w.Close)
 	w.AgentLease, w.WorkerLease = o.lease, 5*time.Second
-	s := &session{World: w, t: t, slots: max(o.slots, 1), lodged: sample.NewLodgements()}
+	s := &session{Cluster: w, t: t, slots: max(o.slots, 1), lodged: sample.NewLodgements()}
 	w.Registry = memory.NewRunRegistry(zerolog.New(&s.overlap))
 	for i := range max(o.entries, 1) {
 		s.entries = append(s.entries, w.StartEntry(fmt.Sprintf("entry-%d", i+1)))
