--- a/sessions/soak/deployment_test.go
+++ b/sessions/soak/deployment_test.go
@@ -20,12 +20,14 @@
 
 const (
 	entries = 3
-	seats   = 4
-	// firstPort is the first port of each process on an address of its own.
+	hosts   = 4
+	// firstPort is the first port of each process; each process has its own
+	// address.
 	firstPort = 21700
 	heartbeat = 500 * time.Millisecond
-	// backAfter is how long a worker is away that was crashed by a run.
-	backAfter = 1500 * time.Millisecond
+	// workerRestartDelay is the time between the crash of a worker by a run and
+	// its restart.
+	workerRestartDelay = 1500 * time.Millisecond
 )
 
 var (
@@ -33,7 +35,7 @@
 	queue    = workload.Queue{Name: "q", Service: "s", MaxAttempts: 3, Stretch: 2, TargetLatency: time.Second}
 )
 
-// deployment is everything that one seed plays.
+// deployment holds all processes and fakes of one seed.
 type deployment struct {
 	t       *testing.T
 	seed    uint64
@@ -41,15 +43,15 @@
 	rules   *machines.Rules
 	entries []*process
 	agents  []*process
-	seats   []*seat
-	// links are the relays to the store and to the workers.
-	links []*relay
-	mu    sync.Mutex
-	lives int
+	hosts   []*host
+	// relays are the relays to the store and to the workers.
+	relays       []*relay
+	mu           sync.Mutex
+	incarnations int
 }
 
-// seat is the place of a worker: one life after another.
-type seat struct {
+// host runs successive incarnations of one worker.
+type host struct {
 	d      *deployment
 	agent  *process
 	mu     sync.Mutex
@@ -69,36 +71,36 @@
 	net := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	for n := range entries {
 		m := standin.Machine{Node: fmt.Sprintf("entry-%d", n), IP: fmt.Sprintf("%s.%d", net, 1+n), Port: firstPort, Cores: 0.4}
-		m.Store = d.link(standin.StoreHandler(d.store.Client(m.Node)))
+		m.Store = d.addRelay(standin.StoreHandler(d.store.Client(m.Node)))
 		d.entries = append(d.entries, startProcess(t, dir, m, entryProgram, "entry"))
 	}
-	for n := range seats {
-		s := &seat{d: d}
-		s.begin()
+	for n := range hosts {
+		s := &host{d: d}
+		s.startWorker()
 		m := standin.Machine{Node: fmt.Sprintf("agent-%d", n), IP: fmt.Sprintf("%s.%d", net, 101+n), Port: firstPort, Cores: 0.24}
-		m.Store = d.link(standin.StoreHandler(d.store.Client(m.Node)))
-		m.Worker = d.link(standin.WorkerHandler(s))
+		m.Store = d.addRelay(standin.StoreHandler(d.store.Client(m.Node)))
+		m.Worker = d.addRelay(standin.WorkerHandler(s))
 		s.agent = startProcess(t, dir, m, agentProgram)
 		d.agents = append(d.agents, s.agent)
-		d.seats = append(d.seats, s)
+		d.hosts = append(d.hosts, s)
 		go s.report(t.Context())
 	}
 	return d
 }
 
-// link serves h behind a relay and returns the relay's address.
-func (d *deployment) link(h http.Handler) string {
+// addRelay serves h behind a relay and returns the relay's address.
+func (d *deployment) addRelay(h http.Handler) string {
 	s := httptest.NewServer(h)
 	d.t.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
 	})
 	r := newRelay(d.t, strings.TrimPrefix(s.URL, "http://"))
-	d.links = append(d.links, r)
+	d.relays = append(d.relays, r)
 	return r.address()
 }
 
-// client returns a client that keeps its connections.
+// client returns a client that keeps its connections open.
 func (d *deployment) client() *machines.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4}
 	d.t.Cleanup(transport.CloseIdleConnections)
@@ -107,72 +109,74 @@
 	})
 }
 
-// begin begins a life of the seat's worker; an earlier one has crashed.
-func (s *seat) begin() {
+// startWorker starts a new incarnation of the host's worker and crashes the
+// previous one.
+func (s *host) startWorker() {
 	s.d.mu.Lock()
-	s.d.lives++
-	life := s.d.lives
+	s.d.incarnations++
+	incarnation := s.d.incarnations
 	s.d.mu.Unlock()
-	info := workload.Worker{ID: workload.WorkerID(fmt.Sprintf("w-%d", life)), Service: queue.Service, Labels: []string{"a", "r1"}, Capacity: capacity}
-	w := machines.NewWorker(info, s.d.rules, outcome, s.d.seed+uint64(life))
+	info := workload.Worker{ID: workload.WorkerID(fmt.Sprintf("w-%d", incarnation)), Service: queue.Service, Labels: []string{"a", "r1"}, Capacity: capacity}
+	w := machines.NewWorker(info, s.d.rules, outcome, s.d.seed+uint64(incarnation))
 	w.OnCrash(func() {
-		time.Sleep(backAfter)
-		if s.life() == w {
-			s.begin()
+		time.Sleep(workerRestartDelay)
+		if s.current() == w {
+			s.startWorker()
 		}
 	})
 	s.mu.Lock()
-	before := s.worker
+	previous := s.worker
 	s.worker = w
 	s.mu.Unlock()
-	if before != nil {
-		before.Crash()
+	if previous != nil {
+		previous.Crash()
 	}
 }
 
-// outcome lets a task work for 0.2 to 1 s, the same at each run; the first task
-// of a crashing client's job crashes its workers.
+// outcome makes a task run for 0.2 to 1 s, the same time in each run. The first
+// task of each job of the crashing client crashes its worker.
 func outcome(r workload.RunID) machines.Outcome {
 	return machines.Outcome{
 		For:     time.Duration(200+100*((r.Task.Index*7+r.Task.Step*3)%9)) * time.Millisecond,
-		Crashes: r.Task.Index == 0 && clientOf(r.Task.Job) == crashing,
+		Crashes: r.Task.Index == 0 && clientOf(r.Task.Job) == crashingClient,
 	}
 }
 
-func (s *seat) life() *machines.Worker {
+func (s *host) current() *machines.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.worker
 }
 
 // report sends the worker's reports until ctx ends.
-func (s *seat) report(ctx context.Context) {
+func (s *host) report(ctx context.Context) {
 	for n := uint64(1); ctx.Err() == nil; n++ {
-		if info, alive := s.life().Info(); alive {
-			sent, cancel := context.WithTimeout(ctx, time.Second)
-			_ = standin.Report(sent, s.agent.Reports(), info, n) // repeated
+		if info, alive := s.current().Info(); alive {
+			reportCtx, cancel := context.WithTimeout(ctx, time.Second)
+			_ = standin.Report(reportCtx, s.agent.Reports(), info, n) // sent again at the next heartbeat
 			cancel()
 		}
 		time.Sleep(heartbeat)
 	}
 }
 
-// Start implements workerctl.Control, as the others do for the life of now.
-func (s *seat) Start(ctx context.Context, life workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
-	return s.life().Start(ctx, life, o)
+// Start implements workerctl.Control. It and the other methods are forwarded to
+// the current incarnation.
+func (s *host) Start(ctx context.Context, worker workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
+	return s.current().Start(ctx, worker, o)
 }
 
 // Stop implements workerctl.Control.
-func (s *seat) Stop(ctx context.Context, life workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
-	return s.life().Stop(ctx, life, run, token)
+func (s *host) Stop(ctx context.Context, worker workload.WorkerID, run workload.RunID, token uint64) (workerctl.Clock, error) {
+	return s.current().Stop(ctx, worker, run, token)
 }
 
 // Pace implements workerctl.Control.
-func (s *seat) Pace(ctx context.Context, life workload.WorkerID, run workload.RunID, percent int, token uint64) (workerctl.Clock, error) {
-	return s.life().Pace(ctx, life, run, percent, token)
+func (s *host) Pace(ctx context.Context, worker workload.WorkerID, run workload.RunID, percent int, token uint64) (workerctl.Clock, error) {
+	return s.current().Pace(ctx, worker, run, percent, token)
 }
 
 // Hold implements workerctl.Control.
-func (s *seat) Hold(ctx context.Context, life workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
-	return s.life().Hold(ctx, life, o)
+func (s *host) Hold(ctx context.Context, worker workload.WorkerID, o workerctl.HoldOrder) (workerctl.Listing, error) {
+	return s.current().Hold(ctx, worker, o)
 }
--- a/sessions/soak/process_test.go
+++ b/sessions/soak/process_test.go
@@ -12,11 +12,12 @@
 	"persimmonrock.example/platform/standin"
 )
 
-// restartPause is how long a process that has ended stays away.
-const restartPause = 300 * time.Millisecond
+// processRestartDelay is the time between the exit of a process and its
+// restart.
+const processRestartDelay = 300 * time.Millisecond
 
-// process is one program on its machine. It is started again whenever it
-// ends, as the users' machines do.
+// process is one program on its machine. It is restarted after each exit, as
+// the users' machines do.
 type process struct {
 	standin.Machine
 	t       *testing.T
@@ -24,7 +25,7 @@
 	dir     string
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	ends    int
+	exits   int
 	closed  bool
 	done    chan struct{}
 }
@@ -39,14 +40,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.close)
-	go p.keep()
+	go p.supervise()
 	return p
 }
 
 func (p *process) file(suffix string) string { return filepath.Join(p.dir, p.Node+suffix) }
 
-// keep runs the program until close.
-func (p *process) keep() {
+// supervise runs the program, and restarts it after each exit, until close is
+// called.
+func (p *process) supervise() {
 	defer close(p.done)
 	out, err := os.OpenFile(p.file(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -70,20 +72,20 @@
 		}
 		p.cmd = cmd
 		p.mu.Unlock()
-		_ = cmd.Wait() // how it ended is told by signals, and by its log
+		_ = cmd.Wait() // the signals sent and the log show why the program ended
 		p.mu.Lock()
-		p.ends++
+		p.exits++
 		p.mu.Unlock()
-		time.Sleep(restartPause)
+		time.Sleep(processRestartDelay)
 	}
 }
 
-// signal sends a signal to the process, if one runs.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may have ended just now
+		_ = p.cmd.Process.Signal(s) // it may have exited in the meantime
 	}
 }
 
--- a/sessions/soak/relay_test.go
+++ b/sessions/soak/relay_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// mood is what a relay does with its connections.
-type mood int
+// relayState determines how a relay forwards the data of its connections.
+type relayState int
 
 const (
-	whole mood = iota
-	// delayed passes everything on late.
+	healthy relayState = iota
+	// delayed forwards all data after forwardDelay.
 	delayed
-	// deaf loses what the process sends, mute what it is sent, silent both;
-	// the connections stay open.
-	deaf
-	mute
-	silent
+	// dropOutbound drops the data that the process sends, dropInbound the data
+	// that is sent to it, dropAll both; the connections stay open.
+	dropOutbound
+	dropInbound
+	dropAll
 )
 
-// delay is how late a delayed relay passes a piece on.
-const delay = 300 * time.Millisecond
+// forwardDelay is the time by which a delayed relay delays each block of data.
+const forwardDelay = 300 * time.Millisecond
 
-// relay carries the connections of one process to one address.
+// relay forwards the connections of one process to one address.
 type relay struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	mood     mood
+	state    relayState
 	conns    map[net.Conn]bool
 }
 
@@ -46,7 +46,7 @@
 			if err != nil {
 				return
 			}
-			go r.carry(c)
+			go r.proxy(c)
 		}
 	}()
 	return r
@@ -54,19 +54,19 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-func (r *relay) set(m mood) {
+func (r *relay) setState(s relayState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mood = m
+	r.state = s
 }
 
-func (r *relay) now() mood {
+func (r *relay) currentState() relayState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.mood
+	return r.state
 }
 
-// reset ends all connections at once.
+// reset resets all connections.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 	clear(r.conns)
 }
 
-func (r *relay) carry(client net.Conn) {
+func (r *relay) proxy(client net.Conn) {
 	server, err := net.Dial("tcp", r.target)
 	if err != nil {
 		client.Close()
@@ -88,29 +88,30 @@
 	r.mu.Lock()
 	r.conns[client], r.conns[server] = true, true
 	r.mu.Unlock()
-	go r.pass(server, client, deaf)
-	r.pass(client, server, mute)
+	go r.forward(server, client, dropOutbound)
+	r.forward(client, server, dropInbound)
 }
 
-// pass copies one direction; lost is the mood in which it loses everything.
-// A connection that has lost a piece is of no use any more, and says so only
-// when it is whole again, as a real one does.
-func (r *relay) pass(to, from net.Conn, lost mood) {
+// forward copies the data of one direction and drops it in the states dropping
+// and dropAll. A connection that has dropped data can't be used any more, and
+// is closed only when the state changes, as a real connection fails only after
+// the network recovers.
+func (r *relay) forward(to, from net.Conn, dropping relayState) {
 	defer to.Close()
 	defer from.Close()
-	piece := make([]byte, 32<<10)
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(piece)
-		switch m := r.now(); {
-		case n > 0 && (m == lost || m == silent):
-			for r.now() == m {
+		n, err := from.Read(buffer)
+		switch s := r.currentState(); {
+		case n > 0 && (s == dropping || s == dropAll):
+			for r.currentState() == s {
 				time.Sleep(20 * time.Millisecond)
 			}
 			return
-		case m == delayed:
-			time.Sleep(delay)
+		case s == delayed:
+			time.Sleep(forwardDelay)
 		}
-		if _, werr := to.Write(piece[:n]); werr != nil || err != nil {
+		if _, werr := to.Write(buffer[:n]); werr != nil || err != nil {
 			return
 		}
 	}
--- a/sessions/soak/soak_test.go
+++ b/sessions/soak/soak_test.go
@@ -15,21 +15,23 @@
 )
 
 var (
-	seeds   = flag.Int("soak.seeds", 1, "number of seeds to play")
-	first   = flag.Uint64("soak.first", 1, "the first seed")
-	length  = flag.Duration("soak.for", 8*time.Second, "how long each seed is disturbed")
-	beside  = flag.Int("soak.beside", 3, "faults at a time")
-	keepDir = flag.String("soak.keep", "", "folder for the logs of seeds that fail")
+	seeds            = flag.Int("soak.seeds", 1, "number of seeds to run")
+	firstSeed        = flag.Uint64("soak.first", 1, "the first seed")
+	faultDuration    = flag.Duration("soak.for", 8*time.Second, "time for which faults are injected per seed")
+	concurrentFaults = flag.Int("soak.beside", 3, "number of concurrent faults")
+	logDir           = flag.String("soak.keep", "", "directory for the logs of failed seeds")
 )
 
 const (
 	clients = 4
-	// crashing is the client whose jobs crash their workers, one each crashEvery.
-	crashing   = 97
-	crashEvery = 4 * time.Second
-	// settled is how long after the last fault every accepted job is done:
-	// leases of workers that fell silent last, and what waits for them runs.
-	settled = 30 * time.Second
+	// crashingClient is the client whose jobs crash their workers; it submits
+	// one job every crashInterval.
+	crashingClient = 97
+	crashInterval  = 4 * time.Second
+	// settleTime is the time after the last fault within which every accepted
+	// job finishes: the leases of workers that became unresponsive last expire,
+	// and the tasks that wait for these leases run.
+	settleTime = 30 * time.Second
 )
 
 // entryProgram and agentProgram are the built programs.
@@ -37,10 +39,10 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(build(m))
+	os.Exit(buildAndRun(m))
 }
 
-func build(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -56,50 +58,51 @@
 	return m.Run()
 }
 
-// Real processes are killed, stopped, frozen and cut off in series that
-// overlap, while clients hand jobs in over connections that they keep. No task
-// may run twice at a time or again after its end, no worker be overfilled, no
-// accepted job be lost, none be shown as done that isn't.
+// TestSoak kills, stops, freezes and disconnects real processes in overlapping
+// series of faults, while clients submit jobs over persistent connections. No
+// task may run twice at the same time or again after its end, no worker may be
+// overcommitted, no accepted job may be lost, and no unfinished job may be
+// shown as done.
 func TestSoak(t *testing.T) {
 	for n := range uint64(*seeds) {
-		seed := *first + n
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed) })
+		seed := *firstSeed + n
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed) })
 	}
 }
 
-func play(t *testing.T, seed uint64) {
+func runSeed(t *testing.T, seed uint64) {
 	d := deploy(t, seed)
-	defer d.keepLogs()
-	d.awaitService()
+	defer d.saveLogs()
+	d.awaitFirstJob()
 	lasting := workload.Job{ID: jobID(seed, 99, 0), Queue: queue, Payload: "lasting", Steps: []workload.Step{
 		{Count: 3, Need: workload.Resources{CPU: 1000, Memory: 1000}, Lasting: true},
 	}}
 	if !d.client().Submit(lasting, 10) {
 		t.Fatal("the lasting job was not accepted")
 	}
-	until := time.Now().Add(*length)
+	until := time.Now().Add(*faultDuration)
 	var group sync.WaitGroup
-	for n := range uint64(*beside) {
-		group.Go(func() { d.disturb(rand.New(rand.NewPCG(seed, n)), until) })
+	for n := range uint64(*concurrentFaults) {
+		group.Go(func() { d.injectFaults(rand.New(rand.NewPCG(seed, n)), until) })
 	}
-	var crashers []workload.JobID
-	group.Go(func() { crashers = d.crash(until) })
+	var crashJobs []workload.JobID
+	group.Go(func() { crashJobs = d.submitCrashingJobs(until) })
 	accepted := make([][]workload.JobID, clients)
 	for n := range clients {
-		group.Go(func() { accepted[n] = d.load(n, until) })
+		group.Go(func() { accepted[n] = d.submitJobs(n, until) })
 	}
 	group.Wait()
 	total := 0
 	for _, ids := range accepted {
 		total += len(ids)
-		for id, state := range d.client().Await(ids, settled) {
-			t.Errorf("job %s is %q %v after the last fault", id, state, settled)
+		for id, state := range d.client().Await(ids, settleTime) {
+			t.Errorf("job %s is %q %v after the last fault", id, state, settleTime)
 		}
 	}
-	for id, state := range d.client().Await(crashers, settled) {
-		t.Errorf("job %s, which crashes its workers, is %q %v after the last fault", id, state, settled)
+	for id, state := range d.client().Await(crashJobs, settleTime) {
+		t.Errorf("job %s, which crashes its workers, is %q %v after the last fault", id, state, settleTime)
 	}
-	if n := d.runningOf(lasting.ID); n != 3 {
+	if n := d.countRunning(lasting.ID); n != 3 {
 		t.Errorf("%d of 3 lasting tasks run", n)
 	}
 	for _, b := range d.rules.Broken() {
@@ -108,29 +111,29 @@
 	if total == 0 {
 		t.Error("no job was accepted")
 	}
-	t.Logf("%d jobs accepted, %d that crash their workers, %d starts, %d crashes", total, len(crashers), d.rules.Started, d.rules.Crashes())
+	t.Logf("%d jobs accepted, %d that crash their workers, %d starts, %d crashes", total, len(crashJobs), d.rules.Started, d.rules.Crashes())
 }
 
-// awaitService waits until a job is done.
-func (d *deployment) awaitService() {
+// awaitFirstJob waits until the entries accept a job and the job is done.
+func (d *deployment) awaitFirstJob() {
 	id := jobID(d.seed, 98, 0)
 	c := d.client()
-	if !c.Submit(oneJob(id, 1), 60) {
+	if !c.Submit(newJob(id, 1), 60) {
 		d.t.Fatal("the entries do not accept jobs")
 	}
-	if open := c.Await([]workload.JobID{id}, settled); len(open) > 0 {
+	if open := c.Await([]workload.JobID{id}, settleTime); len(open) > 0 {
 		d.t.Fatalf("the first job is not done: %v", open)
 	}
 }
 
-// load hands jobs in one after another and cancels some of them.
-func (d *deployment) load(client int, until time.Time) []workload.JobID {
+// submitJobs submits jobs one after another and cancels some of them.
+func (d *deployment) submitJobs(client int, until time.Time) []workload.JobID {
 	rng := rand.New(rand.NewPCG(d.seed, 100+uint64(client)))
 	c := d.client()
 	var accepted []workload.JobID
 	for n := 0; time.Now().Before(until); n++ {
 		id := jobID(d.seed, client, n)
-		if !c.Submit(oneJob(id, 1+rng.IntN(4)), 4) {
+		if !c.Submit(newJob(id, 1+rng.IntN(4)), 4) {
 			continue
 		}
 		accepted = append(accepted, id)
@@ -142,45 +145,45 @@
 	return accepted
 }
 
-// crash hands jobs in that crash their workers.
-func (d *deployment) crash(until time.Time) []workload.JobID {
+// submitCrashingJobs submits jobs that crash their workers.
+func (d *deployment) submitCrashingJobs(until time.Time) []workload.JobID {
 	c := d.client()
 	var accepted []workload.JobID
 	for n := 0; time.Now().Before(until); n++ {
-		if id := jobID(d.seed, crashing, n); c.Submit(oneJob(id, 2), 4) {
+		if id := jobID(d.seed, crashingClient, n); c.Submit(newJob(id, 2), 4) {
 			accepted = append(accepted, id)
 		}
-		time.Sleep(crashEvery)
+		time.Sleep(crashInterval)
 	}
 	return accepted
 }
 
-// runningOf counts the runs of a job, in the second look if the first falls
-// between two lives of a task.
-func (d *deployment) runningOf(id workload.JobID) int {
-	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
+// countRunning returns the number of running tasks of a job. It polls until
+// there are 3, because a task may be between two runs, for at most settleTime.
+func (d *deployment) countRunning(id workload.JobID) int {
+	for started := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		n := 0
-		for _, s := range d.seats {
-			for _, r := range s.life().Running() {
+		for _, s := range d.hosts {
+			for _, r := range s.current().Running() {
 				if r.Task.Job == id {
 					n++
 				}
 			}
 		}
-		if n == 3 || time.Since(begun) > settled {
+		if n == 3 || time.Since(started) > settleTime {
 			return n
 		}
 	}
 }
 
-func oneJob(id workload.JobID, width int) workload.Job {
-	s := workload.Step{Count: width, Need: workload.Resources{CPU: 1500, Memory: 1000}, Estimate: 600 * time.Millisecond}
+func newJob(id workload.JobID, tasks int) workload.Job {
+	s := workload.Step{Count: tasks, Need: workload.Resources{CPU: 1500, Memory: 1000}, Estimate: 600 * time.Millisecond}
 	next := s
 	next.After = []int{0}
 	return workload.Job{ID: id, Queue: queue, Payload: "p" + string(id), Steps: []workload.Step{s, next}}
 }
 
-// clientOf returns the client of a job of jobID.
+// clientOf returns the client that is encoded in the ID of a job by jobID.
 func clientOf(id workload.JobID) int {
 	var seed, client int
 	_, _ = fmt.Sscanf(string(id), "%06x%04x", &seed, &client) // 0 for a job of another form
@@ -191,15 +194,15 @@
 	return workload.JobID(fmt.Sprintf("%06x%04x%06x", seed&0xffffff, client, n))
 }
 
-// keepLogs copies the processes' logs if the seed has failed.
-func (d *deployment) keepLogs() {
-	if !d.t.Failed() || *keepDir == "" {
+// saveLogs copies the logs of the processes to logDir if the seed has failed.
+func (d *deployment) saveLogs() {
+	if !d.t.Failed() || *logDir == "" {
 		return
 	}
-	for _, p := range d.all() {
+	for _, p := range d.processes() {
 		text, err := os.ReadFile(p.file(".log"))
 		if err == nil {
-			err = os.WriteFile(filepath.Join(*keepDir, fmt.Sprintf("%d-%s.log", d.seed, p.Node)), text, 0o600)
+			err = os.WriteFile(filepath.Join(*logDir, fmt.Sprintf("%d-%s.log", d.seed, p.Node)), text, 0o600)
 		}
 		if err != nil {
 			d.t.Log(err)
