--- a/sessions/inproc/network.go
+++ b/sessions/inproc/network.go
@@ -19,8 +19,7 @@
 // latency is the time that a message takes one way.
 const latency = time.Millisecond
 
-// errCut is the cause of a PeerError when the network does not deliver a
-// message.
+// errCut is the cause of a PeerError that this network returns.
 var errCut = errors.New("inproc: message not delivered")
 
 // Fault is a fault that the network injects into one message.
@@ -69,8 +68,8 @@
 	}
 }
 
-// Script sets a function that chooses the fault of each message; a message that
-// it delivers is then subject to Chance. nil removes the function.
+// Script sets a function that chooses the fault of each message before Chance
+// applies; nil removes it.
 func (n *Network) Script(f func(Message) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +83,7 @@
 	n.chance = c
 }
 
-// Cut disconnects two processes from each other if on is true, and reconnects
-// them otherwise.
+// Cut disconnects two processes from each other, or reconnects them.
 func (n *Network) Cut(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,8 +121,7 @@
 	}
 }
 
-// ServeAgent makes the named process reachable at address and replaces the
-// process that was reached there before.
+// ServeAgent makes the named process reachable at address, replacing any other.
 func (n *Network) ServeAgent(address, name string, a wire.AgentAPI, clock wire.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,7 +142,6 @@
 	return n.owner[address]
 }
 
-// chooseFault chooses the fault of a message.
 func (n *Network) chooseFault(m Message, to string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,8 +191,8 @@
 }
 
 // exchange carries one request and its answer. The request and the reply are
-// copied through gob, as on the wire, so that they share no memory, and values
-// that gob can't encode fail here too.
+// copied through gob, as on the wire, so that no memory is shared and values
+// that can't be encoded fail here too.
 func exchange[Q, R any](ctx context.Context, n *Network, m Message, request Q, handle func(Q, *R) error) (R, error) {
 	var none R
 	failed := func(sent bool, err error) (R, error) {
--- a/sessions/inproc/web.go
+++ b/sessions/inproc/web.go
@@ -66,7 +66,7 @@
 }
 
 // RoundTrip implements http.RoundTripper. The handler keeps running after the
-// client has timed out, as in a server that does not monitor its connection.
+// client times out, as in a server that does not monitor its connection.
 func (w *Web) RoundTrip(r *http.Request) (*http.Response, error) {
 	handler, fault := w.route(r)
 	if fault == WebRefuse {
@@ -104,7 +104,6 @@
 	return io.ReadAll(r)
 }
 
-// applyFault applies the fault to an answer.
 func applyFault(answer *http.Response, fault WebFault) (*http.Response, error) {
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
--- a/sessions/inproc/world.go
+++ b/sessions/inproc/world.go
@@ -42,10 +42,9 @@
 	Objects  *memory.Objects
 	Registry *memory.RunRegistry
 	Log      zerolog.Logger
-	// AgentLease and WorkerLease are the lease durations of agents that are
-	// started afterwards.
+	// AgentLease and WorkerLease are the leases of agents started later.
 	AgentLease, WorkerLease time.Duration
-	// Kinds are the programs of workers that are started afterwards.
+	// Kinds are the programs of workers started later.
 	Kinds map[structs.Kind]memory.Program
 
 	mu        sync.Mutex
@@ -69,21 +68,20 @@
 // Close ends all processes immediately.
 func (w *Cluster) Close() { w.cancel() }
 
-// process holds the state that entries and agents have in common.
+// process is the common part of entries and agents.
 type process struct {
-	// Name is unique to the process; a later process may reuse its address.
+	// Name is unique to the process; its address may be reused.
 	Name  string
 	Store *fault.Control
-	// Local controls the access to the worker. The worker is on the same
-	// instance, so that only a frozen or killed process can't reach it.
+	// Local controls the access to the worker, which is on the same instance:
+	// only a frozen or killed process is disconnected from it.
 	Local   *fault.Control
 	Events  *events.Ring
 	cancel  context.CancelFunc
 	cluster *Cluster
 }
 
-// Kill ends the process as SIGKILL does: none of its later actions has an
-// effect on other processes.
+// Kill ends the process as SIGKILL does: its later actions affect nobody.
 func (p *process) Kill() {
 	p.Store.Cut(true)
 	p.Local.Cut(true)
@@ -91,7 +89,7 @@
 	p.cancel()
 }
 
-// Freeze stops the process as SIGSTOP does, as observed by other processes.
+// Freeze stops the process as SIGSTOP does, as far as others can observe.
 func (p *process) Freeze() {
 	p.Store.Freeze()
 	p.Local.Freeze()
@@ -148,8 +146,8 @@
 	return e
 }
 
-// Do sends one request to the entry's HTTP interface. If the entry is killed or
-// frozen, the caller gets no answer until ctx ends (status 0).
+// Do sends one request to the entry's HTTP interface. A caller of a killed or
+// frozen entry gets no answer until ctx ends (status 0).
 func (e *Entry) Do(ctx context.Context, method, path, key, body string, header ...string) Response {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -276,8 +274,8 @@
 	return e.Do(context.Background(), "PUT", "/v1/admin/contracts/"+string(c), OperatorKey, string(body))
 }
 
-// Timeline merges the events of all processes that have ever run, including
-// killed ones.
+// Timeline merges the events of all processes that ever ran, including killed
+// ones.
 func (w *Cluster) Timeline(request structs.RequestID, job structs.JobID) []structs.Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
