--- a/sessions/soak/deployment_test.go
+++ b/sessions/soak/deployment_test.go
@@ -21,12 +21,11 @@
 const (
 	entries = 3
 	hosts   = 4
-	// firstPort is the first port of each process; each process has its own
-	// address.
+	// firstPort is the first port of each process, on an address of its own.
 	firstPort = 21700
 	heartbeat = 500 * time.Millisecond
-	// workerRestartDelay is the time between the crash of a worker by a run and
-	// its restart.
+	// workerRestartDelay is the time from a worker's crash by a run to its
+	// restart.
 	workerRestartDelay = 1500 * time.Millisecond
 )
 
@@ -133,8 +132,8 @@
 	}
 }
 
-// outcome makes a task run for 0.2 to 1 s, the same time in each run. The first
-// task of each job of the crashing client crashes its worker.
+// outcome makes a task run for 0.2 to 1 s, the same in each run; the first task
+// of a job of the crashing client crashes its worker.
 func outcome(r workload.RunID) machines.Outcome {
 	return machines.Outcome{
 		For:     time.Duration(200+100*((r.Task.Index*7+r.Task.Step*3)%9)) * time.Millisecond,
@@ -160,8 +159,8 @@
 	}
 }
 
-// Start implements workerctl.Control. It and the other methods are forwarded to
-// the current incarnation.
+// Start implements workerctl.Control. All methods forward to the current
+// incarnation.
 func (s *host) Start(ctx context.Context, worker workload.WorkerID, o workerctl.StartOrder) (workerctl.Clock, error) {
 	return s.current().Start(ctx, worker, o)
 }
--- a/sessions/soak/faults_test.go
+++ b/sessions/soak/faults_test.go
@@ -10,7 +10,7 @@
 )
 
 // fault is one kind of fault. start injects it and returns a function that
-// removes it, or nil if there is nothing to remove.
+// removes it, or nil.
 type fault struct {
 	name  string
 	start func(d *deployment, rng *rand.Rand) (stop func())
@@ -51,8 +51,8 @@
 	}
 }
 
-// faults are all kinds of faults; each may start at any moment, more than once
-// and at the same time as others.
+// faults are all kinds of faults; each may occur at any moment, repeatedly and
+// at the same time as others.
 var faults = []fault{
 	{"entry killed", signalFault(syscall.SIGKILL, anyEntry)},
 	{"agent killed", signalFault(syscall.SIGKILL, anyAgent)},
@@ -99,7 +99,7 @@
 	}},
 }
 
-// injectFaults injects faults one after another until the given time. Several
+// injectFaults injects one fault after another until the given time; several
 // calls run concurrently.
 func (d *deployment) injectFaults(rng *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
--- a/sessions/soak/process_test.go
+++ b/sessions/soak/process_test.go
@@ -12,12 +12,11 @@
 	"persimmonrock.example/platform/standin"
 )
 
-// processRestartDelay is the time between the exit of a process and its
-// restart.
+// processRestartDelay is the time from the exit of a process to its restart.
 const processRestartDelay = 300 * time.Millisecond
 
-// process is one program on its machine. It is restarted after each exit, as
-// the users' machines do.
+// process is one program on its machine. It is restarted whenever it exits, as
+// on the users' machines.
 type process struct {
 	standin.Machine
 	t       *testing.T
@@ -46,8 +45,7 @@
 
 func (p *process) file(suffix string) string { return filepath.Join(p.dir, p.Node+suffix) }
 
-// supervise runs the program, and restarts it after each exit, until close is
-// called.
+// supervise runs and restarts the program until close.
 func (p *process) supervise() {
 	defer close(p.done)
 	out, err := os.OpenFile(p.file(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -72,7 +70,7 @@
 		}
 		p.cmd = cmd
 		p.mu.Unlock()
-		_ = cmd.Wait() // the signals sent and the log show why the program ended
+		_ = cmd.Wait() // the signals sent and the log show why it ended
 		p.mu.Lock()
 		p.exits++
 		p.mu.Unlock()
@@ -85,7 +83,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may have exited in the meantime
+		_ = p.cmd.Process.Signal(s) // it may have just exited
 	}
 }
 
--- a/sessions/soak/relay_test.go
+++ b/sessions/soak/relay_test.go
@@ -21,7 +21,7 @@
 	dropAll
 )
 
-// forwardDelay is the time by which a delayed relay delays each block of data.
+// forwardDelay is the delay of each block of data in a delayed relay.
 const forwardDelay = 300 * time.Millisecond
 
 // relay forwards the connections of one process to one address.
@@ -66,7 +66,6 @@
 	return r.state
 }
 
-// reset resets all connections.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,10 +91,9 @@
 	r.forward(client, server, dropInbound)
 }
 
-// forward copies the data of one direction and drops it in the states dropping
-// and dropAll. A connection that has dropped data can't be used any more, and
-// is closed only when the state changes, as a real connection fails only after
-// the network recovers.
+// forward copies one direction and drops the data in the states dropping and
+// dropAll. A connection that has dropped data is closed only when the state
+// changes, as a real one fails only after the network recovers.
 func (r *relay) forward(to, from net.Conn, dropping relayState) {
 	defer to.Close()
 	defer from.Close()
--- a/sessions/soak/soak_test.go
+++ b/sessions/soak/soak_test.go
@@ -24,13 +24,13 @@
 
 const (
 	clients = 4
-	// crashingClient is the client whose jobs crash their workers; it submits
-	// one job every crashInterval.
+	// crashingClient is the client whose jobs crash their workers, one each
+	// crashInterval.
 	crashingClient = 97
 	crashInterval  = 4 * time.Second
 	// settleTime is the time after the last fault within which every accepted
-	// job finishes: the leases of workers that became unresponsive last expire,
-	// and the tasks that wait for these leases run.
+	// job finishes: the last leases of unresponsive workers expire, and the
+	// tasks waiting for them run.
 	settleTime = 30 * time.Second
 )
 
@@ -58,11 +58,10 @@
 	return m.Run()
 }
 
-// TestSoak kills, stops, freezes and disconnects real processes in overlapping
-// series of faults, while clients submit jobs over persistent connections. No
-// task may run twice at the same time or again after its end, no worker may be
-// overcommitted, no accepted job may be lost, and no unfinished job may be
-// shown as done.
+// Real processes are killed, stopped, frozen and disconnected in overlapping
+// series, while clients submit jobs over persistent connections. No task may
+// run twice at a time or again after its end, no worker be overcommitted, no
+// accepted job be lost, and no unfinished job be shown as done.
 func TestSoak(t *testing.T) {
 	for n := range uint64(*seeds) {
 		seed := *firstSeed + n
@@ -145,7 +144,6 @@
 	return accepted
 }
 
-// submitCrashingJobs submits jobs that crash their workers.
 func (d *deployment) submitCrashingJobs(until time.Time) []workload.JobID {
 	c := d.client()
 	var accepted []workload.JobID
@@ -158,8 +156,8 @@
 	return accepted
 }
 
-// countRunning returns the number of running tasks of a job. It polls until
-// there are 3, because a task may be between two runs, for at most settleTime.
+// countRunning returns the number of running tasks of a job. It polls for up to
+// settleTime until there are 3: a task may be between two runs.
 func (d *deployment) countRunning(id workload.JobID) int {
 	for started := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		n := 0
