--- a/sessions/learning_test.go
+++ b/sessions/learning_test.go
@@ -17,25 +17,26 @@
 	"persimmonrock.example/structs"
 )
 
-// pairs is a world in which tasks of kind "noisy" slow the assay check beside
-// them and nothing else, and tasks of kind "calm" slow nothing.
-type pairs struct {
+// interferenceSession is a session in which tasks of kind "noisy" slow the
+// assay check on the same instance and nothing else, and tasks of kind "calm"
+// slow nothing.
+type interferenceSession struct {
 	*session
-	noisy map[structs.InstanceID]*atomic.Int64
+	noisyTasks map[structs.InstanceID]*atomic.Int64
 }
 
 const (
-	undisturbed = 40 * time.Millisecond
-	// otherCheck is a service that noisy tasks don't slow.
+	baseLatency = 40 * time.Millisecond
+	// otherCheck is a service that noisy tasks do not slow.
 	otherCheck structs.Service = "other-check"
 )
 
-func (p *pairs) start(id structs.InstanceID, slots int, services ...structs.Service) {
-	beside := &atomic.Int64{}
-	p.noisy[id] = beside
-	run := func(ctx context.Context, t memory.Task, noisy int64) ([]byte, error) {
-		beside.Add(noisy)
-		defer beside.Add(-noisy)
+func (p *interferenceSession) start(id structs.InstanceID, slots int, services ...structs.Service) {
+	running := &atomic.Int64{}
+	p.noisyTasks[id] = running
+	run := func(ctx context.Context, t memory.Task, delta int64) ([]byte, error) {
+		running.Add(delta)
+		defer running.Add(-delta)
 		return nil, t.Step(ctx, 40*time.Second)
 	}
 	p.Kinds = map[structs.Kind]memory.Program{
@@ -45,11 +46,11 @@
 	i := p.StartInstance(id, slots)
 	for _, service := range services {
 		i.StartBackend(service, true, slots, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			took := undisturbed
+			latency := baseLatency
 			if service == sample.AssayCheck {
-				took *= time.Duration(1 + beside.Load())
+				latency *= time.Duration(1 + running.Load())
 			}
-			time.Sleep(took)
+			time.Sleep(latency)
 			sample.Assay(w, r)
 		}))
 	}
@@ -57,16 +58,16 @@
 	time.Sleep(10 * time.Second)
 }
 
-func (p *pairs) job(kind string) {
+func (p *interferenceSession) submitKind(kind string) {
 	p.t.Helper()
-	r := p.ask(p.entries[0], "POST", "/v1/jobs", fmt.Sprintf(`{"kind":%q,"declared":{"slots":1}}`, kind))
+	r := p.request(p.entries[0], "POST", "/v1/jobs", fmt.Sprintf(`{"kind":%q,"declared":{"slots":1}}`, kind))
 	if r.Status != http.StatusAccepted {
 		p.t.Fatalf("job: %+v", r)
 	}
 }
 
-// calls checks samples for a while, a few at once.
-func (p *pairs) calls(d time.Duration) {
+// sendCalls calls both services every 50 ms for the duration d.
+func (p *interferenceSession) sendCalls(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, service := range []structs.Service{sample.AssayCheck, otherCheck} {
 			go p.call(p.entries[0], service, `{"sample":"GN-1"}`, 2*time.Second)
@@ -74,37 +75,37 @@
 	}
 }
 
-// A prospector's check is slow on a fresh instance, minutes after the same
-// kind of task had slowed the same service elsewhere. One instance runs the
-// harmful pair and its agent measures it; then two more come up, and the one
-// with that service is the tighter fit. Without measurements in heartbeats
-// only the first agent knows the pair, and the next noisy task is placed there.
-func TestHarmSeenOnOneInstanceIsAvoidedOnAnother(t *testing.T) {
+// A service is slow on a new instance minutes after the same kind of task
+// slowed it on another. One instance runs the interfering pair and its agent
+// measures it; then two more start, and the one with that service is the
+// tighter fit. Without measurements in heartbeats only the first agent has data
+// on the pair, and the next noisy task is placed beside the service.
+func TestMeasuredSlowdownIsAvoidedOnOtherInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := inproc.NewCluster(1, zerolog.Nop())
 		defer w.Close()
-		p := &pairs{session: &session{Cluster: w, t: t}, noisy: make(map[structs.InstanceID]*atomic.Int64)}
+		p := &interferenceSession{session: &session{Cluster: w, t: t}, noisyTasks: make(map[structs.InstanceID]*atomic.Int64)}
 		p.entries = append(p.entries, w.StartEntry("entry-1"))
 		synctest.Wait()
 		if r := w.Contract(p.entries[0], customer, 1, 1000); r.Status != 200 {
 			t.Fatalf("contract: %+v", r)
 		}
 		p.start("instance-1", 8, sample.AssayCheck, otherCheck)
-		p.calls(20 * time.Second)
+		p.sendCalls(20 * time.Second)
 		for _, kind := range []string{"noisy", "calm", "noisy", "calm"} {
-			p.job(kind)
-			p.calls(25 * time.Second)
+			p.submitKind(kind)
+			p.sendCalls(25 * time.Second)
 		}
 		p.instances[0].Agent.Kill()
 		time.Sleep(time.Minute)
 		p.start("instance-2", 6, sample.AssayCheck)
 		p.start("instance-3", 8, otherCheck)
 		for range 2 {
-			p.job("noisy")
+			p.submitKind("noisy")
 			time.Sleep(2 * time.Second)
 		}
-		if beside, elsewhere := p.noisy["instance-2"].Load(), p.noisy["instance-3"].Load(); beside != 0 || elsewhere != 2 {
-			t.Errorf("noisy tasks beside the check they slow: %d, elsewhere: %d; want 0 and 2", beside, elsewhere)
+		if onSlowedService, onOther := p.noisyTasks["instance-2"].Load(), p.noisyTasks["instance-3"].Load(); onSlowedService != 0 || onOther != 2 {
+			t.Errorf("noisy tasks on the instance of the service that they slow: %d, on the other instance: %d; want 0 and 2", onSlowedService, onOther)
 		}
 		w.Close()
 		time.Sleep(time.Minute)
--- a/sessions/planned_test.go
+++ b/sessions/planned_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestMain fixes the seed and the number of the drawn sessions, so that the
-// verdict never changes; -rapid.seed and -rapid.checks give others.
+// result is reproducible; -rapid.seed and -rapid.checks override them.
 func TestMain(m *testing.M) {
 	given := make(map[string]bool)
 	flag.Parse()
@@ -29,34 +29,34 @@
 	os.Exit(m.Run())
 }
 
-// faultKind is one way to disturb a session.
 type faultKind string
 
 // The faults of a planned session.
 const (
-	noFault       faultKind = "none"
-	killEntry     faultKind = "kill entry"
-	killAgent     faultKind = "kill agent"
-	stopAgent     faultKind = "stop agent"
-	freezeEntry   faultKind = "freeze entry"
-	freezeAgent   faultKind = "freeze agent"
-	cutLink       faultKind = "cut link"
-	entryStoreBad faultKind = "store bad for entry"
-	agentStoreBad faultKind = "store bad for agent"
-	storeDown     faultKind = "store down for all"
-	messagesLost  faultKind = "messages lost"
-	answersLost   faultKind = "answers lost"
-	allHealed     faultKind = "all healed"
+	noFault          faultKind = "none"
+	killEntry        faultKind = "kill entry"
+	killAgent        faultKind = "kill agent"
+	stopAgent        faultKind = "stop agent"
+	freezeEntry      faultKind = "freeze entry"
+	freezeAgent      faultKind = "freeze agent"
+	cutLink          faultKind = "cut link"
+	entryStoreFaulty faultKind = "store faulty for entry"
+	agentStoreFaulty faultKind = "store faulty for agent"
+	storeDown        faultKind = "store down for all"
+	messagesLost     faultKind = "messages lost"
+	answersLost      faultKind = "answers lost"
+	allHealed        faultKind = "all healed"
 )
 
 var faultKinds = []faultKind{
 	noFault, allHealed, killEntry, killAgent, stopAgent, freezeEntry, freezeAgent, cutLink,
-	entryStoreBad, agentStoreBad, storeDown, messagesLost, answersLost,
+	entryStoreFaulty, agentStoreFaulty, storeDown, messagesLost, answersLost,
 }
 
-// move is one step of a planned session: a load, a fault and a pause. Entry
-// and Instance say where the fault is, Span how long a freeze lasts.
-type move struct {
+// plannedStep is one step of a planned session: requests, a fault and a pause.
+// Entry and Instance select the target of the fault, Span the duration of a
+// freeze.
+type plannedStep struct {
 	Checks, Jobs    int
 	Keyed, Plain    []int
 	Samples         int
@@ -66,17 +66,16 @@
 	Span, Pause     time.Duration
 }
 
-// maxMoves bounds a planned session.
-const maxMoves = 40
+const maxPlannedSteps = 40
 
-var moves = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) move {
+var plannedSteps = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) plannedStep {
 	span := func(name string, most time.Duration) time.Duration {
 		return time.Duration(rapid.IntRange(0, int(most/time.Millisecond)).Draw(t, name)) * time.Millisecond
 	}
-	return move{
+	return plannedStep{
 		Checks: rapid.IntRange(0, 5).Draw(t, "checks"),
 		Jobs:   rapid.IntRange(0, 3).Draw(t, "jobs"),
-		// Claims with equal numbers are repeats under one key.
+		// Claims with equal numbers are repeats under the same key.
 		Keyed:    rapid.SliceOfN(rapid.IntRange(0, 30), 0, 2).Draw(t, "keyed"),
 		Plain:    rapid.SliceOfN(rapid.Just(0), 0, 2).Draw(t, "plain"),
 		Samples:  rapid.IntRange(1, 20).Draw(t, "samples"),
@@ -87,77 +86,76 @@
 		Span:     span("span", 2*randomLease),
 		Pause:    span("pause", randomMaxPause*time.Millisecond),
 	}
-}), 1, maxMoves)
+}), 1, maxPlannedSteps)
 
-// notes keeps what is wrong until the session's bubble has ended.
-type notes struct {
-	mu    sync.Mutex
-	wrong []string
-	log   []string
+// failureLog collects failures until the session's bubble has ended.
+type failureLog struct {
+	mu     sync.Mutex
+	errors []string
+	logs   []string
 }
 
-func (n *notes) Errorf(format string, args ...any) {
+func (n *failureLog) Errorf(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wrong = append(n.wrong, fmt.Sprintf(format, args...))
+	n.errors = append(n.errors, fmt.Sprintf(format, args...))
 }
 
-func (n *notes) Logf(format string, args ...any) {
+func (n *failureLog) Logf(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log = append(n.log, fmt.Sprintf(format, args...))
+	n.logs = append(n.logs, fmt.Sprintf(format, args...))
 }
 
-func (n *notes) Failed() bool {
+func (n *failureLog) Failed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.wrong) > 0
+	return len(n.errors) > 0
 }
 
-// The same session as in TestRandomisedFaults, with its loads, faults and
-// times drawn by rapid before it starts; a plan that shows a fault shrinks.
-// Rapid ends a failed check by a panic, which can't leave the bubble of fake
-// time, so what is wrong is kept and told when the bubble has ended.
+// The session of TestRandomisedFaults, with its requests, faults and times
+// drawn by rapid before it starts; a failing plan shrinks. Rapid ends a failed
+// check by a panic, which can't leave the bubble of fake time, so failures are
+// collected and reported when the bubble has ended.
 func TestPlannedFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
-		plan, seed := moves.Draw(rt, "plan"), rapid.Uint64().Draw(rt, "seed")
-		var n notes
+		plan, seed := plannedSteps.Draw(rt, "plan"), rapid.Uint64().Draw(rt, "seed")
+		var n failureLog
 		synctest.Test(t, func(t *testing.T) {
 			c := newChaos(t, seed)
 			c.t = &n
 			for _, m := range plan {
-				c.make(m)
+				c.perform(m)
 			}
-			c.end()
+			c.finish()
 		})
 		if n.Failed() {
-			rt.Fatalf("%s\n%s", strings.Join(n.wrong, "\n"), strings.Join(n.log, "\n"))
+			rt.Fatalf("%s\n%s", strings.Join(n.errors, "\n"), strings.Join(n.logs, "\n"))
 		}
 	})
 }
 
-// make carries one move out.
-func (c *chaos) make(m move) {
-	near, far := c.s.entries[m.Entry], c.s.entries[1-m.Entry]
+func (c *chaos) perform(m plannedStep) {
+	entry, otherEntry := c.s.entries[m.Entry], c.s.entries[1-m.Entry]
 	for i := range m.Checks {
-		c.checkSample(near, fmt.Sprintf("GN-%d", i), m.Work+time.Second)
+		c.checkSample(entry, fmt.Sprintf("GN-%d", i), m.Work+time.Second)
 	}
 	for _, id := range m.Keyed {
-		c.lodgeClaim(far, true, id)
+		c.sendClaim(otherEntry, true, id)
 	}
 	for range m.Plain {
 		c.claims++
-		c.lodgeClaim(near, false, c.claims)
+		c.sendClaim(entry, false, c.claims)
 	}
 	for range m.Jobs {
-		c.submit(far, m.Samples, m.Work)
+		c.submit(otherEntry, m.Samples, m.Work)
 	}
-	c.disturb(m)
+	c.injectFault(m)
 	time.Sleep(m.Pause)
 }
 
-func (c *chaos) disturb(m move) {
+func (c *chaos) injectFault(m plannedStep) {
 	e, i := c.s.entries[m.Entry], c.s.instances[m.Instance]
 	switch m.Fault {
 	case killEntry:
@@ -172,21 +170,21 @@
 		c.freezeFor(i.Agent, m.Span)
 	case cutLink:
 		c.s.Net.Cut(e.Name, i.Agent.Name, true)
-	case entryStoreBad:
-		e.Store.Set(badStore)
-	case agentStoreBad:
-		i.Agent.Store.Set(badStore)
+	case entryStoreFaulty:
+		e.Store.Set(faultyStore)
+	case agentStoreFaulty:
+		i.Agent.Store.Set(faultyStore)
 	case storeDown:
-		for _, one := range c.s.entries {
-			one.Store.Set(fault.Plan{Down: 1})
+		for _, target := range c.s.entries {
+			target.Store.Set(fault.Plan{Down: 1})
 		}
-		for _, one := range c.s.instances {
-			one.Agent.Store.Set(fault.Plan{Down: 1})
+		for _, target := range c.s.instances {
+			target.Agent.Store.Set(fault.Plan{Down: 1})
 		}
 	case messagesLost:
-		c.messages()
+		c.loseMessages()
 	case answersLost:
-		c.answers()
+		c.breakAnswers()
 	case allHealed:
 		c.heal()
 	}
--- a/sessions/race_test.go
+++ b/sessions/race_test.go
@@ -4,13 +4,13 @@
 
 import "runtime"
 
-// init keeps tests in fake time on one processor under the race detector.
+// init limits tests in fake time to one processor under the race detector.
 //
-// Failure guarded against: the Go runtime runs due channel timers of a
-// synctest bubble on whichever thread polls them, all with the bubble's one
-// race context, without a lock. Two at once leave its stack of frames one too
-// short, and the next goroutine that a timer starts makes the detector read
-// from outside of it: SIGSEGV in StackDepotBase::Put, with a size of
-// 0xffffffff. One processor runs one of them at a time. The detector needs no
-// parallel threads to see accesses without order.
+// Failure guarded against: the Go runtime runs due channel timers of a synctest
+// bubble on whichever thread polls them, all with the bubble's single race
+// context, without a lock. If two run at once, its stack of frames ends up one
+// too short, and the next goroutine that a timer starts makes the detector read
+// outside of the stack: SIGSEGV in StackDepotBase::Put, with a size of
+// 0xffffffff. One processor runs one timer at a time. The detector needs no
+// parallel threads to find unordered accesses.
 func init() { runtime.GOMAXPROCS(1) }
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -25,35 +25,37 @@
 	randomSettle   = 4 * time.Minute
 	randomSteps    = 60
 	randomMaxPause = 1500
-	// sessionsAtOnce keeps cores for the other tests; a session uses about one.
-	sessionsAtOnce = 2
+	// maxParallelSessions leaves cores for the other tests; a session uses
+	// about one.
+	maxParallelSessions = 2
 )
 
-// Callers check samples, lodge claims and submit and cancel jobs while every
-// fault comes at any moment: entries and agents are killed, frozen, cut off
-// and stopped as planned, the store is down, slow, loses answers and delays
-// writes, messages and HTTP answers are lost or late. Afterwards each caller's
-// answer is true, no claim was lodged twice, no instance ever ran more than it
-// can hold, no task ran in two places, and each job has one final state.
+// Callers check samples, send claims, and submit and cancel jobs while faults
+// of all kinds occur at any moment: entries and agents are killed, frozen,
+// disconnected and stopped as planned; the store is down or slow, loses answers
+// and delays writes; messages and HTTP answers are lost or late. Afterwards
+// each caller's answer is true, no claim was executed twice, no instance ever
+// exceeded its slots, no task ran in two places, and each job has one
+// final state.
 //
-// The seeds are fixed; -seed and -seeds give others. TestPlannedFaults draws
+// The seeds are fixed; -seed and -seeds select others. TestPlannedFaults draws
 // sessions that shrink.
 func TestRandomisedFaults(t *testing.T) {
 	t.Parallel()
-	lanes := make(chan struct{}, sessionsAtOnce)
+	tokens := make(chan struct{}, maxParallelSessions)
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			lanes <- struct{}{}
-			defer func() { <-lanes }()
+			tokens <- struct{}{}
+			defer func() { <-tokens }()
 			synctest.Test(t, func(t *testing.T) { newChaos(t, seed).run() })
 		})
 	}
 }
 
-// Seeds that once showed a fault are run every time. 5311: a start that never
-// left was put back while its repeat arrived, and the task ran twice.
-func TestSeedsThatShowedFaults(t *testing.T) {
+// TestRegressionSeeds runs seeds that have found faults. 5311: a start that was
+// never sent was requeued while its repeat arrived, and the task ran twice.
+func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{5311} {
 		synctest.Test(t, func(t *testing.T) { newChaos(t, seed).run() })
@@ -65,35 +67,35 @@
 	seedCount = flag.Uint64("seeds", 25, "number of randomised sessions")
 )
 
-// reporter is told what is wrong; *testing.T is one.
+// reporter receives the failures of a session; *testing.T implements it.
 type reporter interface {
 	Errorf(format string, args ...any)
 	Logf(format string, args ...any)
 	Failed() bool
 }
 
-// chaos is one randomised session.
+// chaos is one session with faults.
 type chaos struct {
 	t    reporter
 	seed uint64
 	s    *session
-	// plan draws the steps, random what happens inside handlers.
-	plan   *rand.Rand
-	random *rand.Rand
-	mu     sync.Mutex
-	wait   sync.WaitGroup
-	record record
-	jobs   []string
-	claims int
-	// told is set once a story has been printed.
-	told bool
+	// plan draws the steps, random the behaviour of handlers.
+	plan         *rand.Rand
+	random       *rand.Rand
+	mu           sync.Mutex
+	wait         sync.WaitGroup
+	claimAnswers claimAnswers
+	jobs         []string
+	claims       int
+	// contextPrinted is set once the time lines of a failure are printed.
+	contextPrinted bool
 }
 
 func (c *chaos) draw(n int) int { return c.plan.IntN(n) }
 
 func newChaos(t *testing.T, seed uint64) *chaos {
 	c := &chaos{t: t, seed: seed, plan: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2))}
-	c.record.answers = make(map[string][]inproc.Response)
+	c.claimAnswers.byClaim = make(map[string][]inproc.Response)
 	c.s = newSession(t, options{entries: 2, instances: 3, slots: 3, lease: randomLease, seed: seed, work: c.work})
 	return c
 }
@@ -103,11 +105,11 @@
 		c.step()
 		time.Sleep(time.Duration(c.draw(randomMaxPause)) * time.Millisecond)
 	}
-	c.end()
+	c.finish()
 }
 
-// end ends all faults, judges the session and closes it.
-func (c *chaos) end() {
+// finish removes all faults, checks the session and closes it.
+func (c *chaos) finish() {
 	c.heal()
 	c.wait.Wait()
 	time.Sleep(randomSettle)
@@ -116,8 +118,8 @@
 	time.Sleep(time.Minute)
 }
 
-// work is how long one call works: mostly little, sometimes longer than its
-// caller waits.
+// work returns the working time of a call: usually short, sometimes longer than
+// its caller waits.
 func (c *chaos) work() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,13 +137,13 @@
 	return c.s.instances[c.draw(len(c.s.instances))]
 }
 
-// step makes some requests and perhaps one fault.
+// step sends some requests and may inject one fault.
 func (c *chaos) step() {
 	for range c.draw(6) {
-		c.assay()
+		c.checkRandomSample()
 	}
 	for range c.draw(4) {
-		c.lodge()
+		c.sendRandomClaim()
 	}
 	for range c.draw(4) {
 		e := c.entry()
@@ -149,7 +151,7 @@
 		c.submit(e, samples, step)
 	}
 	faults := []func(){
-		c.cancelJob, c.killEntry, c.killAgent, c.freeze, c.cut, c.stopAgent, c.stores, c.messages, c.answers, c.heal, func() {}, func() {},
+		c.cancelJob, c.killEntry, c.killAgent, c.freeze, c.cutRandomLink, c.stopAgent, c.breakStores, c.loseMessages, c.breakAnswers, c.heal, func() {}, func() {},
 	}
 	faults[c.draw(len(faults))]()
 }
@@ -164,24 +166,24 @@
 	})
 }
 
-func (c *chaos) assay() {
+func (c *chaos) checkRandomSample() {
 	e, sampleID := c.entry(), fmt.Sprintf("GN-%d", c.draw(1000))
 	c.checkSample(e, sampleID, time.Duration(5+c.draw(3000))*time.Millisecond)
 }
 
-// checkSample checks one sample; the answer has to be about it.
+// checkSample checks one sample; a successful answer must be about it.
 func (c *chaos) checkSample(e *inproc.Entry, sampleID string, timeout time.Duration) {
 	c.wait.Go(func() {
 		r := c.s.call(e, sample.AssayCheck, fmt.Sprintf(`{"sample":%q}`, sampleID), timeout)
 		if r.Status == http.StatusOK && !strings.Contains(r.Body, `"`+sampleID+`"`) {
-			c.t.Errorf("asked for %s, was answered %s", sampleID, r.Body)
+			c.t.Errorf("request for sample %s was answered with %s", sampleID, r.Body)
 		}
 	})
 }
 
-// lodge lodges a claim that is not idempotent: a new one, or an earlier one
-// again under its key, perhaps through another entry.
-func (c *chaos) lodge() {
+// sendRandomClaim sends a claim that is not idempotent: a new one, or an
+// earlier one again under its key, perhaps through another entry.
+func (c *chaos) sendRandomClaim() {
 	keyed := c.draw(2) == 0
 	id := c.claims
 	if keyed && id > 0 && c.draw(2) == 0 {
@@ -189,10 +191,10 @@
 	} else {
 		c.claims++
 	}
-	c.lodgeClaim(c.entry(), keyed, id)
+	c.sendClaim(c.entry(), keyed, id)
 }
 
-func (c *chaos) lodgeClaim(e *inproc.Entry, keyed bool, id int) {
+func (c *chaos) sendClaim(e *inproc.Entry, keyed bool, id int) {
 	claim := fmt.Sprintf("plain-%d", id)
 	var header []string
 	if keyed {
@@ -200,7 +202,7 @@
 		header = []string{"Idempotency-Key", claim}
 	}
 	c.wait.Go(func() {
-		c.record.add(claim, c.s.call(e, sample.LodgeClaim, fmt.Sprintf(`{"claim":%q}`, claim), 5*time.Second, header...))
+		c.claimAnswers.add(claim, c.s.call(e, sample.LodgeClaim, fmt.Sprintf(`{"claim":%q}`, claim), 5*time.Second, header...))
 	})
 }
 
@@ -212,7 +214,7 @@
 		return
 	}
 	id := c.jobs[c.draw(len(c.jobs))]
-	c.wait.Go(func() { c.s.ask(e, "DELETE", "/v1/jobs/"+id, "") })
+	c.wait.Go(func() { c.s.request(e, "DELETE", "/v1/jobs/"+id, "") })
 }
 
 func (c *chaos) killEntry() { c.killEntryAt(c.draw(len(c.s.entries))) }
@@ -229,7 +231,7 @@
 	i.StartAgent()
 }
 
-// stopAgent carries out a planned stop, bounded, and starts a new agent.
+// stopAgent performs a planned stop with a time limit and starts a new agent.
 func (c *chaos) stopAgent() { stopAgentOf(c.instance()) }
 
 func stopAgentOf(i *inproc.Instance) {
@@ -262,20 +264,20 @@
 	})
 }
 
-func (c *chaos) cut() {
+func (c *chaos) cutRandomLink() {
 	e, i := c.entry(), c.instance()
 	c.s.Net.Cut(e.Name, i.Agent.Name, c.draw(2) == 0)
 }
 
-// badStore is a store that fails in all its ways.
-var badStore = fault.Plan{
+// faultyStore is a store that fails in every way.
+var faultyStore = fault.Plan{
 	Down: 0.1, Timeout: 0.1, LoseAnswer: 0.15, Delay: 0.15, Slow: 0.3,
 	Latency: fault.Range{Max: 500 * time.Millisecond}, Patience: fault.Exactly(time.Second), Landing: fault.Range{Max: 10 * time.Second},
 }
 
-// stores makes the store bad for some processes, or down.
-func (c *chaos) stores() {
-	plan := badStore
+// breakStores makes the store faulty or unavailable for some processes.
+func (c *chaos) breakStores() {
+	plan := faultyStore
 	if c.draw(3) == 0 {
 		plan = fault.Plan{Down: 1}
 	}
@@ -291,11 +293,11 @@
 	}
 }
 
-func (c *chaos) messages() {
+func (c *chaos) loseMessages() {
 	c.s.Net.Chance(map[inproc.Fault]float64{inproc.Unsent: 0.05, inproc.LoseRequest: 0.05, inproc.LoseAnswer: 0.1, inproc.Late: 0.05})
 }
 
-func (c *chaos) answers() {
+func (c *chaos) breakAnswers() {
 	c.s.Web.Script(func(r *http.Request) inproc.WebFault {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -303,7 +305,7 @@
 	})
 }
 
-// heal ends all faults but freezes, which end by themselves.
+// heal removes all faults except freezes, which end by themselves.
 func (c *chaos) heal() {
 	c.s.Net.Chance(nil)
 	c.s.Web.Script(nil)
@@ -318,69 +320,68 @@
 	}
 }
 
-// check judges the whole session.
 func (c *chaos) check() {
-	for claim, answers := range c.record.answers {
+	for claim, answers := range c.claimAnswers.byClaim {
 		c.checkClaim(claim, answers)
 	}
 	for _, id := range c.jobs {
 		c.checkJob(id)
 	}
-	if n := c.s.overfull.Load(); n != 0 {
-		c.t.Errorf("%d times an instance ran more than it can hold: %s", n, c.s.overfullNote)
-		c.tellInstance()
+	if n := c.s.overcommits.Load(); n != 0 {
+		c.t.Errorf("instances were overcommitted %d times: %s", n, c.s.overcommitNote)
+		c.printOvercommit()
 	}
 	if n := c.s.Registry.Broken(); n != 0 {
 		c.t.Errorf("%d runs of a task overlapped: %s", n, c.s.overlap.String())
 		var first struct{ Job structs.JobID }
 		_ = json.Unmarshal(c.s.overlap.Bytes(), &first)
-		c.tell(nil, first.Job)
+		c.printContext(nil, first.Job)
 	}
 	for _, e := range c.s.entries {
-		if n := broken(e.Vars()); n != 0 {
+		if n := brokenInvariants(e.Vars()); n != 0 {
 			c.t.Errorf("%s counts %d broken invariants", e.Name, n)
 		}
 	}
 	for _, i := range c.s.instances {
-		if n := broken(i.Agent.Vars()); n != 0 {
+		if n := brokenInvariants(i.Agent.Vars()); n != 0 {
 			c.t.Errorf("agent of %s counts %d broken invariants", i.ID, n)
 		}
 	}
 	r := c.s.call(c.s.entries[0], sample.AssayCheck, `{"sample":"last"}`, 5*time.Second, "Request-Timeout", "5s")
 	if r.Status != http.StatusOK {
-		c.t.Errorf("after all faults a call gets %d %s", r.Status, r.Body)
-		c.tell([]inproc.Response{r}, "")
+		c.t.Errorf("call after the end of all faults returned %d %s", r.Status, r.Body)
+		c.printContext([]inproc.Response{r}, "")
 	}
 }
 
-// checkJob looks for a job that is stuck or that ran in two places.
+// checkJob reports a job that is stuck or ran in two places.
 func (c *chaos) checkJob(id string) {
 	if j := c.s.job(id); !j.State.Final() {
-		c.t.Errorf("job %s is %q (%s) after all faults ended; its owner says %s", id, j.State, j.Reason, c.s.ask(c.s.entries[0], "GET", "/v1/jobs/"+id, "").Body)
-		c.tell(nil, structs.JobID(id))
+		c.t.Errorf("job %s is %q (%s) after all faults ended; GET returns %s", id, j.State, j.Reason, c.s.request(c.s.entries[0], "GET", "/v1/jobs/"+id, "").Body)
+		c.printContext(nil, structs.JobID(id))
 	}
 	runs := c.s.Registry.Runs(structs.JobID(id))
 	epochs := make(map[structs.Epoch]bool)
 	for _, run := range runs {
 		if epochs[run.Epoch] {
-			c.t.Errorf("one claim of job %s ran twice: %+v", id, runs)
-			c.tell(nil, structs.JobID(id))
+			c.t.Errorf("one epoch of job %s ran twice: %+v", id, runs)
+			c.printContext(nil, structs.JobID(id))
 		}
 		epochs[run.Epoch] = true
 	}
 }
 
-// checkClaim compares what callers were told with what was lodged.
+// checkClaim compares the answers to a claim with its executions.
 func (c *chaos) checkClaim(claim string, answers []inproc.Response) {
-	lodged := c.s.lodged.Count(claim)
-	if lodged > 1 {
-		c.t.Errorf("claim %s was lodged %d times", claim, lodged)
+	executed := c.s.executedClaims.Count(claim)
+	if executed > 1 {
+		c.t.Errorf("claim %s was executed %d times", claim, executed)
 	}
-	told, notRun := 0, 0
+	succeeded, notRun := 0, 0
 	for _, a := range answers {
 		switch {
 		case a.Status == http.StatusOK:
-			told++
+			succeeded++
 			if !strings.Contains(a.Body, `"`+claim+`"`) {
 				c.t.Errorf("claim %s was answered %s", claim, a.Body)
 			}
@@ -388,29 +389,30 @@
 			notRun++
 		}
 	}
-	if told > 0 && lodged != 1 {
-		c.t.Errorf("claim %s was reported lodged and is not", claim)
+	if succeeded > 0 && executed != 1 {
+		c.t.Errorf("claim %s was reported as executed but was not executed exactly once", claim)
 	}
-	if notRun == len(answers) && lodged != 0 {
-		c.t.Errorf("claim %s was refused as not run and was lodged", claim)
+	if notRun == len(answers) && executed != 0 {
+		c.t.Errorf("claim %s was refused as not run but was executed", claim)
 	}
-	if c.t.Failed() && !c.told {
-		c.tell(answers, "")
+	if c.t.Failed() && !c.contextPrinted {
+		c.printContext(answers, "")
 	}
 }
 
-// tell prints the story of the first claim or job that went wrong.
-func (c *chaos) tell(answers []inproc.Response, job structs.JobID) {
-	if c.told {
+// printContext prints the time lines of the first claim or job that failed and
+// the variables of all processes.
+func (c *chaos) printContext(answers []inproc.Response, job structs.JobID) {
+	if c.contextPrinted {
 		return
 	}
-	c.told = true
+	c.contextPrinted = true
 	for _, a := range answers {
 		c.t.Logf("%d %s", a.Status, a.Body)
-		c.print(c.s.Timeline(structs.RequestID(a.Header.Get("Persimmonrock-Request")), ""))
+		c.printEvents(c.s.Timeline(structs.RequestID(a.Header.Get("Persimmonrock-Request")), ""))
 	}
 	if job != "" {
-		c.print(c.s.Timeline("", job))
+		c.printEvents(c.s.Timeline("", job))
 	}
 	for _, i := range c.s.instances {
 		text, _ := json.Marshal(i.Agent.Vars())
@@ -422,24 +424,25 @@
 	}
 }
 
-// beforeOverfull is how much of its agent's time line explains an instance that
-// ran too much.
-const beforeOverfull = 10 * time.Second
+// overcommitWindow is the part of the agent's time line that is printed before
+// an overcommit.
+const overcommitWindow = 10 * time.Second
 
-// tellInstance prints the time line of the agent whose instance ran too much.
-func (c *chaos) tellInstance() {
-	var line []structs.Event
+// printOvercommit prints the time line of the agent whose instance was
+// overcommitted first.
+func (c *chaos) printOvercommit() {
+	var timeline []structs.Event
 	for _, e := range c.s.Timeline("", "") {
-		before := c.s.overfullAt.Sub(e.Wall)
-		if strings.HasPrefix(c.s.overfullNote, e.Process+" ") && before >= 0 && before < beforeOverfull {
-			line = append(line, e)
+		before := c.s.overcommittedAt.Sub(e.Wall)
+		if strings.HasPrefix(c.s.overcommitNote, e.Process+" ") && before >= 0 && before < overcommitWindow {
+			timeline = append(timeline, e)
 		}
 	}
-	c.print(line)
+	c.printEvents(timeline)
 }
 
-func (c *chaos) print(line []structs.Event) {
-	for _, e := range line {
+func (c *chaos) printEvents(timeline []structs.Event) {
+	for _, e := range timeline {
 		c.t.Logf("%6d %s %-12s %-14s %-12s %d %s", e.Logical, e.Wall.Format("04:05.000"), e.Process, e.Step, e.Peer, e.Epoch, e.Detail)
 	}
 }
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -24,51 +24,52 @@
 
 const customer structs.Customer = "granite-notch"
 
-// options size a session; zero fields take the values of newSession.
+// options configure a session; zero fields take the defaults of newSession.
 type options struct {
 	entries, instances, slots int
 	lease                     time.Duration
 	seed                      uint64
-	// work is how long a call works at its backend server.
+	// work returns the working time of a call at its backend server.
 	work func() time.Duration
 }
 
-// session is a world with entries, instances and a contract, in fake time.
+// session is a cluster with entries, instances and a contract, in fake time.
 type session struct {
 	*inproc.Cluster
-	t         *testing.T
-	slots     int
-	entries   []*inproc.Entry
-	instances []*inproc.Instance
-	backends  []*inproc.Backend
-	lodged    *sample.Lodgements
-	// overfull counts moments in which a backend server or worker really ran
-	// more than it can hold.
-	overfull atomic.Int64
-	// overfullNote says what ran the first time that happened, overfullAt when.
-	overfullNote string
-	overfullAt   time.Time
-	// overlap is the registry's line on the first overlap of two runs.
+	t              *testing.T
+	slots          int
+	entries        []*inproc.Entry
+	instances      []*inproc.Instance
+	backends       []*inproc.Backend
+	executedClaims *sample.Lodgements
+	// overcommits counts the starts by which an instance really ran more than
+	// its slots.
+	overcommits atomic.Int64
+	// overcommitNote lists the work that ran at the first overcommit, at
+	// overcommittedAt.
+	overcommitNote  string
+	overcommittedAt time.Time
+	// overlap holds the registry's log line on the first overlap of two runs.
 	overlap bytes.Buffer
 }
 
-// occupancy is what really runs on one instance.
+// occupancy holds the calls and tasks that are running on one instance.
 type occupancy struct {
 	mu      sync.Mutex
 	id      structs.InstanceID
 	running map[string]time.Time
 }
 
-// enter notes that name runs until the returned function is called.
+// enter records name as running until the returned function is called.
 func (s *session) enter(f *occupancy, name string) (leave func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.running[name] = time.Now()
-	if len(f.running) > s.slots && s.overfull.Add(1) == 1 {
-		s.overfullAt = time.Now()
-		s.overfullNote = fmt.Sprintf("%s at %s runs", f.id, time.Now().Format("04:05.000"))
+	if len(f.running) > s.slots && s.overcommits.Add(1) == 1 {
+		s.overcommittedAt = time.Now()
+		s.overcommitNote = fmt.Sprintf("%s at %s runs", f.id, time.Now().Format("04:05.000"))
 		for who, since := range f.running {
-			s.overfullNote += fmt.Sprintf(" %s (since %s)", who, since.Format("04:05.000"))
+			s.overcommitNote += fmt.Sprintf(" %s (since %s)", who, since.Format("04:05.000"))
 		}
 	}
 	return func() {
@@ -82,7 +83,7 @@
 	w := inproc.NewCluster(o.seed, zerolog.Nop())
 	t.Cleanup(w.Close)
 	w.AgentLease, w.WorkerLease = o.lease, 5*time.Second
-	s := &session{Cluster: w, t: t, slots: max(o.slots, 1), lodged: sample.NewLodgements()}
+	s := &session{Cluster: w, t: t, slots: max(o.slots, 1), executedClaims: sample.NewLodgements()}
 	w.Registry = memory.NewRunRegistry(zerolog.New(&s.overlap))
 	for i := range max(o.entries, 1) {
 		s.entries = append(s.entries, w.StartEntry(fmt.Sprintf("entry-%d", i+1)))
@@ -96,7 +97,7 @@
 		n := w.StartInstance(f.id, s.slots)
 		s.backends = append(s.backends,
 			n.StartBackend(sample.AssayCheck, true, s.slots, s.handler(f, http.HandlerFunc(sample.Assay), o.work)),
-			n.StartBackend(sample.LodgeClaim, false, s.slots, s.handler(f, s.lodged, o.work)))
+			n.StartBackend(sample.LodgeClaim, false, s.slots, s.handler(f, s.executedClaims, o.work)))
 		s.instances = append(s.instances, n)
 	}
 	synctest.Wait()
@@ -107,7 +108,7 @@
 	return s
 }
 
-// handler works for a while, whether or not its caller waits.
+// handler works before it answers, even if its caller has timed out.
 func (s *session) handler(f *occupancy, inner http.Handler, work func() time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer s.enter(f, "call "+r.Header.Get(backend.HeaderRequest))()
@@ -118,23 +119,23 @@
 	})
 }
 
-// call makes an urgent call and returns what its caller sees within timeout.
+// call makes an urgent call and returns the answer received within timeout.
 func (s *session) call(e *inproc.Entry, service structs.Service, body string, timeout time.Duration, header ...string) inproc.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return e.Do(ctx, "POST", "/v1/services/"+string(service)+"/call", inproc.CustomerKey(customer), body, header...)
 }
 
-// ask makes another request of the customer.
-func (s *session) ask(e *inproc.Entry, method, path, body string, header ...string) inproc.Response {
+// request sends another request of the customer.
+func (s *session) request(e *inproc.Entry, method, path, body string, header ...string) inproc.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return e.Do(ctx, method, path, inproc.CustomerKey(customer), body, header...)
 }
 
-// submit submits a job and returns its ID, or "" if it was not accepted.
+// submit submits a job and returns its ID, or "" if the job was not accepted.
 func (s *session) submit(e *inproc.Entry, samples int, step time.Duration) string {
-	r := s.ask(e, "POST", "/v1/jobs", fmt.Sprintf(`{"kind":"grade-report","payload":{"samples":%d,"step":"%s"}}`, samples, step))
+	r := s.request(e, "POST", "/v1/jobs", fmt.Sprintf(`{"kind":"grade-report","payload":{"samples":%d,"step":"%s"}}`, samples, step))
 	var job struct{ ID string }
 	_ = json.Unmarshal([]byte(r.Body), &job)
 	if r.Status != http.StatusAccepted {
@@ -153,18 +154,18 @@
 	return j
 }
 
-// broken sums every counter named invariant_broken of a process.
-func broken(vars any) int {
+// brokenInvariants sums all counters named invariant_broken of a process.
+func brokenInvariants(vars any) int {
 	text, err := json.Marshal(vars)
 	if err != nil {
 		return 1
 	}
 	var tree any
 	_ = json.Unmarshal(text, &tree)
-	return sumOf(reflect.ValueOf(tree))
+	return sumBroken(reflect.ValueOf(tree))
 }
 
-func sumOf(v reflect.Value) int {
+func sumBroken(v reflect.Value) int {
 	sum := 0
 	for v.Kind() == reflect.Interface {
 		v = v.Elem()
@@ -176,24 +177,24 @@
 			if k.String() == "invariant_broken" && child.Kind() == reflect.Float64 {
 				sum += int(child.Float())
 			}
-			sum += sumOf(child)
+			sum += sumBroken(child)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			sum += sumOf(v.Index(i))
+			sum += sumBroken(v.Index(i))
 		}
 	}
 	return sum
 }
 
-// record keeps what callers were told, by claim.
-type record struct {
+// claimAnswers collects the answers that callers received, by claim.
+type claimAnswers struct {
 	mu      sync.Mutex
-	answers map[string][]inproc.Response
+	byClaim map[string][]inproc.Response
 }
 
-func (r *record) add(claim string, a inproc.Response) {
+func (r *claimAnswers) add(claim string, a inproc.Response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answers[claim] = append(r.answers[claim], a)
+	r.byClaim[claim] = append(r.byClaim[claim], a)
 }
