--- a/entry/scheduler/advice.go
+++ b/entry/scheduler/advice.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// adviceWorkers is the most workers of one request; the service needs some
-	// time for each.
+	// adviceWorkers bounds the workers of one request; the policy service needs
+	// some time for each.
 	adviceWorkers = 30
 	// adviceQueue bounds the waiting requests.
 	adviceQueue = 16
@@ -23,7 +23,7 @@
 	ticketMargin = 400 * time.Millisecond
 )
 
-// advice holds the policy service's answers about a step.
+// advice holds the policy service's answers about one step.
 type advice struct {
 	// pending says that a request is under way.
 	pending bool
@@ -45,15 +45,16 @@
 	workers []workload.WorkerID
 }
 
-// ticket returns a worker's permission, and whether it is valid long enough.
+// ticket returns a worker's ticket, and whether it is valid beyond
+// ticketMargin.
 func (a *advice) ticket(w workload.WorkerID, now time.Time) (string, bool) {
 	k, ok := a.tickets[w]
 	return k.value, ok && now.Add(ticketMargin).Before(k.until)
 }
 
-// barUnpermitted bars the workers without a valid ticket for a step of a queue
-// that needs one, and requests tickets if no worker with one has capacity. It
-// returns a function that lifts the bars.
+// barUnpermitted bars the workers without a valid ticket for a step whose queue
+// requires tickets. If no permitted worker has capacity, it requests tickets
+// for the barred ones. It returns a function that lifts the bars.
 func (t *Term) barUnpermitted(v *view, j *job, o *occurrence, si int) func() {
 	s := o.steps[si]
 	if s.advice == nil {
@@ -84,8 +85,8 @@
 	return lift
 }
 
-// queueAdviceRequest queues a request about the workers with the most free CPU
-// that are not denied.
+// queueAdviceRequest queues a request about those of the given workers that are
+// not denied and fit the step, up to adviceWorkers, by most free CPU.
 func (t *Term) queueAdviceRequest(v *view, among []int, s *step, id policy.Step, now time.Time) {
 	a := s.advice
 	if a.pending || now.Before(a.retryAt) || t.deps.Policy == nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// adviceLoop sends one request after the other: the service handles one call at
-// a time for each machine.
+// adviceLoop sends the requests one after the other: the policy service handles
+// one call at a time for each machine.
 func (t *Term) adviceLoop() {
 	for {
 		select {
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -4,7 +4,7 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// updatePressure adds the pressure of a task of s placed on candidate n.
+// updatePressure updates the pressure on candidate n, which got a task of s.
 func (t *Term) updatePressure(v *view, j *job, s *workload.Step, n int) {
 	w := v.workers[n]
 	table := t.learner.weights()
@@ -17,9 +17,9 @@
 }
 
 // barPressed bars the workers on whose serving tasks one more task of s would
-// press, if others could hold it. A task does better to wait for a worker where
-// it may work at full speed than to run very slowly, and to take serving tasks
-// over their targets.
+// press, if another worker is large enough for the task. It is better that the
+// task waits for that worker than that it runs very slowly and takes serving
+// tasks over their targets.
 func (v *view) barPressed(s *workload.Step) {
 	first := len(v.barred)
 	others := false
@@ -67,11 +67,12 @@
 	}
 }
 
-// unknownDifference is the difference assumed of two serving images of which
-// too little is known: about half of all pairs differ.
+// unknownDifference is the difference assumed between two serving images about
+// which too little is known: about half of all pairs differ.
 const unknownDifference = 0.6
 
-// setMix sets the difference of the serving images on each candidate from s's.
+// setMix sets, for each candidate, the sum of the differences between its
+// serving images and the image of s (see pressure.Model.Difference).
 func (t *Term) setMix(v *view, s *workload.Step) {
 	for i, w := range v.workers {
 		c := &v.candidates[i]
--- a/entry/scheduler/commit.go
+++ b/entry/scheduler/commit.go
@@ -13,20 +13,20 @@
 const (
 	// renewEvery is the time between transactions of an idle scheduler.
 	renewEvery = 500 * time.Millisecond
-	// commitGap is the least time between two rounds of transactions. It gathers
-	// the ends and starts of that time in one; the users pay for each call.
+	// commitGap is the least time between two rounds of transactions. One round
+	// stores all ends and starts of that time; users pay for each call.
 	commitGap = 15 * time.Millisecond
 	// commitRows bounds the rows of a transaction, below the store's limit.
 	commitRows = 80
-	// commitBytes bounds their size in bytes, before base64.
+	// commitBytes bounds the size of these rows in bytes, before base64.
 	commitBytes = 600 << 10
-	// commitRetry is the pause after a transaction that failed.
+	// commitRetry is the pause after a failure; it doubles up to commitRetryMax.
 	commitRetry    = 40 * time.Millisecond
 	commitRetryMax = 400 * time.Millisecond
 )
 
-// commitLoop plans and stores, one transaction at a time, until the lease is
-// lost.
+// commitLoop makes plans and stores them, one transaction at a time, until the
+// lease is lost or the term is cancelled.
 func (t *Term) commitLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -63,11 +63,11 @@
 	}
 }
 
-// round holds the transactions of one plan, and the ends to acknowledge after
-// them.
+// round holds the transactions of one plan, and the ends of runs to acknowledge
+// once these are stored.
 type round struct {
 	txns []txn
-	// ends is the highest number of an end applied before the round, by worker.
+	// ends holds the highest number of an end applied before the round, by worker.
 	ends map[*worker]uint64
 }
 
@@ -160,7 +160,7 @@
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
 			if v := ownVersion(conflict, lease); v != 0 {
-				// An attempt without an answer was applied.
+				// An earlier attempt, whose answer was lost, was applied.
 				t.recordRenewal(lease, v, first, rowstore.Stamp{})
 				return true
 			}
@@ -196,8 +196,8 @@
 	}
 }
 
-// applyCommitted shows clients the stored states and hands placements to
-// agents.
+// applyCommitted makes the stored states visible to clients and queues the
+// stored placements for agents.
 func (t *Term) applyCommitted(x *txn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// unordered lists the placements that were not handed to an agent.
+// unordered lists the placements that have not been queued for an agent.
 func unordered(j *job) []placedTask {
 	if j.state.Final() {
 		return nil
@@ -246,7 +246,7 @@
 	}
 }
 
-// acknowledgeStored acknowledges the ends whose effects are stored.
+// acknowledgeStored acknowledges the ends of runs whose effects are stored.
 func (t *Term) acknowledgeStored(r round) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +258,7 @@
 	}
 }
 
-// release releases the lease, so that another entry takes over at once.
+// release releases the lease, so that another entry can take over at once.
 func (t *Term) release(ctx context.Context) {
 	lease := t.lease
 	lease.Count++
--- a/entry/scheduler/counters.go
+++ b/entry/scheduler/counters.go
@@ -6,30 +6,30 @@
 	"persimmonrock.example/ops/histogram"
 )
 
-// Counters are a scheduler's figures over all terms of a process.
+// Counters are a scheduler's metrics over all terms of a process.
 type Counters struct {
-	// Terms counts the leases taken, Jobs and JobsEnded the jobs.
+	// Terms counts the leases taken, Jobs the jobs added, JobsEnded those ended.
 	Terms, Jobs, JobsEnded atomic.Int64
-	// Placements, Ends, Void and Lost count runs: placed, ended, never run, and
-	// lost with their worker. Relocated are filling runs that were stopped to run
-	// elsewhere, Regrouped serving ones, Rescued those moved off workers on which
-	// they progressed too slowly. Suspected counts how often a worker was
-	// excluded from tasks that end by themselves, since it failed them.
+	// Placements, Ends, Void and Lost count the runs that were placed, that ended,
+	// that never started, and that were lost with their worker. Relocated counts
+	// filling runs stopped to run elsewhere, Regrouped serving runs, Rescued runs
+	// that progressed too slowly on their worker. Suspected counts how often a
+	// worker became suspect because runs of several jobs failed there.
 	Placements, Ends, Void, Lost, Relocated, Regrouped, Rescued, Suspected atomic.Int64
 	// Blamed counts how often a task may have crashed a worker, Quarantined the
-	// runs in quarantine, GivenUp the jobs failed for their crashes.
+	// runs placed in quarantine, GivenUp the jobs failed for crashing workers.
 	Blamed, Quarantined, GivenUp atomic.Int64
-	// Drained counts lasting tasks that were moved out of drained data centres;
-	// Drains lists these.
+	// Drained counts lasting tasks that were moved out of drained data centres.
+	// Drains lists the data centres that are drained now.
 	Drained atomic.Int64
 	Drains  atomic.Pointer[[]DrainedDataCentre]
-	// Commits counts transactions with retries, CommitErrors those that failed.
+	// Commits counts transaction attempts, CommitErrors errors except conflicts.
 	Commits, CommitErrors atomic.Int64
-	// FirstStart is the time from acceptance to a job's first placement,
-	// Commit that of a transaction, Plan that of a plan with its encoding.
+	// FirstStart is the time from a job's acceptance to its first placement,
+	// Commit the duration of a transaction, Plan that of a plan and its encoding.
 	FirstStart, Commit, Plan histogram.Latency
 	// Agents is the number of agents that the present term knows, AgentsHeard the
-	// number of those that answer; both are 0 between terms.
+	// number of agents that answer; both are 0 between terms.
 	Agents, AgentsHeard atomic.Int64
 }
 
@@ -37,8 +37,7 @@
 type DrainedDataCentre struct {
 	DataCentre string `json:"data_centre"`
 	Workers    int    `json:"workers"`
-	// Lasting and Ending count the runs there that last, and those that end by
-	// themselves.
+	// Lasting counts the runs of lasting tasks there, Ending all other runs.
 	Lasting int `json:"lasting"`
 	Ending  int `json:"ending"`
 }
--- a/entry/scheduler/crash.go
+++ b/entry/scheduler/crash.go
@@ -7,25 +7,26 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// A task may crash each worker that starts it, and with it the other runs
-// there. No end shows this: the run is lost with its worker, as when a machine
-// fails. So each task counts, in its row, the workers that were lost under its
-// fresh runs, until one of its runs is proven. quarantine.go ensures that one
-// job alone can be the cause of the next crash.
+// A task may crash each worker that starts it, and thereby end all other runs
+// there. No end is reported: the run is lost with its worker, as when a machine
+// fails. So each task's row counts the workers lost shortly after a start of
+// the task. The count is cleared when a run is done or proven, that is, if its
+// worker still answers a while after the start. quarantine.go ensures that only
+// one job can be the cause of the next crash.
 
 const (
-	// crashesToFail is the number of workers that crash for certain under a task,
-	// while no other job can be the cause, until its job is failed.
+	// crashesToFail is the number of crashes after which a task's job is failed,
+	// if the task was certainly on the worker and no other job can be the cause.
 	crashesToFail = 2
-	// quickCrashesToFail is the same for workers in a row that crash within
-	// moments of the task's start, if no other job can be the cause of the last.
+	// quickCrashesToFail is the same for consecutive crashes within moments of the
+	// task's start; of these, only the last must have no other possible cause.
 	quickCrashesToFail = 3
-	// maxCrashes is the number of workers that a task may have crashed until its
-	// job is failed in any case.
+	// maxCrashes is the number of crashes that a task may have caused after which
+	// its job is failed in any case.
 	maxCrashes = 5
-	// provenAfter is the time for which a run that its agent did not judge must
-	// be seen on a worker to be no suspect of a crash. An agent reports for up to
-	// two seconds that a crashed worker answers.
+	// provenAfter is the time on an answering worker after which a run is not
+	// suspected of a crash, if the agent does not name the suspects. An agent
+	// reports for up to two seconds that a crashed worker still answers.
 	provenAfter = 3 * time.Second
 )
 
@@ -33,10 +34,10 @@
 type workerLoss struct {
 	reason string
 	// judged says that the worker's agent has named the runs that may be the
-	// cause, as fresh.
+	// cause; fresh holds these runs.
 	judged bool
 	fresh  map[workload.RunID]dispatch.FreshRun
-	// crashed says that the incarnation has ended; else it may be unreachable.
+	// crashed says that the incarnation has ended, not just become unreachable.
 	crashed bool
 }
 
@@ -54,13 +55,13 @@
 	job  *job
 	task *task
 	run  workload.RunID
-	// begun says that the run was on the worker for certain, soon that the worker
+	// begun says that the run was certainly on the worker, soon that the worker
 	// crashed within moments of the run's start.
 	begun, soon bool
 }
 
-// suspects lists the tasks that may be the cause of a loss. The caller holds
-// mu.
+// suspects lists the tasks that may be the cause of the loss of w. The caller
+// holds mu.
 func (t *Term) suspects(w *worker, loss workerLoss) []suspect {
 	var list []suspect
 	for r := range w.runs {
@@ -90,14 +91,14 @@
 	return j, s, k
 }
 
-// provenOn reports whether the placed run was seen on w for long enough.
+// provenOn reports whether the placed run was present on w for provenAfter.
 func (k *task) provenOn(w *worker) bool {
 	return k.presentAt > 0 && w.answeredAt-k.presentAt >= provenAfter
 }
 
-// recordSuspects counts the loss of w against the suspects, and fails the jobs
-// that are known to be the cause, or may have been too often. The caller holds
-// mu and has taken the runs off the record.
+// recordSuspects counts the loss of w as a crash of each suspect. It fails the
+// jobs that are known to crash workers, and jobs that were suspected too often.
+// The caller holds mu and has removed the runs of w.
 func (t *Term) recordSuspects(w *worker, loss workerLoss, suspects []suspect) {
 	for _, s := range suspects {
 		s.task.crashes++
@@ -107,7 +108,7 @@
 		t.deps.Log.Info().Stringer("run", s.run).Str("worker", string(w.id)).Int("crashes", s.task.crashes).Bool("begun", s.begun).Bool("soon", s.soon).
 			Msg("run may have crashed its worker")
 	}
-	// A worker lost as unreachable is lost again when its incarnation has ended.
+	// Kept, since an unreachable worker is lost again when its incarnation ends.
 	w.suspects = append(w.suspects, suspects...)
 	if loss.crashed {
 		t.countCertainCrash(w.suspects)
@@ -119,7 +120,7 @@
 	}
 }
 
-// nextQuickCrashes counts the crashes in a row within moments of a start.
+// nextQuickCrashes returns quickCrashes after one more crash: 0 if not soon.
 func (k *task) nextQuickCrashes(soon bool) int {
 	if !soon {
 		return 0
@@ -127,9 +128,9 @@
 	return k.quickCrashes + 1
 }
 
-// countCertainCrash counts a crash of which one job alone can be the cause, and
-// fails the job at its limit. Among several jobs, or once, an innocent task may
-// have begun at the wrong moment.
+// countCertainCrash counts a crash if all suspects belong to one job, and fails
+// the job at its limit. A single crash, or one with suspects of several jobs,
+// proves nothing: an innocent task may have begun just before it.
 func (t *Term) countCertainCrash(suspects []suspect) {
 	for _, s := range suspects {
 		if s.job != suspects[0].job {
@@ -158,7 +159,7 @@
 	t.end(s.job, workload.Failed)
 }
 
-// clearCrashes clears the crashes of a task after one of its runs is proven.
+// clearCrashes clears a task's crash counts after a run is done or proven.
 func (t *Term) clearCrashes(j *job, k *task) {
 	if k.crashes == 0 {
 		return
--- a/entry/scheduler/crash_test.go
+++ b/entry/scheduler/crash_test.go
@@ -18,8 +18,8 @@
 	return t
 }
 
-// crashWorker loses a worker under fresh runs of the jobs, which were there for
-// certain if begun, and had begun within moments if soon.
+// crashWorker crashes a worker with fresh runs of the jobs. begun says that the
+// runs were certainly there, soon that they began moments before.
 func (t *Term) crashWorker(id workload.WorkerID, begun, soon bool, jobs ...workload.JobID) {
 	w := newWorker(id, "node")
 	t.workers[id] = w
@@ -37,8 +37,8 @@
 	t.removeWorker(id, workerLoss{judged: true, fresh: fresh})
 }
 
-// Failure guarded against: an innocent job is failed with one that crashes
-// workers, or the latter never is.
+// Failure guarded against: a job that crashes workers is never failed, or an
+// innocent job is failed with it.
 func TestJobFailsOnlyForCrashesItAloneCanCause(t *testing.T) {
 	type crash struct {
 		begun, soon bool
@@ -69,8 +69,8 @@
 	}
 }
 
-// Failure guarded against: a gang is placed on a worker that has shrunk since
-// it was dedicated to the gang's job.
+// Failure guarded against: a gang is placed on a worker whose capacity has
+// shrunk since the worker was put in quarantine for the gang's job.
 func TestGangWaitsWhereItNoLongerFits(t *testing.T) {
 	now, at := time.Hour, time.Now()
 	term := loadedTerm(&now, workload.Queue{Name: "q", Service: "s"})
--- a/entry/scheduler/decisions.go
+++ b/entry/scheduler/decisions.go
@@ -9,12 +9,12 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// The log lines of a term about runs. A step of a job has tens of tasks that
-// are placed together and succeed one after the other, thousands a second on
-// hundreds of workers: a line each would exceed the limit of a process, and
-// lines left out would be missing where a request is to be explained. So one
-// line covers all placements of a step in a plan, and one its completion; the
-// agents log each start and end. Ends that change a plan have a line each.
+// This file logs the runs of a term. A step has tens of tasks that are placed
+// together and end one after the other: thousands a second on hundreds of
+// workers. A line for each would exceed the log limit of a process, and dropped
+// lines would be missing when a request is to be explained. So a step has one
+// line for its placements in a plan, and one for its completion. Ends that do
+// not advance a step have a line each. Agents log each start and end.
 
 // logKnown logs a job that no scheduler has logged before.
 func (t *Term) logKnown(j *job) {
@@ -29,7 +29,6 @@
 	freeCPU int
 }
 
-// add appends a placement.
 func (p *placements) add(index, run int, w workload.WorkerID, freeCPU int) {
 	if len(p.runs) == 0 || freeCPU < p.freeCPU {
 		p.freeCPU = freeCPU
@@ -47,7 +46,7 @@
 	v.placed = placements{}
 }
 
-// logDone logs that all tasks of a step are done.
+// logDone logs the completion of a step, if all of its tasks are done.
 func (t *Term) logDone(j *job, s *step, r workload.RunID) {
 	if !s.complete() {
 		return
--- a/entry/scheduler/drain.go
+++ b/entry/scheduler/drain.go
@@ -12,13 +12,13 @@
 	// drainsMaxAge is the age up to which known drains may be used for
 	// placements.
 	drainsMaxAge = 2500 * time.Millisecond
-	// evacuateEvery is the time between two checks for tasks left there.
+	// evacuateEvery is the time between two checks for tasks to evacuate.
 	evacuateEvery = 400 * time.Millisecond
-	// settledAfter is the time after its placement at which a lasting task counts
-	// as at work.
+	// settledAfter is the time after its placement from which a lasting task
+	// counts as running.
 	settledAfter = 3 * time.Second
 	// reportedWithin is the age of an agent's last answer up to which its runs
-	// count as at work.
+	// count as running.
 	reportedWithin = 2 * time.Second
 )
 
@@ -27,8 +27,9 @@
 //
 // Failure guarded against: an entry whose connection to the store is partly
 // lost, or that has just taken over, does not know of a drain and goes on
-// placing. So nothing is placed by knowledge that is too old, and the agents
-// there, which decide last on each start, refuse what was placed before.
+// placing. So nothing is placed while the known drains are too old. Agents
+// decide last on each start: in a drained data centre they refuse earlier
+// placements.
 func (t *Term) updateDrains() bool {
 	drains, age := t.deps.Drains()
 	if drainsStale := age > drainsMaxAge; drainsStale != t.drainsStale {
@@ -100,10 +101,9 @@
 	return d
 }
 
-// evacuateDrained moves lasting tasks out of drained data centres, where
-// another worker has capacity for them. Tasks that end by themselves stay: a
-// stop and a restore cost them more time than most have left, and they keep
-// their capacity where they are.
+// evacuateDrained moves lasting tasks out of drained data centres, if another
+// worker has capacity for them. Tasks that end by themselves stay: a stop and a
+// restore cost more time than most have left, and staying costs nothing.
 func (t *Term) evacuateDrained() bool {
 	now := t.deps.Now()
 	if !t.loaded || t.drainsStale || len(t.drains.DataCentres) == 0 || now-t.lastEvacuation < evacuateEvery {
@@ -127,7 +127,7 @@
 	return moved
 }
 
-// evacuateStep moves tasks of one step, as many at a time as the step may miss.
+// evacuateStep moves tasks of one step, at most max(1, MayMiss) at a time.
 func (t *Term) evacuateStep(v *view, j *job, o *occurrence, si int) bool {
 	s := o.steps[si]
 	if !slices.ContainsFunc(s.tasks, func(k task) bool { return t.onDrained(&k) }) {
@@ -168,7 +168,7 @@
 	return k.state == taskPlaced && !k.stopping && w != nil && w.drained
 }
 
-// unsettled counts the tasks of a lasting step that are not known to be at work.
+// unsettled counts the tasks of a lasting step that are not settled.
 func (t *Term) unsettled(s *step) int {
 	n := 0
 	for i := range s.tasks {
@@ -179,7 +179,7 @@
 	return n
 }
 
-// settled reports whether a lasting task is known to be at work: it was placed
+// settled reports whether a lasting task is known to be running: it was placed
 // some time ago, and its agent has answered lately.
 func (t *Term) settled(k *task) bool {
 	w := t.workers[k.worker]
--- a/entry/scheduler/elector.go
+++ b/entry/scheduler/elector.go
@@ -16,9 +16,9 @@
 const (
 	// pollEvery is the time between two reads of the lease.
 	pollEvery = 400 * time.Millisecond
-	// staleAfter is the time without a renewal, by reads that all succeeded,
-	// after which the lease is taken over. The holder renews it every half
-	// second; a slow store takes up to 0.9 s for a transaction.
+	// staleAfter is the time without a renewal after which the lease is taken
+	// over, if all reads in that time succeeded. The holder renews the lease every
+	// half second; a slow store takes up to 0.9 s for a transaction.
 	staleAfter = 2200 * time.Millisecond
 	// refusedAfter replaces staleAfter if nothing listens at the holder's
 	// address.
@@ -27,25 +27,25 @@
 	// for this long: it is frozen, cut off, or its machine is gone. A holder that
 	// only waits for a slow store answers.
 	unansweredAfter = time.Second
-	// readsPerTxn is the longest duration of a transaction, relative to a read's.
+	// readsPerTxn is the longest duration of a transaction divided by a read's.
 	readsPerTxn = 4
 	// pingTimeout bounds a request to the holder, minPingTimeout one that is sent
 	// shortly before unansweredAfter has passed.
 	pingTimeout    = 350 * time.Millisecond
 	minPingTimeout = 100 * time.Millisecond
 	// weakerWait is the time for which an entry leaves a free lease to stronger
-	// machines, if the last holder's was one: they read the row within pollEvery.
+	// machines, if the last holder's was stronger. They read the lease within
+	// pollEvery.
 	weakerWait = 600 * time.Millisecond
 	// freePoll is the time between two reads of a lease that may soon be taken.
 	freePoll = 100 * time.Millisecond
 	// takeJitter spreads the attempts of entries that find the lease free.
 	takeJitter = 60 * time.Millisecond
-	// maxReadGap is the longest time between two successful reads that still
-	// count as one watch.
+	// maxReadGap is the longest time between two successful reads of one series.
 	maxReadGap = 1200 * time.Millisecond
 )
 
-// Elector watches the lease and serves terms.
+// Elector watches the lease, takes it if free, and then serves a term.
 type Elector struct {
 	cfg  Config
 	deps Deps
@@ -64,15 +64,16 @@
 	return &Elector{cfg: cfg, deps: deps}
 }
 
-// watch is an elector's record of the lease.
+// watch holds an elector's observations of the lease.
 type watch struct {
 	version uint64
-	// versionSince is when this version was first read, lastRead the latest read.
+	// versionSince is when version was first read, lastRead when a read last
+	// ended.
 	versionSince time.Duration
 	lastRead     time.Duration
-	// watchedSince is when the present series of successful reads began,
-	// requestedAt when the lease was last requested, successorUntil when its
-	// release is expected at the latest.
+	// watchedSince is when the present series of successful reads began.
+	// requestedAt is when this entry last requested the lease, successorUntil the
+	// latest time at which the release of the lease is expected.
 	watchedSince   time.Duration
 	requestedAt    time.Duration
 	successorUntil time.Duration
@@ -86,11 +87,10 @@
 	readTime time.Duration
 }
 
-// resetHolder drops the observations of a holder.
 func (w *watch) resetHolder() { w.refusedSince, w.unansweredSince, w.freeSince = 0, 0, 0 }
 
-// answerTimeout bounds the wait for an answer to a request sent at now: not
-// much beyond the moment at which unansweredAfter has passed.
+// answerTimeout returns the timeout of a request sent at now. After an
+// unanswered request, the timeout ends about when unansweredAfter has passed.
 func (w *watch) answerTimeout(now time.Duration) time.Duration {
 	if w.unansweredSince == 0 {
 		return pingTimeout
@@ -171,7 +171,7 @@
 	return lease, true
 }
 
-// setLeader keeps the link to the holder of the lease.
+// setLeader records the holder of the lease, and opens a link to a new holder.
 func (e *Elector) setLeader(lease leaseRow, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,10 +191,10 @@
 // shouldTake reports whether this entry is to take the lease now.
 //
 // Failure guarded against: a weak machine takes the lease because it read the
-// row first. It reads the jobs of hundreds of workers for a second, falls
-// behind, and some seconds later hands the lease to a stronger machine with
-// another pause. So it leaves stronger ones time to read the row, and takes the
-// lease if none of them does.
+// row first. It needs a second to read the jobs of hundreds of workers, falls
+// behind, and some seconds later hands the lease to a stronger machine, which
+// pauses scheduling again. So a weak machine leaves stronger ones time to read
+// the row, and takes the lease if none of them does.
 func (e *Elector) shouldTake(ctx context.Context, w *watch, lease leaseRow) bool {
 	if !e.leaseFree(ctx, w, lease) {
 		w.freeSince = 0
@@ -209,14 +209,14 @@
 }
 
 // leaseFree reports whether the lease may be taken: it is released, or its
-// holder is gone or has not renewed it for long enough.
+// holder is gone or has not renewed it for staleAfter.
 func (e *Elector) leaseFree(ctx context.Context, w *watch, lease leaseRow) bool {
 	unchanged := e.deps.Now() - w.versionSince
 	if lease.Released && e.reservedForSuccessor(lease, unchanged) {
 		return false
 	}
-	// A lease of an earlier process of this machine is free, too: a machine
-	// runs one process of an entry.
+	// A lease of an earlier process of this machine is free, too: a machine runs
+	// only one entry process at a time.
 	if w.version == 0 || lease.Released || lease.Process == e.cfg.Process || lease.Node == e.cfg.Node {
 		wait.For(ctx, rand.N(takeJitter))
 		return true
@@ -227,7 +227,7 @@
 	return e.holderGone(ctx, w, lease, unchanged)
 }
 
-// holderGone asks the holder for an answer, and reports whether it is gone.
+// holderGone calls the holder, and reports whether the holder is gone.
 func (e *Elector) holderGone(ctx context.Context, w *watch, lease leaseRow, unchanged time.Duration) bool {
 	e.mu.Lock()
 	link := e.link
@@ -258,7 +258,7 @@
 	return now-w.unansweredSince >= unansweredAfter && unchanged >= unansweredAfter+readsPerTxn*w.readTime
 }
 
-// acquire writes the lease under the condition of the version that was read.
+// acquire takes the lease if row is still current. It returns the term, or nil.
 func (e *Elector) acquire(ctx context.Context, row rowstore.Row) *Term {
 	lease := leaseRow{Node: e.cfg.Node, Process: e.cfg.Process, Address: e.cfg.Address, Count: rand.Uint64() >> 1, Power: e.cfg.Power}
 	sent := e.deps.Now()
@@ -269,13 +269,13 @@
 	version := stamp.Version
 	var conflict *rowstore.ConflictError
 	if errors.As(err, &conflict) {
-		// One of two attempts may have been applied.
+		// An earlier attempt of the same write may have been applied.
 		if v := ownVersion(conflict, lease); v != 0 {
 			version, err = v, nil
 		}
 	}
 	if errors.Is(err, rowstore.ErrUnknown) {
-		// It was applied if the row holds exactly this lease.
+		// The write was applied if the row holds exactly this lease.
 		now, getErr := rowstore.Get(ctx, e.deps.Store, leaseKey)
 		var have leaseRow
 		if getErr != nil || now.Version == 0 || json.Unmarshal(now.Value, &have) != nil || have != lease {
@@ -309,10 +309,10 @@
 	}
 }
 
-// releaseTimeout bounds the release of the lease by a process that stops.
+// releaseTimeout bounds the release of the lease at the end of a term.
 const releaseTimeout = 600 * time.Millisecond
 
-// Term returns the term that this process serves, or nil.
+// Term returns the term that this process serves, or nil if none is ready.
 func (e *Elector) Term() *Term {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -335,8 +335,8 @@
 	return term != nil
 }
 
-// Leader returns the link to the process that holds the lease, or nil if
-// none is known or it is this one.
+// Leader returns the link to the process that holds the lease, or nil if the
+// holder is unknown or is this process.
 func (e *Elector) Leader() *dispatch.Link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/scheduler/fillorder_test.go
+++ b/entry/scheduler/fillorder_test.go
@@ -25,10 +25,10 @@
 	return t, w
 }
 
-// An agent gives the CPU that serving tasks can spare to its filling jobs in
-// the order that it was sent. A job that can't end in time must not stay in
-// front of those that can, so each change of the order is sent, repeatedly
-// until it is answered, and to every new process of the agent.
+// An agent gives the CPU that serving tasks can spare to filling jobs in the
+// order received from the scheduler. Each change of the order is sent until it
+// is answered, and to every new process of the agent. Otherwise a job that
+// can't end in time would stay in front of those that can.
 func TestFillOrderIsSentOnChange(t *testing.T) {
 	term, w := fillTerm(map[workload.JobID]order.Key{
 		"large": {Work: 90}, "small": {Work: 10}, "late": {Class: order.Late, Work: 1}, "serves": {},
--- a/entry/scheduler/health.go
+++ b/entry/scheduler/health.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// suspectAfter is the number of jobs with failed runs, without a success
-	// between them, that makes a worker suspect.
+	// suspectAfter is the number of jobs whose runs failed on a worker, with no
+	// success in between, from which the worker is suspect.
 	suspectAfter = 3
 	// suspectFor is the time for which a suspect worker gets no tasks that end by
 	// themselves.
 	suspectFor = 5 * time.Second
-	// avoidFor is the time for which a task that failed on a worker avoids it,
-	// unless one that began later has succeeded there. Where no other worker has
-	// capacity, the client still sees its job progress.
+	// avoidFor is the time for which a task that failed on a worker avoids that
+	// worker, unless a run that began later has succeeded there. It is short, so
+	// that the job progresses even if no other worker has capacity.
 	avoidFor = 2 * time.Second
 	// suspectShare is the share of a service's workers up to which suspects are
-	// excluded. If there are more, the jobs may be at fault; then suspects are
+	// excluded. With more suspects, the jobs may be at fault; then suspects are
 	// only used last.
 	suspectShare = 1.0 / 3
 )
 
-// health distinguishes a worker on which all tasks fail from tasks that fail
-// everywhere: failures count by job, and a success clears them.
+// health distinguishes a worker on which all tasks fail from jobs that fail
+// everywhere: it counts the failing jobs, and a success clears the count.
 //
-// Failure guarded against: a worker fails all tasks within milliseconds, and so
-// always has the most free capacity. Tasks return to it until their attempts
-// are used up, and many jobs fail that could have been done. So a task that
-// failed there avoids the worker until one succeeds there, and loses one
-// attempt; from the third job on, the worker gets no more such tasks. Runs that
-// began before the first failure may still succeed and prove nothing. Lasting
-// tasks have no limit of attempts, and only prefer other workers.
+// Failure guarded against: all tasks fail on a worker within milliseconds, so
+// that it always has the most free capacity. Tasks return to it until their
+// attempts are used up, and many jobs fail that could have been done. So a
+// failed task loses one attempt, and avoids the worker until a run succeeds
+// there. After failures of three jobs, the worker gets no tasks with limited
+// attempts. Successes of runs that began before the first failure prove
+// nothing. Lasting tasks have no limit of attempts, and only prefer other
+// workers.
 type health struct {
 	failedJobs map[workload.JobID]bool
-	// firstFailure is the time of the first of these, lastFailure of the latest.
+	// firstFailure is when the first of these jobs failed, lastFailure the latest.
 	firstFailure time.Time
 	lastFailure  time.Duration
 	suspectUntil time.Duration
@@ -73,13 +74,13 @@
 	return !before && w.health.suspect(now)
 }
 
-// logSuspect records that a worker gets no tasks with limited attempts now.
+// logSuspect logs and counts that a worker has become suspect.
 func (t *Term) logSuspect(w *worker) {
 	t.deps.Counters.Suspected.Add(1)
 	t.deps.Log.Warn().Str("worker", string(w.id)).Str("instance", w.agent).Int("jobs", len(w.health.failedJobs)).Msg("worker suspect: runs of several jobs failed")
 }
 
-// startRefused records that the worker refused a start.
+// startRefused makes the worker suspect for a while, as it refused a start.
 func (w *worker) startRefused(now time.Duration) {
 	w.health.suspectUntil = max(w.health.suspectUntil, now+suspectFor/2)
 }
@@ -104,8 +105,8 @@
 }
 
 // mustAvoid reports whether a task that failed on candidate avoid at failedAt
-// must not run there: nothing shows that the worker has recovered, and others
-// could take the task, if not at once.
+// must not run there: no success shows that the worker has recovered, and
+// another worker could take the task, now or later.
 func (v *view) mustAvoid(s *workload.Step, avoid int, failedAt time.Duration) bool {
 	if avoid < 0 || s.Lasting || v.now >= failedAt+avoidFor || !v.workers[avoid].health.recentlyFailed(v.now) {
 		return false
--- a/entry/scheduler/health_test.go
+++ b/entry/scheduler/health_test.go
@@ -13,10 +13,10 @@
 	return workload.End{Run: workload.RunID{Task: workload.TaskID{Job: id}}, Kind: kind}
 }
 
-// A worker on which all tasks fail is distinguished from jobs that fail
-// everywhere by the number of jobs. Runs that began there before the first
-// failure may still succeed; counted as a proof, they cleared the worker again
-// and again, and twenty jobs used up their attempts there in three seconds.
+// Failure guarded against: all new tasks fail on a worker, but runs that began
+// there before the first failure succeed and clear the worker again and again.
+// Twenty jobs use up their attempts there in three seconds. The number of
+// failing jobs distinguishes such a worker from a job that fails everywhere.
 func TestOnlyLaterSuccessesClearAWorker(t *testing.T) {
 	now := time.Hour
 	begun := time.Now()
@@ -47,11 +47,11 @@
 	}
 }
 
-// A failed task does not return to its worker while that worker is in doubt, as
-// long as another one could ever take the task; a deployment's only worker
-// takes it. A lasting task has no limit of attempts: kept away, one stood still
-// for 14 s beside the only free capacity, since other tasks continued to fail
-// there.
+// A failed task does not return to its worker before a success there, if
+// another worker could ever take the task; a deployment's only worker takes it.
+// Lasting tasks, which have no limit of attempts, may return. Failure guarded
+// against: a lasting task waits for 14 s beside the only free capacity, because
+// other tasks continue to fail there.
 func TestFailedTaskAvoidsWorkerWhileOthersCouldTakeIt(t *testing.T) {
 	small, large := workload.Resources{CPU: 1000}, workload.Resources{CPU: 8000}
 	step := func(cpu int, label string) *workload.Step {
@@ -98,10 +98,10 @@
 	}
 }
 
-// One suspect of four gets no tasks with limited attempts, so that filling work
-// that is barred from the others doesn't all end there. If half are suspect,
-// the fault may be the jobs', and no job may stand still. Lasting tasks may be
-// placed on suspects if only these have capacity.
+// One suspect of four workers gets no tasks with limited attempts. Otherwise
+// filling work barred from the others would all be placed there. If half are
+// suspect, the jobs may be at fault, and no job may stand still. Lasting tasks
+// may be placed on suspects if only these have capacity.
 func TestSuspectsAreExcludedWhileFew(t *testing.T) {
 	for _, c := range []struct{ suspects, of, barred int }{{0, 4, 0}, {1, 4, 1}, {2, 4, 0}, {1, 1, 0}, {4, 4, 0}, {2, 6, 2}} {
 		v := &view{now: time.Hour}
--- a/entry/scheduler/job.go
+++ b/entry/scheduler/job.go
@@ -7,13 +7,12 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// taskState is the state of a task.
 type taskState uint8
 
 const (
 	taskWaiting taskState = iota
-	// taskPlaced: a run is on record at a worker and reserves capacity there
-	// until its end, or the worker's, is known.
+	// taskPlaced: a run is on record at a worker, and reserves capacity there
+	// until the run or the worker is known to have ended.
 	taskPlaced
 	taskDone
 )
@@ -21,7 +20,7 @@
 type task struct {
 	state taskState
 	run   int
-	// storedRun is the highest run that the store has on record.
+	// storedRun is the highest run number that the store has on record.
 	storedRun  int
 	failures   int
 	agent      string
@@ -29,30 +28,30 @@
 	checkpoint string
 	// stopping says that a stop of the placed run was ordered.
 	stopping bool
-	// ordered says that the placement is stored and was handed to the agent.
+	// ordered says that the placement is stored and was queued for the agent.
 	ordered  bool
 	placedAt time.Time
-	// pin is the worker reserved for the next run, until pinUntil.
+	// pin is the worker that holds capacity for the next run, until pinUntil.
 	pin      workload.WorkerID
 	pinUntil time.Time
 	// ticket is the worker's permission for this run.
 	ticket string
-	// worked is the time that its earlier runs worked, at full speed.
+	// worked is the working time of earlier runs, converted to full speed.
 	worked time.Duration
 	// moves counts the relocations of the task.
 	moves int
 	// slow says that the run progresses far slower than estimated; rescues counts
-	// the times that the task was moved off a worker for that.
+	// how often the task was moved off a worker for this reason.
 	slow    bool
 	rescues int
 	// avoid is the worker where the task failed last, at failedAt.
 	avoid    workload.WorkerID
 	failedAt time.Duration
-	// crashes counts the workers that were lost under the task and that it may
-	// have crashed, since a run of it was last proven, certain those of them that
-	// no other job can have crashed. The latest was lost at crashedAt, on the
-	// machine crashedOn. quickCrashes counts those in a row that crashed within
-	// moments of the task's start, as far as this term has seen.
+	// crashes counts the workers that the task may have crashed since one of its
+	// runs was last done or proven (see crash.go). certain counts the crashes that
+	// no other job can have caused. The latest of these workers was lost at
+	// crashedAt, on the machine crashedOn. quickCrashes counts the consecutive
+	// crashes within moments of the task's start that this term has observed.
 	crashes      int
 	certain      int
 	crashedAt    time.Time
@@ -71,10 +70,10 @@
 	done  int
 	// waiting counts the waiting tasks, whether they may start yet or not.
 	waiting int
-	// took sums the durations of timed tasks that are done, at full speed.
+	// took sums the durations, at full speed, of the done tasks that timed counts.
 	took  time.Duration
 	timed int
-	// advice is set for steps of queues that need permission.
+	// advice is set for steps of queues that need tickets from the policy service.
 	advice *advice
 }
 
@@ -104,9 +103,9 @@
 	return true
 }
 
-// job is a job as the scheduler knows it. state is the state in memory; stored
-// is the state in the store, which clients see: one that only memory holds
-// would be lost with the process.
+// job is a job as the scheduler knows it. state is the state in memory, stored
+// the state in the store. Clients see only stored, since a state that is only
+// in memory would be lost with the process.
 type job struct {
 	spec        workload.Job
 	queue       workload.Queue
@@ -187,8 +186,8 @@
 	}
 }
 
-// release returns a placed task to waiting, after its run has ended without
-// being done or is known never to run.
+// release makes a placed task wait again, after its run was lost, never
+// started, or ended without completing the task.
 func (j *job) release(s *step, t *task, checkpoint string) {
 	t.state = taskWaiting
 	t.agent, t.worker = "", ""
@@ -200,7 +199,7 @@
 	s.waiting++
 }
 
-// finish marks a placed task as done, and with the last one the job.
+// finish marks a placed task as done, and completes the job with its last task.
 func (j *job) finish(s *step, t *task) {
 	t.state = taskDone
 	t.agent, t.worker, t.checkpoint = "", "", ""
@@ -209,7 +208,7 @@
 	j.dropComplete()
 }
 
-// dropComplete removes complete occurrences, and completes the job at the last.
+// dropComplete removes complete occurrences; the last one completes the job.
 func (j *job) dropComplete() {
 	kept := j.occurrences[:0]
 	for _, o := range j.occurrences {
@@ -266,7 +265,8 @@
 	return sr
 }
 
-// reference returns 1 more than the index of ref among the row's workers.
+// reference returns 1 + the index of ref in the row's workers, added if
+// missing.
 func reference(ref workerRef, refs map[workerRef]int, r *progressRow) int {
 	if n, ok := refs[ref]; ok {
 		return n
--- a/entry/scheduler/learner.go
+++ b/entry/scheduler/learner.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// sampleEvery is the time between two samples of an agent. With many agents
-	// it grows, so that the scheduler receives at most samplesPerSecond on a
-	// machine of weakPower.
+	// sampleEvery is the time between two samples of an agent. It grows with the
+	// number of agents, so that a scheduler on a machine of weakPower receives at
+	// most samplesPerSecond.
 	sampleEvery      = 500 * time.Millisecond
 	samplesPerSecond = 200
-	// unknownPerSecond bounds the samples that are taken at shorter intervals
-	// beside unknown pairs.
+	// unknownPerSecond bounds the samples taken at shorter intervals on workers
+	// that run a pair of images of unknown pressure.
 	unknownPerSecond = 50
-	// sameLoadWindow is the longest time between two samples that show the same
-	// load of a job, which changes within seconds.
+	// sameLoadWindow is the longest time between two samples that count as taken
+	// at the same load of a job; the load changes within seconds.
 	sameLoadWindow = 800 * time.Millisecond
-	// othersCount is the weight of a sample's comparison with other workers; each
-	// pair of samples is met once, so half of their number adds information.
-	// ownCount is that of the comparison with the worker's previous sample: the
-	// job's own load has changed since.
+	// othersCount is the weight of a sample's comparison with samples of other
+	// workers: each pair of samples is compared once, so half of the comparisons
+	// add information. ownCount is the weight of the comparison with the worker's
+	// previous sample, since which the job's own load has changed.
 	othersCount = 0.5
 	ownCount    = 0.3
 	// maxOthers bounds the other workers that a sample is compared with; map
 	// iteration picks them at random.
 	maxOthers = 6
-	// solveEvery is the time between two solutions of the model, maxFade the most
-	// that a pause without samples counts for.
+	// solveEvery is the time between two computations of the weights, maxFade the
+	// most that a pause without samples makes the evidence fade.
 	solveEvery = 250 * time.Millisecond
 	maxFade    = 5 * time.Second
-	// harmlessExtra is the load below which a task does not press.
+	// harmlessExtra is the extra load below which a filling task does not press.
 	harmlessExtra = 0.015
-	// pressingExtra is the load above which a task should run elsewhere. A
-	// serving task has 0.15 to spare at the top of its own load.
+	// pressingExtra is the extra load above which a filling task should run
+	// elsewhere. A serving task can bear 0.15 more than its highest own load.
 	pressingExtra = 0.05
 )
 
-// learner learns which images press on which. The tasks of one job carry the
-// same load wherever they run, and nearly the same half a second later, so a
+// learner learns which filling images press on which serving images. All tasks
+// of a job carry the same load, which hardly changes in half a second. So a
 // difference between two samples of a job shows pressure.
 type learner struct {
 	model pressure.Model
 	// solvedAt is when the model was last solved.
 	solvedAt time.Duration
-	// baseTails is the lowest tail seen of each serving image.
+	// baseTails is the lowest tail latency observed of each serving image.
 	baseTails map[string]float64
 	// latest is the last sample of each worker.
 	latest map[workload.WorkerID]timedSample
@@ -59,12 +59,11 @@
 
 type timedSample struct {
 	at time.Duration
-	// tails are those of the serving jobs.
+	// tails holds tail latencies by job, used worker shares by filling image.
 	tails map[workload.JobID]float64
 	used  map[string]float64
 }
 
-// initMaps creates the maps if they are missing.
 func (l *learner) initMaps() {
 	if l.latest == nil {
 		l.latest = map[workload.WorkerID]timedSample{}
@@ -101,7 +100,7 @@
 }
 
 // compare learns from the differences between a sample of a job and the latest
-// samples of the same job, on other workers and on its own.
+// samples of the same job, on other workers and on the same one.
 func (l *learner) compare(v dispatch.ServingSample, at workload.WorkerID, this timedSample) {
 	var others []timedSample
 	for id, o := range l.latest {
@@ -138,13 +137,13 @@
 type workerPressure struct {
 	// serving are the images, as rows of the table of weights.
 	serving []int
-	// load is the load that filling tasks there, at full pace, put on each image.
+	// load is the load of the worker's filling tasks, at full pace, on each image.
 	load []float64
 }
 
 // weightTable holds the weights of all pairs of one version of the model,
 // indexed by number: a plan reads some ten thousand of them, and lookups by
-// name took two thirds of its time.
+// name would take two thirds of its time.
 type weightTable struct {
 	version uint64
 	serving map[string]int
@@ -227,7 +226,7 @@
 
 // pressedBy returns the load on the most pressed serving image of w with one
 // more task of s, whose image has the given column. presses says that this task
-// is known to add to it.
+// is known to press on a serving image of w.
 func (t *weightTable) pressedBy(w *worker, p *workerPressure, s *workload.Step, column int) (worst float64, presses bool) {
 	for i, row := range p.serving {
 		own := t.weights[row][column]
@@ -242,20 +241,20 @@
 	return worst, presses
 }
 
-// weakPower is the processor, in cores, for which the bounds on samples and
-// updates are set; a stronger machine bears more.
+// weakPower is the processor power, in cores, for which the bounds on samples
+// and updates are set; the bounds grow with the machine's power.
 const weakPower = 0.2
 
 // powerScale is the power of a machine as a multiple of weakPower, at least 1.
 func powerScale(power float64) float64 { return max(1, power/weakPower) }
 
-// sampleIntervals returns the times between two samples of one of n agents:
-// usually, and beside pairs of images of which it is not known whether they
-// press.
+// sampleIntervals returns the time between two samples of one of n agents: the
+// usual one, and that for workers with a pair of images of unknown pressure.
 //
-// Beside many workers there are nearly always such pairs. If all were sampled
+// A large fleet nearly always has such pairs. If all its workers were sampled
 // twice as often, a weak machine would lack processor time, and short jobs
-// would wait for its scheduler; with so many workers there are enough samples.
+// would wait for the scheduler. With many workers there are enough samples
+// anyway.
 func sampleIntervals(n int, power float64) (usual, unknown time.Duration) {
 	usual = max(sampleEvery, turnInterval(n, samplesPerSecond*powerScale(power)))
 	unknown = max(sampleEvery/2, turnInterval(n, unknownPerSecond*powerScale(power)))
--- a/entry/scheduler/leftover.go
+++ b/entry/scheduler/leftover.go
@@ -8,28 +8,28 @@
 )
 
 // ownLoad is the load of a serving job without any pressure on it, 0 to 1. All
-// of its tasks carry the same load, which changes within seconds.
+// tasks of the job carry the same load, which changes within seconds.
 type ownLoad struct {
 	load float64
 	at   time.Duration
 }
 
 const (
-	// ownLoadGain is the weight of a new measurement of a job's own load. Each of
-	// its workers reports one, and each is rough.
+	// ownLoadGain is the weight of a new measurement of a job's own load. Each
+	// worker of the job reports a rough one.
 	ownLoadGain = 0.35
 	// ownLoadMaxAge is the age up to which a load counts as known.
 	ownLoadMaxAge = 2 * time.Second
-	// ownLoadReserve is the share of a serving task's CPU that is kept for the
-	// next changes of its load.
+	// ownLoadReserve is the share of a serving task's CPU that is kept free for
+	// changes of the task's load.
 	ownLoadReserve = 0.08
-	// defaultUnused is the share that serving tasks with unknown load are assumed
-	// to leave unused.
+	// defaultUnused is the share of their CPU that tasks without a known load are
+	// assumed to leave unused.
 	defaultUnused = 0.45
 )
 
-// updateOwnLoad updates the own load of the job of v: the load that its tail
-// shows, less the pressure on it.
+// updateOwnLoad updates the own load of the job of v: the load that the sampled
+// tail shows, less the pressure of filling work.
 func (l *learner) updateOwnLoad(v dispatch.ServingSample, this timedSample) {
 	load := 1 - l.baseTails[v.Image]/v.Tail
 	for image, used := range this.used {
@@ -44,7 +44,7 @@
 	l.ownLoads[v.Job] = ownLoad{load: load, at: this.at}
 }
 
-// dropStaleLoads drops the loads of jobs that were not sampled for long.
+// dropStaleLoads drops loads older than ownLoadMaxAge.
 func (l *learner) dropStaleLoads(now time.Duration) {
 	for id, o := range l.ownLoads {
 		if now-o.at > ownLoadMaxAge {
@@ -53,12 +53,11 @@
 	}
 }
 
-// leftover is the reserved CPU of w that filling work may use: the CPU that its
-// serving tasks leave unused, as long as filling work, by its light weight
-// alone, brings none of them to its target.
+// leftover is the reserved CPU of w that filling work may use: the CPU that the
+// other tasks leave unused, bounded by fillLimit for each serving task.
 //
-// A fixed share of the reserved CPU leaves processors idle while serving tasks
-// have little load, and takes them over their targets when they have much.
+// A fixed share would leave processors idle while serving tasks have little
+// load, and take these tasks over their targets when they have much.
 func (l *learner) leftover(w *worker, now time.Duration) int {
 	whole := float64(w.info.Capacity.CPU)
 	left, bearable := 0.0, 0.0
@@ -84,13 +83,13 @@
 	return int(max(0, left))
 }
 
-// fillLimit is the share of a worker that may be filled beside a serving task
-// with this own load.
+// fillLimit is the share of a worker that non-pressing filling work may use
+// until a serving task with this own load reaches its target.
 func (l *learner) fillLimit(v reservation, load float64) float64 {
 	// Tails are in milliseconds.
 	most := 1 - l.baseTails[v.image]/(1000*v.target.Seconds())
 	return max(0, most-load) / max(minLightWeight, l.model.Light())
 }
 
-// minLightWeight bounds fillLimit where filling work hardly presses.
+// minLightWeight is the least weight that fillLimit assumes for filling work.
 const minLightWeight = 0.05
--- a/entry/scheduler/leftover_test.go
+++ b/entry/scheduler/leftover_test.go
@@ -17,7 +17,7 @@
 )
 
 // servingWorker is a worker with one serving task that reserves nearly all of
-// it, and a learner that knows the task's tail without load.
+// its CPU, and a learner that knows the task's tail without load.
 func servingWorker() (*worker, *learner) {
 	w := newWorker("w-1", "agent-1")
 	w.info.Capacity = workload.Resources{CPU: wholeCPU, Memory: 256000}
@@ -57,8 +57,8 @@
 	over time.Duration
 }
 
-// simulateSwing simulates a serving task whose own load swings, with tasks of 7
-// cores and 1.7 s beside it, as many as allowance permits. Tails are reported
+// simulateSwing simulates a serving task whose own load swings, beside as many
+// filling tasks of 7 cores and 1.7 s as allowance permits. Tails are reported
 // in whole milliseconds, with noise.
 func simulateSwing(allowance func(l *learner, w *worker, now time.Duration) int) (p swingResult) {
 	const (
@@ -86,7 +86,7 @@
 		if tail > 18 {
 			p.over += tick
 		}
-		// Ten tasks of the job, on workers with more or less filling work, report one
+		// The job's ten tasks, on workers with more or less filling work, report one
 		// after the other.
 		beside := used * rng.Float64()
 		reported := math.Round(baseTail / (1 - min(0.97, own+pressing*beside)) * (1 + 0.08*rng.NormFloat64()))
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// watchWait bounds an agent's wait for a change, and the age of a grant's
-	// echo on an idle agent.
+	// watchWait bounds the time for which an agent holds a Watch call until a
+	// change, and thus the age of a claim's Echo while the agent is idle.
 	watchWait = 900 * time.Millisecond
-	// watchSlack is the time allowed for an answer beyond that wait.
+	// watchSlack is the time allowed for an answer beyond watchWait.
 	watchSlack = 700 * time.Millisecond
-	// orderTimeout bounds the acceptance of orders, which needs no call to the
+	// orderTimeout bounds an Order call, in which the agent does not call the
 	// worker.
 	orderTimeout = 700 * time.Millisecond
 	// linkRetry is the pause after a call that failed.
@@ -32,7 +32,7 @@
 	worker  *worker
 	process uint64
 	since   uint64
-	// echo is the agent's clock in its latest answer, lastContact its arrival.
+	// echo is the agent's clock in its latest answer, which came at lastContact.
 	echo        time.Duration
 	lastContact time.Duration
 	// claimDue requests an Order call with a new claim, or with stored ends.
@@ -74,7 +74,7 @@
 func (l *agentLink) triggerClaim() { signal(l.claimDue) }
 
 // claim grants the agent's worker its lease, if the term itself is valid, and
-// records its possible end. The caller holds the term's mu.
+// records the lease's latest end. The caller holds the term's mu.
 func (l *agentLink) claim() dispatch.Claim {
 	t := l.term
 	c := dispatch.Claim{Epoch: t.epoch, Process: l.process}
@@ -177,8 +177,8 @@
 		return false
 	}
 	if reply.Refused == dispatch.RefusedEpoch {
-		// Only a scheduler that has taken the lease has an epoch, so this term has
-		// ended, whatever the store shows.
+		// The agent has received a higher epoch, which only a scheduler that took the
+		// lease later can have. So this term has ended, whatever the store shows.
 		t.deps.Log.Warn().Str("instance", l.node).Uint64("epoch", t.epoch).Msg("term ends: an agent follows a newer scheduler")
 		t.cancel()
 		return false
--- a/entry/scheduler/load.go
+++ b/entry/scheduler/load.go
@@ -14,10 +14,10 @@
 const (
 	// loadRetry is the pause after a read that failed.
 	loadRetry = 100 * time.Millisecond
-	// feedWait bounds the store's hold of a feed call, and thereby the time for
-	// which a dead connection goes unnoticed.
+	// feedWait bounds the time for which the store holds a feed call, and thereby
+	// the time for which a dead connection goes unnoticed.
 	feedWait = 800 * time.Millisecond
-	// listsAtOnce bounds the parts that are read concurrently.
+	// listsAtOnce bounds the partitions that are read concurrently.
 	listsAtOnce = 8
 	// agentsWait replaces feedWait for agents, which change rarely.
 	agentsWait = 2 * time.Second
@@ -63,7 +63,7 @@
 	return stamp, nil
 }
 
-// listAll reads a part, with retries for as long as the lease is valid.
+// listAll reads a partition, with retries for as long as the lease is valid.
 func (t *Term) listAll(table, part string) ([]rowstore.Row, error) {
 	rows, _, err := t.listAllAt(table, part)
 	return rows, err
@@ -88,8 +88,8 @@
 	return t.listParts(JobsTable, jobPartNames())
 }
 
-// listParts reads several parts of a table, listsAtOnce at a time. The feed
-// after the returned version has all that the rows lack.
+// listParts reads several partitions of a table, listsAtOnce at a time. The
+// feed after the returned version has all changes that the rows lack.
 func (t *Term) listParts(table string, parts []string) ([]rowstore.Row, uint64, error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -169,8 +169,8 @@
 }
 
 // recordedWorker returns the worker of a stored placement. Until an agent
-// reports it, its runs count for as long as the last lease that the earlier
-// scheduler may have granted.
+// reports the worker, its runs count until the last lease that the earlier
+// scheduler may have granted has expired.
 func (t *Term) recordedWorker(k *task) *worker {
 	w := t.workers[k.worker]
 	if w == nil {
@@ -182,7 +182,7 @@
 }
 
 // followJobs reads new jobs and cancellations from the store's feed. Entries
-// also send theirs by a call; the feed has those whose call was lost.
+// also send each of them by a call; the feed covers lost calls.
 func (t *Term) followJobs(after uint64) {
 	for t.ctx.Err() == nil {
 		rows, at, err := t.deps.Store.Feed(t.ctx, JobsTable, after, feedWait)
--- a/entry/scheduler/lost.go
+++ b/entry/scheduler/lost.go
@@ -34,7 +34,7 @@
 	}
 	t.recordSuspects(w, loss, suspects)
 	if w.link != nil {
-		// If the worker returns, all of its runs are compared again.
+		// If the worker returns, its agent reports all of the runs again.
 		w.link.since = 0
 	}
 	t.wakeUp()
@@ -54,8 +54,7 @@
 }
 
 // evacuate stops lasting and checkpointing tasks on a worker that is draining:
-// they would end with it in any case, and the time until then is better spent
-// elsewhere.
+// they would end with the worker in any case, and can progress elsewhere.
 func (t *Term) evacuate(w *worker) {
 	for r := range w.runs {
 		_, s, k := t.placedRun(w, r)
--- a/entry/scheduler/memory.go
+++ b/entry/scheduler/memory.go
@@ -8,18 +8,18 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// saveEvery is the time between two saves of the learnt weights: a few
-// kilobytes, with a transaction that is due anyway.
+// saveEvery is the time between two saves of the learnt weights. Each save adds
+// a few kilobytes to a transaction that is due anyway.
 const saveEvery = 3 * time.Second
 
 // learntKey is the row of the learnt weights. Without them, a new scheduler
-// would place filling work beside serving tasks on which it presses, for the
-// ten seconds that learning takes.
+// would place filling work beside serving tasks on which this work presses, for
+// the ten seconds that learning takes.
 var learntKey = rowstore.Key{Table: learntTable, Part: schedulerPart, Key: "pressure"}
 
 // learntRow is the stored state of a learner.
 type learntRow struct {
-	// Base is the lowest tail seen of each serving image, in milliseconds.
+	// Base is the lowest tail latency of each serving image, in milliseconds.
 	Base  map[string]float64 `json:"b"`
 	Pairs []learntPair       `json:"p"`
 }
--- a/entry/scheduler/plan.go
+++ b/entry/scheduler/plan.go
@@ -9,9 +9,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// plan places waiting tasks where capacity is free: by priority, then jobs
-// first that can still end in time. A task that fits nowhere does not block
-// those behind it. The caller holds mu.
+// plan places waiting tasks where capacity is free: by the jobs' priority, and
+// within it first the jobs that can still end in time. A task that fits nowhere
+// does not block later steps. The caller holds mu.
 func (t *Term) plan() {
 	if !t.loaded || len(t.workers) == 0 {
 		return
@@ -32,7 +32,7 @@
 	t.relocate(v)
 }
 
-// refresh brings the list of active jobs and their queues up to date.
+// refresh updates the list of active jobs, their queues and their order.
 func (t *Term) refresh() {
 	kept := t.active[:0]
 	for _, j := range t.active {
@@ -84,7 +84,7 @@
 	s := o.steps[si]
 	suspects := s.awaitsQuarantine(now)
 	if s.spec.Gang {
-		// A gang is placed as a whole: in quarantine, or outside if no worker fits.
+		// A gang is placed whole: in quarantine, or outside it if no worker fits.
 		if !suspects || !t.planQuarantine(v, j, o, si, now) {
 			t.planGang(v, j, o, si)
 		}
@@ -139,15 +139,15 @@
 }
 
 const (
-	// waitLimit is the time after the latest useful end of a job for which it
-	// still waits for a worker on which it does not press. Then it takes any free
+	// waitLimit is the time for which a job still waits, after its latest useful
+	// end, for a worker on which it does not press. Then it takes any free
 	// capacity, so that no job waits forever.
 	waitLimit = 30 * time.Second
-	// idleWaitLimit is the same for a job without a running task while most of
-	// the service's capacity is free: its client sees a job that stands still
+	// idleWaitLimit bounds this wait of a job without a running task while most of
+	// the service's capacity is free: its client would see a job that stands still
 	// beside idle workers.
 	idleWaitLimit = 2 * time.Second
-	// mostlyFree is the used share of a service's CPU that counts as mostly free.
+	// mostlyFree is the used share of a service's CPU below which most is free.
 	mostlyFree = 0.52
 )
 
@@ -177,7 +177,7 @@
 	return now.Sub(j.idleSince)
 }
 
-// planGang places all tasks of a step with one run number, or none.
+// planGang places all tasks of a gang with one run number, or none of them.
 func (t *Term) planGang(v *view, j *job, o *occurrence, si int) {
 	s := o.steps[si]
 	if s.waiting < len(s.tasks)-s.done {
@@ -215,8 +215,8 @@
 	return run + 1, checkpoint
 }
 
-// place puts the next run of a task on record at candidate n. The agent is sent
-// the order when the record is stored.
+// place records the next run of a task at candidate n. The agent is sent the
+// order once the record is stored.
 func (t *Term) place(v *view, j *job, o *occurrence, si, i, n, run int) {
 	s := o.steps[si]
 	k := &s.tasks[i]
--- a/entry/scheduler/plan_bench_test.go
+++ b/entry/scheduler/plan_bench_test.go
@@ -12,7 +12,7 @@
 )
 
 // loadedTerm is a term without workers and jobs, on a clock that the caller may
-// move.
+// advance.
 func loadedTerm(now *time.Duration, queue workload.Queue) *Term {
 	config := &workload.Config{Version: 1, Queues: []workload.Queue{queue}}
 	t := newTerm(context.Background(), Config{}, Deps{Now: func() time.Duration { return *now }, Config: func() *workload.Config { return config }, Drains: knownDrains, Counters: &Counters{}}, leaseRow{}, 1, 0, rowstore.Stamp{Now: *now})
@@ -55,11 +55,11 @@
 }
 
 // A plan of 69 workers with 60 waiting jobs is made up to 60 times a second, at
-// worst on a machine with a fifth of a core. There, with lookups of weights by
-// name a plan took 0.61 ms, 0.030 with 11 workers and 37.6 with 1,000; by
-// number 0.13, 0.011 and 6.9 ms. Learnt durations and trials of pairs add a
-// third: 0.21 ms without and 0.28 with them for 69 workers, both beside other
-// work.
+// worst on a machine with a fifth of a core. There, with 11, 69 and 1,000
+// workers, a plan takes 0.030, 0.61 and 37.6 ms if weights are looked up by
+// name, and 0.011, 0.13 and 6.9 ms by number. Learnt durations and trials of
+// pairs add a third: 0.21 ms without and 0.28 ms with them for 69 workers, both
+// while the machine does other work.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ workers, waiting int }{{11, 10}, {69, 60}, {1000, 300}} {
 		b.Run(fmt.Sprintf("workers:%d,waiting:%d", size.workers, size.waiting), func(b *testing.B) {
--- a/entry/scheduler/quarantine.go
+++ b/entry/scheduler/quarantine.go
@@ -8,24 +8,24 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A task under which a worker has crashed within moments of its start, or two
-// were lost, starts next in quarantine: on a worker where no other task has
-// begun lately, and no task of another job begins until this one is proven. A
-// crash there shows the cause, and costs least where the fewest runs are.
+// A task that may have crashed a worker within moments of its start, or two
+// workers at all, starts next in quarantine: on a worker where no task of
+// another job has begun lately, and none begins until this one is proven (see
+// crash.go). A crash there shows the cause, and costs least where few runs are.
 
 const (
-	// quarantineWait bounds the wait for a quarantine. Then a task starts
+	// quarantineWait bounds a task's wait for a quarantine. Then the task starts
 	// anywhere: its client must not see a job that stands still beside free
 	// capacity.
 	quarantineWait = 2 * time.Second
-	// quarantineCrashes is the number of workers lost under a task from which it
-	// is quarantined, however long they outlived its start. Most tasks that lost
-	// one are not the cause, and would wait without need.
+	// quarantineCrashes is the number of crashes from which a task is quarantined,
+	// however long after its start they came. Most tasks suspected of one crash
+	// are not its cause, and would wait without need.
 	quarantineCrashes = 2
 	// quarantineShare is the share of a service's workers, one at least, that may
 	// be in quarantine at the same time.
 	quarantineShare = 1.0 / 4
-	// assumedProvenAfter is the age at which a placed run counts as proven.
+	// assumedProvenAfter is the age from which another job's run counts as proven.
 	assumedProvenAfter = 1300 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 	return k.state == taskWaiting && suspicious && now.Sub(k.crashedAt) < quarantineWait
 }
 
-// awaitsQuarantine reports whether any task of the step waits for one.
+// awaitsQuarantine reports whether any task of the step waits for a quarantine.
 func (s *step) awaitsQuarantine(now time.Time) bool {
 	for i := range s.tasks {
 		if s.tasks[i].awaitsQuarantine(now) {
@@ -53,8 +53,8 @@
 	return false
 }
 
-// endQuarantines ends the quarantine of workers whose jobs are proven, have
-// ended, or were not placed there in time. The caller holds mu.
+// endQuarantines ends the quarantine of workers whose job has ended, has no
+// suspect task there, or was not placed there in time. The caller holds mu.
 func (t *Term) endQuarantines(now time.Time) {
 	for _, w := range t.workers {
 		q := w.quarantine
@@ -137,8 +137,8 @@
 }
 
 // quarantineWorker returns the candidate that is in quarantine for the job, or
-// dedicates one to it. Otherwise it returns -1, and busy if one may become
-// free.
+// puts one in quarantine for it. If there is none, it returns -1; busy says
+// whether one may become available.
 func (t *Term) quarantineWorker(v *view, j *job, s *step, now time.Time) (n int, busy bool) {
 	own, dedicated, all := v.quarantines(j.spec.ID)
 	switch {
@@ -220,9 +220,9 @@
 	return placement.Choose(placement.Request{Step: s, Avoid: -1}, []placement.Candidate{c}) == 0
 }
 
-// betterQuarantine reports whether a crash of a proves more, or costs less,
-// than one of b. On another machine than the last crash, it proves that the
-// machine is not the cause.
+// betterQuarantine reports whether a crash of a proves more, or ends fewer
+// runs, than a crash of b. A crash on another machine than the last one proves
+// that the machine is not the cause.
 func (s *step) betterQuarantine(a, b *worker) bool {
 	before := func(w *worker) int {
 		for i := range s.tasks {
--- a/entry/scheduler/rank.go
+++ b/entry/scheduler/rank.go
@@ -6,8 +6,8 @@
 	"persimmonrock.example/decide/order"
 )
 
-// objective is the time within which the client expects the job to end, by its
-// own estimates; 0 for jobs that last or repeat, which have none.
+// objective is the time within which the client expects the job to end, by the
+// job's estimates; 0 for lasting and repeating jobs, which have no objective.
 func (j *job) objective() time.Duration {
 	if j.spec.Steps[0].Lasting || j.spec.Repeat.Count > 0 {
 		return 0
--- a/entry/scheduler/rank_test.go
+++ b/entry/scheduler/rank_test.go
@@ -8,8 +8,8 @@
 )
 
 // Failure guarded against: a job is ranked as overdue, or before smaller ones,
-// because its estimate is off by a factor of three either way. Once some of its
-// own tasks have ended, it is ranked by their durations.
+// because its estimate is off by a factor of three either way. Once some of the
+// job's own tasks have ended, the job is ranked by their durations.
 func TestJobsAreRankedByTheTimesOfTheirOwnTasks(t *testing.T) {
 	queue := workload.Queue{Name: "q", Service: "s", Stretch: 2, TargetLatency: time.Second}
 	now := time.Minute
@@ -34,7 +34,7 @@
 		t.Error("by its estimate the job is late")
 	}
 	end(low, 0, 9*time.Second)
-	// Its other seven tasks are expected to take about as long.
+	// The other seven tasks of low are expected to take about as long.
 	if ratio := term.rank(high, 0).Work / term.rank(low, 0).Work; ratio > 1.5 {
 		t.Errorf("a task of its own took as long as one of the other job: %.1f times the work", ratio)
 	}
--- a/entry/scheduler/regroup.go
+++ b/entry/scheduler/regroup.go
@@ -10,24 +10,24 @@
 const (
 	// regroupEvery is the time between two checks of the mix of serving images.
 	regroupEvery = 400 * time.Millisecond
-	// regroupAfter is the least time for which a serving task, and with it the
-	// others of its step, stays where it is.
+	// regroupAfter is the least time for which all tasks of a serving step stay
+	// where they are before one of them is moved.
 	regroupAfter = 5 * time.Second
 	// regroupAtOnce bounds the serving tasks that are moving at the same time,
 	// per scaleUnit workers.
 	regroupAtOnce = 4
-	// pinFor is the time for which capacity at the new worker is held: a stop
-	// takes up to a second, and the next transaction.
+	// pinFor is the time for which capacity at the new worker is held: the stop of
+	// the old run takes up to a second, and the placement needs a transaction.
 	pinFor = 4 * time.Second
 )
 
-// scaleUnit is a number of workers for which one move of serving tasks per
-// check, and a few of filling ones, keep up with learning. With a bound for the
-// whole fleet, serving tasks would stay beside work that presses on them for
-// longer in a larger fleet.
+// scaleUnit is the number of workers for which one move of a serving task per
+// check, and a few of filling tasks, keep up with learning. If one bound held
+// for a fleet of any size, serving tasks of a larger fleet would stay longer
+// beside work that presses on them.
 const scaleUnit = 20
 
-// fleetScale is the number of scaleUnits in n workers, at least 1.
+// fleetScale is the number of scaleUnits in n workers, rounded up, at least 1.
 func fleetScale(n int) int { return max(1, (n+scaleUnit-1)/scaleUnit) }
 
 type movable struct {
@@ -36,8 +36,8 @@
 	step *step
 }
 
-// regroup moves serving tasks so that images on which different filling work
-// presses don't share workers. The caller holds mu.
+// regroup moves serving tasks so that images on which different filling images
+// press don't share a worker. The caller holds mu.
 func (t *Term) regroup() bool {
 	now := t.deps.Now()
 	if !t.loaded || now-t.lastRegroup < regroupEvery {
@@ -103,9 +103,9 @@
 	return tasks, found, moving
 }
 
-// mayMove reports whether a task may be stopped for a move: it and the others
-// of its step have been at work for long enough. Steps that bound their missing
-// tasks are left alone: others may be missing for causes that the scheduler
+// mayMove reports whether a task may be stopped for a move: all tasks of its
+// step have been running for regroupAfter. Steps that bound their missing tasks
+// are left alone: other tasks may be missing for reasons that the scheduler
 // does not see yet.
 func (t *Term) mayMove(j *job, s *step, k *task, now time.Time) bool {
 	if !k.ordered || k.stopping || k.moves >= relocatePerTask || now.Sub(k.placedAt) < regroupAfter || j.queue.Advised || s.spec.Gang ||
@@ -121,7 +121,7 @@
 	return true
 }
 
-// barredFor returns the workers that may not take a task, even with capacity.
+// barredFor returns the workers that may not take a task, whatever is free.
 func (v *view) barredFor(j *job, s *step, k *task) map[int]bool {
 	barred := map[int]bool{}
 	on := map[workload.WorkerID]int{}
@@ -152,7 +152,7 @@
 }
 
 // placePinned places a moving task where capacity is held for it. It returns
-// true if the task is placed or waits for it.
+// true if the task is placed or waits for this capacity.
 func (t *Term) placePinned(v *view, j *job, o *occurrence, si, i int, now time.Time) bool {
 	s := o.steps[si]
 	k := &s.tasks[i]
@@ -171,7 +171,7 @@
 	}
 	t.unpin(k, id)
 	t.place(v, j, o, si, i, n, k.run+1)
-	// The held capacity was already missing in the view.
+	// The view's free capacity already excluded the held capacity.
 	v.candidates[n].Free = v.candidates[n].Free.Add(s.spec.Reserved())
 	return true
 }
--- a/entry/scheduler/regroup_test.go
+++ b/entry/scheduler/regroup_test.go
@@ -7,9 +7,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A serving task is unavailable for a second or two when it is moved. Its step
-// may bound its missing tasks, and other tasks may be missing for reasons that
-// the scheduler does not see yet: such a step is not moved.
+// A serving task is unavailable for a second or two when it is moved. Tasks of
+// a step that bounds its missing tasks are not moved: other tasks of the step
+// may be missing for reasons that the scheduler does not see yet.
 func TestOnlySettledTasksMayMove(t *testing.T) {
 	now := time.Now()
 	settled := func() task {
--- a/entry/scheduler/relocate.go
+++ b/entry/scheduler/relocate.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// relocateAfter is the least time for which a run stays where it is: its
-	// pressure figures cover half a second.
+	// relocateAfter is the least time for which a run stays where it is: the
+	// samples that show its pressure cover half a second.
 	relocateAfter = 900 * time.Millisecond
 	// relocateEvery is the time between two checks of filling runs.
 	relocateEvery = 200 * time.Millisecond
-	// relocatePerPlan bounds the runs that move at a time, per scaleUnit workers,
-	// and relocatePerTask the moves of one task.
+	// relocatePerPlan bounds the runs that one plan moves, per scaleUnit workers,
+	// relocatePerTask the moves of one task.
 	relocatePerPlan = 4
 	relocatePerTask = 2
 )
 
 // relocate stops filling runs that press on serving tasks, and so hardly
-// progress, if another worker has capacity where they do not press. They resume
-// there from their checkpoint. The caller has placed all tasks that it could.
+// progress, if another worker has capacity and they would not press there.
+// Their tasks resume from the checkpoint. The caller has placed all tasks that
+// it could.
 func (t *Term) relocate(v *view) {
 	if v.now-t.lastRelocate < relocateEvery {
 		return
--- a/entry/scheduler/retire.go
+++ b/entry/scheduler/retire.go
@@ -10,9 +10,9 @@
 const (
 	// retireEvery is the time between two checks for jobs to retire.
 	retireEvery = 10 * time.Second
-	// retireMargin is the time for which a job is kept beyond StatusFor: a
-	// submission may be repeated seconds after its answer, and would run again if
-	// its row were gone.
+	// retireMargin is the time for which a job is kept beyond StatusFor: a client
+	// may repeat a submission seconds after the answer, and the job would run
+	// again if its row were deleted.
 	retireMargin = 2 * time.Minute
 	// retireBatch bounds the jobs of one check; each has up to two rows beside
 	// its progress.
@@ -26,8 +26,8 @@
 	cancelRow bool
 }
 
-// retireLoop deletes the rows of jobs that ended long ago. Nothing in the
-// store expires by itself, and it holds a limited amount.
+// retireLoop deletes the rows of jobs that ended long ago. Rows do not expire
+// by themselves, and the store's size is limited.
 func (t *Term) retireLoop() {
 	for {
 		t.sleep(retireEvery)
@@ -68,10 +68,10 @@
 	return old
 }
 
-// deleteJobs deletes the rows of jobs and their cancellations, a transaction
-// for each part, and returns the deleted jobs. Their progress rows are deleted
-// later, with the term's next transaction: a job found without progress would
-// run again.
+// deleteJobs deletes the rows of jobs and their cancellations, in one
+// transaction for each partition, and returns the deleted jobs. Progress rows
+// are deleted later, by the term's transactions: a job whose progress row is
+// missing would run again.
 func (t *Term) deleteJobs(old []oldJob) []workload.JobID {
 	parts := map[string][]oldJob{}
 	for _, o := range old {
@@ -100,7 +100,7 @@
 	return gone
 }
 
-// retiredKeys takes progress rows to delete off t.retired.
+// retiredKeys removes jobs from t.retired, and returns their progress keys.
 func (t *Term) retiredKeys() []rowstore.Key {
 	n := min(len(t.retired), commitRows)
 	keys := make([]rowstore.Key, 0, n)
--- a/entry/scheduler/rows.go
+++ b/entry/scheduler/rows.go
@@ -13,21 +13,21 @@
 
 // Tables of the scheduler.
 const (
-	// JobsTable holds accepted jobs and cancellations, which entries write
-	// once. Its parts spread the writes of all entries.
+	// JobsTable holds accepted jobs and cancellations, which entries write once.
+	// Its partitions spread the writes of all entries.
 	JobsTable = "jobs"
 	// progressTable holds the progress of each job. Only the scheduler writes it,
-	// in one part together with its lease.
+	// in the partition that also holds the lease.
 	progressTable = "progress"
-	// learntTable holds the weights and tails learnt of the images.
+	// learntTable holds the learnt weights and tail latencies of images.
 	learntTable   = "learnt"
 	leaseTable    = "scheduler"
 	schedulerPart = "s"
 )
 
-// jobParts is the number of parts that share submissions. A part executes one
-// transaction at a time, in 8 ms; with a store that is 70 times slower, 32
-// parts take 57 submissions a second, so that few wait for another.
+// jobParts is the number of partitions for submissions. Each executes one
+// transaction at a time, in 8 ms. If the store is 70 times slower, 32
+// partitions take 57 submissions a second, so that few wait for another.
 const jobParts = 32
 
 // cancelSuffix marks the row of a job's cancellation.
@@ -54,7 +54,7 @@
 	return strconv.Itoa(rowstore.Spread(string(id), jobParts))
 }
 
-// jobPartNames lists the parts of JobsTable.
+// jobPartNames lists the partitions of JobsTable.
 func jobPartNames() []string {
 	parts := make([]string, jobParts)
 	for n := range parts {
@@ -63,16 +63,16 @@
 	return parts
 }
 
-// splitJobKey returns a row's job, and whether it is the cancellation.
+// splitJobKey returns a row's job, and whether the row is its cancellation.
 func splitJobKey(key string) (id workload.JobID, cancel bool) {
 	base, cancel := strings.CutSuffix(key, cancelSuffix)
 	return workload.JobID(base), cancel
 }
 
 // leaseRow is the scheduler's lease. Each transaction of the scheduler renews
-// the row under the condition of its version. So it fences off an earlier
-// scheduler, is the heartbeat, and shows whether a transaction without an
-// answer was applied.
+// the row, on the condition that its version is unchanged. So the row fences
+// off an earlier scheduler, serves as the heartbeat, and shows whether a
+// transaction without an answer was applied.
 type leaseRow struct {
 	Node string `json:"n"`
 	// Process distinguishes two processes of one machine.
@@ -80,20 +80,20 @@
 	Address string `json:"a"`
 	// Count numbers the transactions of the term.
 	Count uint64 `json:"c"`
-	// Epoch is the version of the row that began the term; 0 in that row.
+	// Epoch is the version of the write that took the lease; 0 in that write.
 	Epoch uint64 `json:"e,omitempty"`
 	// Released says that the scheduler has ended its term by itself.
 	Released bool `json:"r,omitempty"`
-	// Power is the processor of the holder's machine, in cores.
+	// Power is the processor power of the holder's machine, in cores.
 	Power float64 `json:"w,omitempty"`
-	// Successor is the node for which a released lease is reserved for a moment.
+	// Successor is the one node that may take a released lease in successorWait.
 	Successor string `json:"h,omitempty"`
 }
 
 // progressRow is the stored progress of a job.
 type progressRow struct {
 	State workload.State `json:"s"`
-	// Final is the store's clock at the final state, in milliseconds.
+	// Final is when the final state was reached, in ms of the store's clock.
 	Final int64 `json:"f,omitempty"`
 	// Next is the first occurrence that has not begun.
 	Next        int             `json:"n,omitempty"`
@@ -111,8 +111,8 @@
 	Steps  []stepRow `json:"s"`
 }
 
-// stepRow holds the done tasks as bits, and the others that were ever started
-// as a list.
+// stepRow holds the done tasks as bits, and the other tasks that were ever
+// placed as a list.
 type stepRow struct {
 	Done  []byte    `json:"d,omitempty"`
 	Tasks []taskRow `json:"t,omitempty"`
@@ -122,12 +122,12 @@
 	Index int `json:"i,omitempty"`
 	Run   int `json:"r"`
 	Fails int `json:"f,omitempty"`
-	// Crashes counts the workers that the task may have crashed, Certain those
-	// of them that no other job can have crashed.
+	// Crashes counts the workers that the task may have crashed, Certain the
+	// crashes that no other job can have caused.
 	Crashes int `json:"x,omitempty"`
 	Certain int `json:"y,omitempty"`
-	// Worker is 1 more than the index of the worker where the run is; 0 is
-	// none.
+	// Worker is 1 plus the index in progressRow.Workers of the run's worker; 0 if
+	// the task is not placed.
 	Worker     int    `json:"w,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
 }
@@ -145,7 +145,7 @@
 	return eris.Wrapf(json.Unmarshal(r.Value, into), "row %s/%s", r.Key.Table, r.Key.Key)
 }
 
-// StoredState returns the state that a progress row shows; a job without one
+// StoredState returns the state that a progress row shows; a job without a row
 // is queued.
 func StoredState(row rowstore.Row) (workload.State, error) {
 	if row.Version == 0 {
--- a/entry/scheduler/service.go
+++ b/entry/scheduler/service.go
@@ -45,13 +45,13 @@
 	reply.Known = true
 	reply.State = j.stored
 	if j.state == workload.Cancelled && !j.stored.Final() {
-		// The cancellation itself is stored.
+		// The cancellation row is stored, though the progress row is not yet.
 		reply.State = workload.Cancelled
 	}
 	return reply
 }
 
-// Waiting counts the jobs of a queue of which no task has started.
+// Waiting counts the jobs of a queue of which no task has been placed.
 func (t *Term) Waiting(queue string) dispatch.WaitingReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/scheduler/straggler.go
+++ b/entry/scheduler/straggler.go
@@ -6,16 +6,15 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A worker may let its tasks stand still, or work at a sixth of its speed, and
-// look healthy all the while. Its agent reports runs that progress far slower
-// than estimated; the other runs show whether the estimate or the worker is
-// wrong.
+// A worker may stall its tasks, or run them at a sixth of its speed, and still
+// look healthy. Its agent reports runs that progress far slower than estimated.
+// Other runs show whether the estimate is wrong or the worker is slow.
 
 // maxRescues bounds how often one task is moved off a slow worker.
 const maxRescues = 2
 
-// comparableEstimate is the estimate of a step whose tasks end by themselves,
-// at full pace: that of filling work says nothing about its worker.
+// comparableEstimate is the estimate of a step whose tasks end by themselves at
+// full pace, else 0: the pace of filling work says nothing about its worker.
 func comparableEstimate(s *workload.Step) time.Duration {
 	if s.Lasting || s.Fills || s.Gang {
 		return 0
@@ -23,8 +22,9 @@
 	return s.Estimate
 }
 
-// handleSlowRun records that a run is reported as slow. If its worker seems to
-// be the cause, it stops all slow runs there, and reports whether it did.
+// handleSlowRun records that a run is reported as slow. If the worker seems to
+// be the cause, it stops the slow runs there, and reports whether it stopped
+// any.
 func (t *Term) handleSlowRun(w *worker, s *step, k *task, r workload.RunID) bool {
 	if k.slow || k.stopping {
 		return false
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// workerIsSlow reports whether the worker causes the slow run of s: other tasks
-// of the step are done already, or runs of another job are slow there, too.
+// workerIsSlow reports whether the worker seems to cause the slow run r of s:
+// tasks of s are done already, or runs of another job on w are slow, too.
 func (t *Term) workerIsSlow(w *worker, s *step, r workload.RunID) bool {
 	if s.done > 0 {
 		return true
--- a/entry/scheduler/tell.go
+++ b/entry/scheduler/tell.go
@@ -11,8 +11,8 @@
 
 const (
 	// pressureUpdateEvery is the least time between two updates to one agent. It
-	// grows with the agents, so that there are at most pressureUpdatesPerSecond
-	// on a machine of weakPower. Each has a kilobyte or two.
+	// grows with the number of agents, so that a machine of weakPower sends at
+	// most pressureUpdatesPerSecond. An update has a kilobyte or two.
 	pressureUpdateEvery      = 300 * time.Millisecond
 	pressureUpdatesPerSecond = 75
 	// pressureUpdateRepeat is the time after which an unchanged update is sent
@@ -31,8 +31,8 @@
 	baseTails map[string]float64
 }
 
-// addPressureUpdate adds the learnt weights of the worker's serving images, if
-// the agent does not have them.
+// addPressureUpdate adds the sample intervals, and the learnt weights of the
+// worker's serving images if the agent does not have them.
 func (l *agentLink) addPressureUpdate(args *dispatch.WatchArgs) {
 	t := l.term
 	args.SampleEvery, args.SampleUnknown = sampleIntervals(len(t.agents), t.cfg.Power)
@@ -65,7 +65,7 @@
 	return max(pressureUpdateEvery, turnInterval(n, pressureUpdatesPerSecond*powerScale(power)))
 }
 
-// matches reports whether the update holds about the same weights as pairs.
+// matches reports whether the update's weights differ little from pairs.
 func (x *pressureUpdate) matches(pairs map[pressure.Pair]pressure.Weight) bool {
 	if len(pairs) != len(x.pairs) {
 		return false
--- a/entry/scheduler/term.go
+++ b/entry/scheduler/term.go
@@ -1,8 +1,8 @@
 // Package scheduler decides which task runs where. One entry at a time holds
-// the scheduler's lease, a row of the store that each of its transactions
-// renews under the condition of its version; the others watch the row and take
-// over when it is no longer renewed. A decision is stored before it is sent to
-// an agent, so that the next scheduler finds it.
+// the scheduler's lease, a row of the store. Each transaction of the holder
+// renews the row, if its version is unchanged. The other entries watch the row
+// and take over when it is no longer renewed. A decision is stored before it is
+// sent to an agent, so that the next scheduler finds it.
 package scheduler
 
 import (
@@ -24,7 +24,7 @@
 	Node    string
 	Process string
 	Address string
-	// Power is the processor of the machine, in cores; 0 if unknown.
+	// Power is the processor power of the machine, in cores; 0 if unknown.
 	Power float64
 	// Grant is the time after an agent's last contact for which its worker's
 	// lease may last.
@@ -47,15 +47,15 @@
 	Link func(address string) *dispatch.Link
 	// Policy names the permitted workers of some queues; nil if there is none.
 	Policy policy.Advisor
-	// Counters accumulates figures over all terms of the process.
+	// Counters accumulates metrics over all terms of the process.
 	Counters *Counters
 }
 
 const (
-	// validFor is the time after the sending of its last stored transaction for
-	// which a scheduler still grants leases to agents.
+	// validFor is the time for which a scheduler still grants leases to agents
+	// after it sent its last stored transaction.
 	validFor = 4 * time.Second
-	// clockMargin and clockDrift are for a worker's clock that is slow by 2 %,
+	// clockMargin and clockDrift allow for a worker's clock that is slow by 2 %,
 	// and for readings in whole milliseconds.
 	clockMargin = 300 * time.Millisecond
 	clockDrift  = 0.03
@@ -63,8 +63,8 @@
 	tickInterval = 50 * time.Millisecond
 )
 
-// Term is one term of the scheduler. One lock guards its state and is never
-// held during a call.
+// Term is one term of the scheduler. mu guards its state and is never held
+// during a call to another process.
 type Term struct {
 	cfg   Config
 	deps  Deps
@@ -86,14 +86,14 @@
 	agents  map[string]*agentLink
 	workers map[workload.WorkerID]*worker
 	learner learner
-	// savedVersion and savedAt describe the last record of the learner.
+	// savedVersion and savedAt describe the last save of the learner.
 	savedVersion uint64
 	savedAt      time.Duration
 	// queues are those of the configuration of version queuesVersion.
 	queues        map[string]workload.Queue
 	queuesVersion uint64
-	// drains are the last known drains; drainsStale says that they are too old to
-	// place anything by.
+	// drains are the last known drains; drainsStale says that they are too old for
+	// placements.
 	drains      workload.Drains
 	drainsStale bool
 	// lastEvacuation is when tasks in drained data centres were last checked.
@@ -107,7 +107,7 @@
 	retired []workload.JobID
 	// earlyCancels holds cancellations of jobs that are not known yet.
 	earlyCancels map[workload.JobID]bool
-	// validUntil is the end of the term's validity unless it is renewed.
+	// validUntil is when the term's validity ends unless the lease is renewed.
 	validUntil time.Duration
 	loaded     bool
 	// successor is the node to which the lease is handed, if any.
@@ -172,7 +172,7 @@
 	return (t.storeClock.store + t.deps.Now() - t.storeClock.local).Milliseconds()
 }
 
-// tick notices due times and lost workers.
+// tick checks for due occurrences, lost workers, drains and regrouping.
 func (t *Term) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -357,8 +357,8 @@
 	s.timed++
 }
 
-// failedPause is the delay of the next run of a lasting task that keeps
-// failing, for each failure after the first, up to maxFailedPause.
+// failedPause is the delay that each failure after the first adds to the next
+// run of a lasting task, up to maxFailedPause in sum.
 const (
 	failedPause    = 100 * time.Millisecond
 	maxFailedPause = time.Second
--- a/entry/scheduler/trials.go
+++ b/entry/scheduler/trials.go
@@ -7,22 +7,22 @@
 )
 
 // Failure guarded against: the first job of a new filling image has tens of
-// tasks. Placed all at once, they run beside the serving tasks of many workers,
-// and take all of them over their targets for a second or two before it is
-// known that the image presses there. So a pair of images of unknown pressure
-// runs on one worker first, which shows it after two samples.
+// tasks. Placed all at once, they take the serving tasks of many workers over
+// their targets for a second or two, until the image is known to press there.
+// So a pair of a filling and a serving image whose pressure is unknown runs on
+// one worker first. Two samples there show the pressure.
 const (
 	// trialWait is the time for which other workers wait for the result of a
 	// trial: two samples of half a second.
 	trialWait = time.Second
-	// trialPause is the time without a common run after which the next run of a
-	// pair is a new trial.
+	// trialPause is the time since a pair last ran together after which its next
+	// run is a new trial.
 	trialPause = 3 * time.Second
 	// trialScanEvery is the time between two scans for pairs that run together.
 	trialScanEvery = 100 * time.Millisecond
 )
 
-// trial records the worker on which an unknown pair runs first.
+// trial records the worker on which a pair of unknown pressure runs first.
 type trial struct {
 	onWorker workload.WorkerID
 	began    time.Duration
@@ -37,7 +37,7 @@
 	scanned   time.Duration
 }
 
-// scan finds unknown pairs that run together, and drops old trials.
+// scan records the unknown pairs that run together, and drops old trials.
 func (x *trials) scan(workers []*worker, t *weightTable, now time.Duration) {
 	if now-x.scanned < trialScanEvery && x.byFilling != nil {
 		return
--- a/entry/scheduler/trials_test.go
+++ b/entry/scheduler/trials_test.go
@@ -39,11 +39,11 @@
 	return n
 }
 
-// A job of a new image presses on a serving image that all workers have. All
-// its tasks placed at once would take every serving task over its target. They
-// go to one worker until its samples show the pressure; if they show none for a
-// second, or that the image is harmless, the others follow, and if it presses
-// they avoid these workers.
+// The tasks of a new filling image, placed all at once, would take the serving
+// tasks of all workers over their targets. So they are placed on one worker
+// until its samples show the pressure. The other workers follow if the image is
+// harmless, or after a second without a result. If it presses, its tasks avoid
+// workers with the serving image.
 func TestUnknownPairsRunOnOneWorkerFirst(t *testing.T) {
 	learn := func(x *Term, weight float64) {
 		for range 10 {
@@ -88,8 +88,8 @@
 	}
 }
 
-// An agent is sent an update soon after it is known where an image presses, and
-// not for each small change of a weight: 1,000 agents would take the
+// An agent is sent an update soon after an image is known to press, and not for
+// each small change of a weight: updates to 1,000 agents would take the
 // scheduler's whole bandwidth. Updates are repeated, since one may have been
 // lost.
 func TestPressureUpdatesAreSentOnChange(t *testing.T) {
--- a/entry/scheduler/view.go
+++ b/entry/scheduler/view.go
@@ -36,7 +36,7 @@
 	return v
 }
 
-// setService prepares the candidates of a service.
+// setService prepares the candidates for tasks of a service.
 func (v *view) setService(service string) {
 	if v.service == service && v.candidates != nil {
 		return
@@ -69,7 +69,7 @@
 	return float64(taken) / float64(whole)
 }
 
-// countStep counts the tasks of s on each candidate.
+// countStep counts the tasks of s on each candidate, if s is spread or coupled.
 func (v *view) countStep(s *step) {
 	for i := range v.candidates {
 		v.candidates[i].OfStep = 0
--- a/entry/scheduler/worker.go
+++ b/entry/scheduler/worker.go
@@ -11,13 +11,12 @@
 // worker is one incarnation of a worker as the scheduler sees it.
 type worker struct {
 	id workload.WorkerID
-	// agent is the node of its agent, link the connection; link is nil until an
-	// agent of this term has reported the worker.
+	// agent is the node of the worker's agent, link the connection to the agent;
+	// link is nil until the agent has reported the worker in this term.
 	agent string
 	link  *agentLink
 	info  workload.Worker
-	// alive says that the agent has listed the worker and its grant has not
-	// expired.
+	// alive says that the worker answers its agent and its lease has not expired.
 	alive bool
 	// drained says that its data centre is drained.
 	drained bool
@@ -32,23 +31,24 @@
 	// target for their tail latency.
 	fillLoad int
 	serving  int
-	// fills sums the CPU of filling runs by image, images counts the serving
-	// runs.
+	// fills sums the CPU of filling runs by image, images counts the serving runs
+	// by image.
 	fills  map[string]int
 	images map[string]int
-	// held is capacity held for tasks that are to move here.
+	// held is capacity held for tasks that are to be placed here.
 	held map[workload.TaskID]heldCapacity
-	// endsApplied is the highest end applied, endsStored the highest one stored.
+	// endsApplied is the highest number of an applied end, endsStored the highest
+	// of an end whose effects are stored.
 	endsApplied uint64
 	endsStored  uint64
 	health      health
-	// answeredAt is when its agent last reported an answer of the worker.
+	// answeredAt is when the agent last reported that the worker answers.
 	answeredAt time.Duration
-	// suspects are the tasks that may have crashed the worker, if it crashed.
+	// suspects are tasks that may have crashed the worker; none once it answers.
 	suspects []suspect
 	// quarantine dedicates the worker to one job for a while; nil otherwise.
 	quarantine *quarantine
-	// slowUntil bounds the time in which tasks that end by themselves, except
+	// slowUntil is the time until which tasks that end by themselves, except
 	// filling ones, prefer other workers.
 	slowUntil time.Duration
 }
@@ -158,8 +158,8 @@
 // free capacity.
 func (w *worker) draining() bool { return w.info.Draining || w.drained }
 
-// rackOf finds the rack among a worker's labels: the first label is the kind,
-// the rack the next one that begins with "r", or else the last.
+// rackOf finds the rack among a worker's labels. The first label is the kind.
+// The rack is the next label that begins with "r", or else the last label.
 func rackOf(labels []string) string {
 	if len(labels) < 2 {
 		return ""
--- a/entry/scheduler/yield.go
+++ b/entry/scheduler/yield.go
@@ -7,24 +7,24 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Entries may run on machines of several sizes. Where one with a fifth of a
-// core schedules for tens of workers, jobs wait for it. So an entry on a
-// stronger machine requests the lease.
+// Entries may run on machines of several sizes. If an entry with a fifth of a
+// core schedules for tens of workers, jobs wait for the scheduler. So an entry
+// on a stronger machine requests the lease.
 const (
-	// strongerBy is the factor by which the machine has to be stronger: a
-	// handover stops all starts for some tenths of a second.
+	// strongerBy is the factor by which the requesting machine has to be stronger:
+	// a handover stops all starts for some tenths of a second.
 	strongerBy = 1.5
-	// steadyFor is the least age of the holder's term and of the other's watch.
+	// steadyFor is the least age of the holder's term and the requester's watch.
 	steadyFor = 3 * time.Second
 	// requestEvery is the time between two requests of an entry.
 	requestEvery = 2 * time.Second
-	// successorWait is the time for which a released lease is reserved.
+	// successorWait is the time for which a lease is reserved for a successor.
 	successorWait = time.Second
 	// successorPoll is the time between a successor's reads of the lease.
 	successorPoll = 40 * time.Millisecond
 )
 
-// yield ends the term in favour of successor, unless it has just begun.
+// yield ends the term in favour of successor, unless the term has just begun.
 func (t *Term) yield(successor string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,8 +43,8 @@
 	return t.successor
 }
 
-// requestLease asks the scheduler for its lease if this machine is much
-// stronger. It reports whether the lease is about to be released.
+// requestLease asks the holder for the lease if this machine is stronger by
+// strongerBy. It reports whether the lease is about to be released.
 func (e *Elector) requestLease(ctx context.Context, w *watch, lease leaseRow) bool {
 	now := e.deps.Now()
 	if lease.Released || lease.Power <= 0 || e.cfg.Power < strongerBy*lease.Power || now-w.watchedSince < steadyFor || now-w.requestedAt < requestEvery {
