--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// Failure guarded against: a queue makes no progress although workers are free,
-// because it is served strictly in order and its first job needs more memory than
-// any worker has.
+// Guards against: a queue makes no progress although workers are free. It comes
+// about when jobs are served strictly in order and the first job needs more memory
+// than any worker has.
 func TestUnplaceableJobDoesNotBlockQueue(t *testing.T) {
 	v := &BatchView{
 		Instances: []Instance{{ID: "w1", Total: slots(4, 60), Free: slots(4, 60)}},
@@ -100,9 +100,9 @@
 	}
 }
 
-// Failure guarded against: calls are sent to a dead instance because a report of
-// its former agent arrived after one of the new agent. With good and bad reports
-// mixed, decisions must be the same as with the good reports alone.
+// Guards against: calls are sent to a dead instance. It comes about when a report
+// of the instance's former agent arrives after a report of its new agent. With good
+// and bad reports mixed, decisions must be the same as with the good reports alone.
 func TestBadReportsChangeNoDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var mixed, clean Reports
@@ -155,11 +155,13 @@
 	})
 }
 
-// Failure guarded against: jobs wait forever beside free workers. Calls were slow
-// while a process was paused, and the kind that ran beside them is predicted to be
-// harmful on every instance; since its tasks no longer start, no measurement
-// corrects the prediction. One task must start every trialInterval. Where no call
-// has run for long, tasks start at once, since no call can be disturbed.
+// Guards against: jobs wait forever beside free workers. It comes about when calls
+// are slow while a process is paused, and the kind that ran beside them is then
+// predicted to be harmful on every instance. Its tasks no longer start, so no
+// measurement corrects the prediction.
+//
+// One task must start every trialInterval. On an instance without recent calls,
+// tasks must start at once, since they can disturb no call.
 func TestKindPredictedHarmfulIsTriedAgain(t *testing.T) {
 	m := NewInterference()
 	for range 40 {
@@ -197,11 +199,12 @@
 	}
 }
 
-// Failure guarded against: the first calls of a service took 4 s while their
-// backend server started, and later calls have deadlines of 2 s. By the learnt
-// time alone every later call would be refused, and since none is tried, no
-// measurement would correct it. A call may be refused as late only because of the
-// instance's measured time, which shrinks while there are no calls.
+// Guards against: every call with a deadline of 2 s is refused as late. It comes
+// about when the first calls of a service took 4 s, while their backend server
+// started. No later call is tried, so no measurement corrects the learnt time.
+//
+// A call may be refused as late only because of the instance's measured time, which
+// shrinks while there are no calls.
 func TestSlowFirstCallsDoNotRefuseLaterOnes(t *testing.T) {
 	m := NewInterference()
 	for range 4 {
--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// Failure guarded against: the agent throttles, the service recovers seconds
-// later, the agent restores the speed, and this repeats forever. The gap between
-// the two limits and the settling time prevent the oscillation.
+// Guards against: the agent throttles, the service recovers seconds later, the
+// agent restores the speed, and this repeats forever. The gap between the two
+// inflation limits and settleTime prevent this oscillation.
 func TestReliefDoesNotOscillate(t *testing.T) {
 	if th, ev, re, _ := simulateRelief(t, 0.5, 600); th+re+ev > 20 {
 		t.Errorf("%d throttles, %d restores, %d evictions in 600 s", th, re, ev)
@@ -110,9 +110,9 @@
 	}
 }
 
-// Failure guarded against: half the fleet is in quarantine after one customer
+// Guards against two mistakes: half the fleet is in quarantine after one customer
 // submits a broken job kind, or a kind is parked because one worker has a full
-// disk. A single failure fits both cases.
+// disk. A single failure is consistent with both causes.
 func TestBrokenWorkerAndBrokenKindAreDistinguished(t *testing.T) {
 	var h Health
 	worker := func(i int) structs.InstanceID { return structs.InstanceID(fmt.Sprint("w", i)) }
@@ -135,7 +135,7 @@
 			t.Errorf("%s: parked %v, %s", kind, parked, hold.Reason)
 		}
 	}
-	// A task started before the worker broke succeeds, which proves nothing.
+	// Success of tasks started before the worker broke must not release it.
 	h.Report(now, worker(7), "k0", true)
 	h.Report(now, worker(7), "k0", true)
 	if q, _, _ := h.Worker(now, worker(7)); !q {
@@ -160,10 +160,10 @@
 	}
 }
 
-// Failure guarded against: after an idle minute, calls within their customer's
-// quota are refused for 21 seconds, because new tasks have borrowed all slots and
-// run for at least 20 seconds. A slot owed to calls must be reclaimed after
-// reclaimDelay; a slot owed to a queued task evicts no new task.
+// Guards against: calls within their customer's quota are refused for 21 seconds.
+// It comes about when new tasks have borrowed all slots in an idle minute and are
+// not evicted for 20 seconds. A slot owed to calls must be reclaimed after
+// reclaimDelay. For a slot owed to a queued task, no new task may be evicted.
 func TestBorrowedSlotsOfNewTasksAreReclaimedForCalls(t *testing.T) {
 	firstEviction := func(calls int) time.Duration {
 		var memory ReliefMemory
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -9,8 +9,8 @@
 )
 
 // Demand tracks the number of slots needed at once over the last five seconds.
-// A slot can therefore be lent at the latest five seconds after its owner last
-// needed it. The zero value is ready for use.
+// Other customers can therefore borrow a slot at the latest five seconds after
+// its owner last needed it. The zero value is ready for use.
 type Demand struct {
 	peak    [demandBuckets]int
 	sum     [demandBuckets]int
@@ -51,16 +51,17 @@
 	return float64(sum) / float64(count)
 }
 
-// Recent returns SlotUse.Recent if each observation included the slot being
-// requested. It is above 0, since 0 means unknown.
+// Recent returns the value of SlotUse.Recent. Each observation must have counted
+// the slot being requested, which Recent subtracts. The result is above 0, since
+// 0 means unknown.
 func (d *Demand) Recent(now time.Duration) float64 {
 	const leastKnown = 1e-9
 	return max(leastKnown, d.Mean(now)-1)
 }
 
-// Expected returns the number of slots to keep ready, between mean and peak.
-// Keeping the whole peak leaves most of those slots idle, and a call that finds
-// none here usually finds one on another instance.
+// Expected returns the number of slots to keep ready, between mean and peak. As
+// many slots as the peak would be idle most of the time, and a call that finds no
+// free slot here usually finds one on another instance.
 func (d *Demand) Expected(now time.Duration) int {
 	return int(meanWeight*d.Mean(now) + (1-meanWeight)*float64(d.Peak(now)) + 0.5)
 }
--- a/decide/fairness_test.go
+++ b/decide/fairness_test.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// Failure guarded against: one customer submits a thousand jobs a moment before
-// another submits five, and in order of arrival the five wait for the thousand.
+// Guards against: the five jobs of one customer wait for a thousand jobs that
+// another customer submitted a moment earlier. It comes about when jobs are placed
+// in the order of arrival.
 func TestFloodOfJobsLeavesOthersTheirShare(t *testing.T) {
 	v := &BatchView{Contracts: map[structs.Customer]structs.Contract{"flood": contract("flood", 0.5), "calm": contract("calm", 0.25)}}
 	v.Instances = []Instance{{ID: "w", Total: slots(24, 100), Free: slots(24, 100)}}
--- a/decide/health.go
+++ b/decide/health.go
@@ -19,7 +19,8 @@
 	maxProbeDelay     = 30 * time.Minute
 	probesToRelease   = 2
 	maxHealthCells    = 65_536
-	// decayTolerance allows for the decay of recent whole counts.
+	// decayTolerance lowers the limits of failure counts, because counts decay:
+	// three recent failures count slightly less than 3.
 	decayTolerance = 0.05
 )
 
@@ -44,8 +45,8 @@
 	probeAt   time.Duration
 	backoff   time.Duration
 	successes int
-	// probeSent is set while the result of a probe is pending. Tasks started
-	// before the worker broke may still succeed and prove nothing.
+	// probeSent is set while the result of a probe is pending. Other outcomes are
+	// ignored: tasks started before the worker broke may still succeed.
 	probeSent bool
 }
 
@@ -55,9 +56,9 @@
 }
 
 // Health distinguishes workers that fail all tasks from job kinds that fail on
-// all workers. A single failure fits both; outcomes are therefore counted per
-// worker and kind, and only failures beyond those that its mix of kinds has on
-// other workers count against a worker. The zero value is ready for use.
+// all workers. A single failure is consistent with both, so outcomes are counted
+// per pair of worker and kind. A worker is quarantined only if it has more
+// failures than its kinds have on other workers. The zero value is ready for use.
 type Health struct {
 	cells        map[structs.InstanceID]map[structs.Kind]*outcomes
 	byKind       map[structs.Kind]map[structs.InstanceID]*outcomes
@@ -72,9 +73,9 @@
 func (h *Health) Counters() HealthCounters { return h.counters }
 
 // Report records the outcome of one run of a task of kind k on instance. ok is
-// false for a run that ended in an error, not for one that was stopped. Report
-// returns false if it drops the report, for example because it is older than the
-// newest one by more than the half-life.
+// false for a run that ended in an error, not for a run that was stopped. Report
+// returns false if it drops the report, for example a report that is older than
+// the newest one by more than healthHalfLife.
 func (h *Health) Report(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) bool {
 	if instance == "" || k == "" || now < 0 || now < h.newestReport-healthHalfLife {
 		h.counters.Dropped++
@@ -124,8 +125,8 @@
 	return c
 }
 
-// failureRateElsewhere returns the failure rate of k on workers other than
-// instance and not in quarantine, shrunk towards one half for few outcomes.
+// failureRateElsewhere returns the failure rate of k on all workers except
+// instance and those in quarantine, shrunk towards one half for few outcomes.
 func (h *Health) failureRateElsewhere(now time.Duration, k structs.Kind, instance structs.InstanceID) float64 {
 	successes, failures := 0.5, 0.5
 	for other, c := range h.byKind[k] {
@@ -157,9 +158,9 @@
 	if failed < minFailures-decayTolerance || failed/total < badWorkerRate {
 		return
 	}
-	// Three standard deviations would take dozens of failures. A fixed excess of
-	// whole failures over the expected ones decides sooner, and kinds that fail
-	// elsewhere too still do not reach it.
+	// An excess of three standard deviations would take dozens of failures. The
+	// limit is therefore an excess of at most excessFailures over the expected
+	// number. A worker whose kinds also fail elsewhere does not reach this limit.
 	if failed-expected < excessFailures*failed/(failed+1) || failed < 2*expected {
 		return
 	}
@@ -235,7 +236,7 @@
 }
 
 // Probing records that a probe was sent to instance. The next probe is due only
-// after the report of this one, or after the backoff if no report arrives.
+// after the report of this probe, or after the backoff if no report arrives.
 func (h *Health) Probing(now time.Duration, instance structs.InstanceID) {
 	q := h.quarantines[instance]
 	if q == nil {
--- a/decide/history.go
+++ b/decide/history.go
@@ -13,7 +13,7 @@
 	isLoad bool
 }
 
-// levelChange records that a level had the value before until the time at.
+// levelChange is a change of one level. before is the value until the change.
 type levelChange struct {
 	at     time.Duration
 	series seriesKey
@@ -27,8 +27,8 @@
 	retention time.Duration
 	changes   []levelChange
 	levels    map[seriesKey]float64
-	// newestChange is the time of the newest change, since the start of the
-	// oldest window that the history still covers.
+	// newestChange is the time of the newest change. since is the time from
+	// which on the history still has all changes.
 	newestChange, since time.Duration
 	dropped             uint64
 }
@@ -36,13 +36,13 @@
 // maxChanges bounds the memory of one history to about 200 KB.
 const maxChanges = 4096
 
-// NewHistory returns a history that covers the last retention.
+// NewHistory returns a history that covers the latest period of length retention.
 func NewHistory(retention time.Duration) *History {
 	return &History{retention: retention, levels: make(map[seriesKey]float64)}
 }
 
-// Dropped returns the number of refused changes and windows: out of order,
-// negative, in the future or no longer covered.
+// Dropped returns the number of changes refused as negative or out of order, and
+// of windows refused as empty, in the future or no longer covered.
 func (h *History) Dropped() uint64 { return h.dropped }
 
 // Add records at time now that the number of running tasks of kind k, each
@@ -94,8 +94,8 @@
 	h.changes = append(h.changes[:0], h.changes[first:]...)
 }
 
-// Window returns mean levels between from and to: of the tasks of each kind that
-// ran, appended to out[:0], and of the slots of service s in use. It returns
+// Window returns the mean number of running tasks of each kind between from and to,
+// appended to out[:0], and the mean number of slots of service s in use. It returns
 // false for a window that is empty, ends after now, or begins before the history.
 func (h *History) Window(now, from, to time.Duration, s structs.Service, out []Together) (kinds []Together, inUse float64, ok bool) {
 	out = out[:0]
@@ -117,7 +117,8 @@
 	return out, inUse, true
 }
 
-// mean iterates over the changes from the newest back to from.
+// mean returns the time-weighted mean of the series key between from and to. It
+// starts with the present level and reverts the changes from the newest back.
 func (h *History) mean(from, to time.Duration, key seriesKey, level float64) float64 {
 	sum, end := 0.0, to
 	for i := len(h.changes) - 1; i >= 0 && end > from; i-- {
--- a/decide/hold.go
+++ b/decide/hold.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// holdImpossible names the resource of which no instance has enough even when
-// empty. largest holds the largest amount of each resource on any one instance.
+// holdImpossible names the resource of which the job needs more than any empty
+// instance has. largest is the largest amount of each resource on one instance.
 func holdImpossible(need, largest structs.Resources) Hold {
 	h := Hold{Refusal: structs.RefusedNoCapacity}
 	switch {
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -57,8 +57,8 @@
 	Samples uint64
 	// Dropped counts samples with negative or absurd values.
 	Dropped uint64
-	// RegimeChanges counts how often a service's measurements deviated so
-	// persistently that the variances of its estimates were raised again.
+	// RegimeChanges counts how often the variances of a service's estimates
+	// were raised again (see detectRegimeChange).
 	RegimeChanges uint64
 	// Full counts pairs left out of a sample because the table is full.
 	Full uint64
@@ -73,7 +73,8 @@
 	driftVariance  = 0.00002
 	varianceFloor  = 1e-6
 	shrinkEvidence = 4.0
-	// priorWeight is the weight of the prior, in well-known pairs of a kind.
+	// priorWeight is the weight of the prior in the mean of a kind, in which a
+	// pair with enough samples has weight 1.
 	priorWeight     = 0.5
 	maxInflation    = 50.0
 	maxCount        = 10_000
@@ -81,15 +82,16 @@
 	regimeSlack     = 0.75
 	regimeThreshold = 8.0
 	regimeReset     = 0.25
-	// regimeBaseReset is far smaller: the undisturbed time is part of every
-	// sample, and with as much variance as the pairs it absorbs their residuals.
+	// regimeBaseReset is far smaller than regimeReset. The undisturbed time is
+	// part of every sample. With as much variance as the pairs, its estimate
+	// would absorb the residuals that the pairs cause.
 	regimeBaseReset   = 0.02
 	maxSampleDuration = time.Hour
 	// maxDeviation bounds the residual of one sample, in standard deviations.
 	maxDeviation = 3.0
-	// Bounds of a task's harm and of a service's undisturbed time, relative to
-	// its first measurement. They keep a series of bad samples from driving two
-	// terms apart without limit while their sum still fits the measurements.
+	// Bounds of a task's harm and of a service's undisturbed time, relative to the
+	// service's reference duration. Without bounds, a series of bad samples can
+	// drive two terms apart without limit while their sum fits the measurements.
 	lowestHarm, highestHarm = -0.02, 5.0
 	lowestBase, highestBase = 0.1, 3.0
 )
@@ -128,7 +130,7 @@
 //
 // A sample's service time is modelled as base + sum of count*harm over the kinds
 // that ran beside it. A residual is distributed over the terms by their
-// uncertainty, so that a well-known pair isn't charged with a new one's effect.
+// uncertainty, so that the effect of a new pair changes no well-known pair much.
 type Interference struct {
 	services map[structs.Service]*serviceState
 	pairs    int
@@ -254,9 +256,9 @@
 func clamp(x, low, high float64) float64 { return math.Max(low, math.Min(high, x)) }
 
 // detectRegimeChange raises the variances of a service's estimates again when
-// residuals keep one sign for longer than noise explains. With variances as small
-// as they become, a change of the workload would otherwise take hours to learn,
-// and calls would still be placed beside the wrong tasks.
+// residuals keep one sign for longer than noise explains. Variances shrink with
+// each sample. Without raising them, a change of the workload takes hours to
+// learn, and meanwhile calls are placed beside tasks that slow them down.
 func (m *Interference) detectRegimeChange(st *serviceState, s Sample, z float64) {
 	st.cusumHigh = math.Max(0, st.cusumHigh+z-regimeSlack)
 	st.cusumLow = math.Max(0, st.cusumLow-z-regimeSlack)
@@ -299,7 +301,8 @@
 	return p
 }
 
-// shrinkToKind shrinks a pair of little evidence towards the mean of its kind.
+// shrinkToKind returns the mean of e, shrunk towards the mean of its kind unless
+// e has much evidence.
 func (m *Interference) shrinkToKind(e *estimate, k structs.Kind, b LoadBand) float64 {
 	if e.evidence >= 8*shrinkEvidence {
 		return e.mean
@@ -316,7 +319,8 @@
 	return prior
 }
 
-// harm is relative to the service's reference duration; st may be nil.
+// harm returns the predicted harm of one task of kind k, relative to the service's
+// reference duration. st may be nil.
 func (m *Interference) harm(st *serviceState, k structs.Kind, b LoadBand) float64 {
 	if st != nil {
 		if p := st.pairs[k]; p != nil {
--- a/decide/learning_test.go
+++ b/decide/learning_test.go
@@ -10,8 +10,9 @@
 	"persimmonrock.example/structs"
 )
 
-// observe adds a sample of a service of 100 ms that each task of kind "bad" slows
-// down by harm and each of kind "good" not at all, with 5 % noise.
+// observe adds a sample of a service whose undisturbed time is 100 ms, with 5 %
+// noise. Each task of kind "bad" adds harm to the inflation, and tasks of kind
+// "good" add nothing.
 func observe(m *Interference, seed uint64, bad, good, harm float64) {
 	noise := 1 + 0.05*(2*unit(mix(seed))-1)
 	m.Observe(Sample{
@@ -54,10 +55,10 @@
 	}
 }
 
-// Failure guarded against: calls are slow for hours after a new release of a
-// batch kind. The kind now harms a service, but with the small variances learnt
-// over days the learner treats each slow answer as noise. It must raise the
-// variances when residuals keep one sign.
+// Guards against: calls are slow for hours after a new release of a batch kind. It
+// comes about when the new release harms a service and the variances, small after
+// days of samples, make the learner treat each slow answer as noise. The learner
+// must raise the variances when residuals keep one sign.
 func TestRegimeChangeIsLearntWithinFewSamples(t *testing.T) {
 	m := trainedModel(5000, 0.0)
 	for i := range 40 {
@@ -68,9 +69,9 @@
 	}
 }
 
-// Failure guarded against: every call of one service is refused as late. Two
-// terms whose sum fits the measurements diverge in opposite directions until the
-// predicted duration of a call is hours.
+// Guards against: every call of one service is refused as late. It comes about when
+// two terms whose sum fits the measurements diverge in opposite directions until
+// the predicted duration of a call is hours.
 func TestLearnerStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewInterference()
@@ -164,10 +165,10 @@
 	}
 }
 
-// Failure guarded against: every call of one service is refused as late. If
-// residuals are computed against the shrunk prediction while the unshrunk term is
-// updated, the term of a sparse pair has no effect on the next residual and
-// diverges until the predicted duration of a call is hours.
+// Guards against: every call of one service is refused as late. It comes about when
+// residuals are computed from the shrunk prediction but the unshrunk term is
+// updated. The term of a pair with few samples then has no effect on the next
+// residual and diverges until the predicted duration of a call is hours.
 func TestSparsePairsDoNotDiverge(t *testing.T) {
 	for seed := range uint64(20) {
 		m := NewInterference()
@@ -196,9 +197,9 @@
 	}
 }
 
-// Failure guarded against: forty jobs declare a tenth of the memory that they use
-// and are killed one after the other until four runs are enough to learn from.
-// One run proves that the declared size is too small.
+// Guards against: jobs are killed one after the other although one run proves that
+// their declared size is too small. It comes about when forty jobs declare a tenth
+// of the memory that they use and the size is learnt only from four runs on.
 func TestOneRunProvesADeclaredSizeTooSmall(t *testing.T) {
 	var s Sizes
 	declared := structs.Resources{Slots: 1, MemoryBytes: gigabyte}
--- a/decide/planner.go
+++ b/decide/planner.go
@@ -13,8 +13,8 @@
 	ID   structs.InstanceID
 	Zone structs.DataCentre
 	Rack string
-	// Total and Free are from the last load report, less later claims that the
-	// report may not include yet.
+	// Total and Free are from the last load report. Later claims, which the
+	// report may not include yet, are subtracted from Free.
 	Total, Free structs.Resources
 	Batch       []wire.BatchLoad
 	Services    []wire.ServiceLoad
@@ -24,8 +24,8 @@
 	// Draining, Quarantined and Suspect instances get no new tasks; Suspect ones
 	// have no recent load report.
 	Draining, Quarantined, Suspect bool
-	// Probe limits the instance to one task in this round, because it may fail
-	// every task that it starts (see Health).
+	// Probe limits the instance to one task in this round, because the instance
+	// may fail every task (see Health).
 	Probe bool
 }
 
@@ -86,9 +86,9 @@
 	fullScans       int
 	// cursor determines the start of the next search.
 	cursor int
-	// blocked is set once a job within its customer's share fitted only where it
-	// was predicted to disturb a service too much. blockedAt is the time of that
-	// or of the last trial.
+	// blocked is set once a job within its customer's share fitted only on
+	// instances where it was predicted to disturb a service too much. blockedAt
+	// is the time at which blocked was set, or the time of the last trial.
 	blocked   bool
 	blockedAt time.Duration
 }
@@ -103,11 +103,11 @@
 	hasContract   bool
 }
 
-// site is the part of an instance that changes within a round.
+// site is the state of an instance that changes within a round.
 type site struct {
 	free structs.Resources
-	// borrowReserve is the number of slots that borrowing tasks leave free
-	// besides the reserve for urgent calls.
+	// borrowReserve is the number of slots that borrowing tasks must leave free
+	// in addition to the reserve for urgent calls.
 	borrowReserve int
 	usable        bool
 }
@@ -122,8 +122,8 @@
 	maxFullScans = 256
 	maxNoFit     = 16
 	// borrowReservePart is the part of an instance's slots that tasks beyond their
-	// customer's share leave free: a borrowed slot is free again only when its
-	// task ends, while calls of others need one at once.
+	// customer's share must leave free. Calls of other customers need a slot at
+	// once, and a borrowed slot becomes free only when its task ends.
 	borrowReservePart = 0.15
 	maxCachedHolds    = 1024
 	// trialInterval is the minimum time between two trials of a planner.
@@ -134,10 +134,10 @@
 func (p *Planner) Counters() PlannerCounters { return p.counters }
 
 // PlaceBatch chooses up to limit jobs to start and returns the reasons why the
-// other jobs considered wait. Customers are served by weighted dominant share:
-// next is the one whose largest share of any resource is smallest relative to its
-// contract's share. A job that fits nowhere is skipped and blocks no other. Both
-// results are valid until the next call.
+// other jobs considered wait. Customers are served by weighted dominant share,
+// smallest first: the largest of a customer's shares of the resources, divided by
+// its contract's share. A job that fits nowhere is skipped and blocks no other.
+// Both results are valid until the next call.
 func (p *Planner) PlaceBatch(v *BatchView, m *Interference, limit int) (placed []Placement, holds map[structs.JobID]Hold) {
 	p.counters.Rounds++
 	p.reset(v, m)
@@ -191,8 +191,8 @@
 
 // urgentReserve returns the number of slots to keep free for the urgent calls of
 // an instance: half as many as calls run now, at least one for each service that
-// has a free slot, and at most half of the instance's slots. Without this bound,
-// an idle instance with more services than slots would run no batch tasks.
+// has a free slot, and at most half of the instance's slots. Without the upper
+// bound, an idle instance with more services than slots would run no batch tasks.
 func urgentReserve(in *Instance) int {
 	if in.Reserve > 0 {
 		return in.Reserve
@@ -324,12 +324,12 @@
 // trialDue reports whether one job may start where it is predicted to disturb
 // a service beyond the limit.
 //
-// Failure guarded against: a kind was measured beside calls that were slow for
-// another reason, such as a paused process, and is predicted to be harmful on
-// every instance. Its tasks are no longer placed, so no measurement corrects the
-// prediction, and jobs within their customer's share wait forever beside free
-// workers. As a guard, one such job starts every trialInterval where its
-// predicted harm is least; the agent throttles it if it disturbs a service.
+// Guards against: jobs within their customer's share wait forever beside free
+// workers. It comes about when calls are slow for another reason, such as a paused
+// process, and a kind that ran beside them is predicted to be harmful everywhere.
+// Tasks of the kind are no longer placed, so no measurement corrects the
+// prediction. Therefore one such job starts every trialInterval where its predicted
+// harm is least. The agent throttles the job if it disturbs a service.
 func (p *Planner) trialDue(now time.Duration) bool {
 	if !p.blocked {
 		p.blocked = true
@@ -338,10 +338,10 @@
 	return now-p.blockedAt >= trialInterval
 }
 
-// bestSite compares fitting instances from a start that advances with each call,
-// so that a large fleet costs no more than a small one while most instances have
-// free capacity. disturbed is set if the task fitted on an instance but would
-// disturb a service there beyond maxDisturbed.
+// bestSite returns the best of the first sampleSize instances that fit, or -1. The
+// start of the search advances with each call, so a large fleet costs no more than
+// a small one while most instances have free capacity. disturbed is set if the task
+// fits on an instance but would disturb a service there beyond maxDisturbed.
 func (p *Planner) bestSite(v *BatchView, w *Waiting, need structs.Resources, borrows bool, maxDisturbed float64) (best int, disturbed bool) {
 	n := len(p.sites)
 	kind := p.scores.kind(w.Kind)
@@ -387,8 +387,8 @@
 	return best, disturbed
 }
 
-// recordHold records why w waits. A need that exceeds every instance even when
-// empty has a reason of its own.
+// recordHold records why w waits. A need that exceeds the total of every instance
+// has a reason of its own.
 func (p *Planner) recordHold(v *BatchView, c *customerState, w *Waiting, need structs.Resources, borrows bool) {
 	p.counters.NoFit++
 	if !possibleSomewhere(v, need) {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -59,29 +59,31 @@
 
 // SlotUse is the use of slots by one customer on an instance.
 //
-// One row may have no customer: its Urgent and Expected are those of all urgent
-// calls of the instance together. Customers' peaks seldom coincide, so the common
-// peak bounds the slots to keep free far better than the sum of theirs.
+// One row may have no customer. Its Urgent and Expected are those of all urgent
+// calls of the instance together. Customers' peaks seldom coincide, so this common
+// peak is a far better bound of the slots to keep free than the sum of the peaks.
 type SlotUse struct {
 	Customer structs.Customer
 	// Urgent and Batch are slots in use.
 	Urgent, Batch int
 	// Right is the customer's Quota on this instance.
 	Right int
-	// Recent is the mean number of slots that its urgent calls held over the
-	// last seconds (see Demand.Recent). It distinguishes a burst from a flood. 0
-	// means unknown; then all slots reserved for others stay free.
+	// Recent is the mean number of slots that the customer's urgent calls held
+	// over the last seconds (see Demand.Recent). It distinguishes a short burst
+	// from a flood, which lasts. 0 means unknown; then all slots reserved for
+	// others stay free.
 	Recent float64
-	// Expected is the number of slots that its urgent calls are expected to need
-	// at once (see Demand.Expected). Others may borrow the rest of the quota.
+	// Expected is the number of slots that the customer's urgent calls are
+	// expected to need at once (see Demand.Expected). Other customers may borrow
+	// the rest of the quota.
 	Expected int
 }
 
 func (u *SlotUse) held() int { return u.Urgent + u.Batch }
 
 // reserved returns the number of slots that must stay free for u: those that its
-// urgent calls are expected to need beyond those they hold, within its quota. Its
-// own batch tasks do not reduce it: they must yield to its calls (see Relieve).
+// urgent calls are expected to need beyond those they hold, within its quota. Batch
+// tasks of u do not reduce the number: they must yield to its calls (see Relieve).
 func (u *SlotUse) reserved() int {
 	return max(0, min(u.Expected, u.Right)-u.Urgent)
 }
@@ -106,12 +108,13 @@
 
 // AdmitUrgent decides at the agent whether one more urgent call of c starts.
 // quota is the customer's Quota on the instance. While the customer holds fewer
-// slots than that, batch tasks included, a free slot is enough. Beyond it the
-// customer borrows: freely for a burst, but only slots that others don't need once
-// its calls alone have used most of its share for seconds (see slotsKeptFree).
+// slots than quota, batch tasks included, a free slot is enough. Beyond quota the
+// customer borrows: any free slot in a short burst, but only slots that others
+// don't need once its calls have used most of its share for seconds (see
+// slotsKeptFree).
 //
-// The agent calls it twice for each call: for the slots of the instance, and for
-// the slots of the service, with uses and free of the service alone.
+// The agent calls AdmitUrgent twice for each call: for the slots of the instance,
+// and for the slots of the service, with uses and free of the service alone.
 func AdmitUrgent(uses []SlotUse, c structs.Contract, quota int, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
 		return false, holdNoContract(c.Customer)
@@ -133,15 +136,15 @@
 }
 
 const (
-	// A customer borrows freely while its recent mean is at most burstLimit times
-	// its share, and leaves all slots reserved for others free from floodStart
-	// on. Quotas on one instance are small numbers: a customer may well exceed
-	// its quota here and be within its contract over all instances.
+	// A customer borrows any free slot while its recent mean is at most burstLimit
+	// times its share. From floodStart times its share on, it must leave all slots
+	// reserved for others free. Quotas on one instance are small numbers: a customer
+	// may exceed its quota here and be within its contract over all instances.
 	burstLimit = 0.5
 	floodStart = 0.9
-	// floodReservePart is the part of all slots that a flood leaves free besides
-	// the reserved ones. Calls occupy a freed slot faster than the queue's owner
-	// can place a task; otherwise a flood of calls starves others' batch tasks.
+	// floodReservePart is the part of all slots that a flood of calls must leave
+	// free in addition to the reserved ones. Without it the flood starves others'
+	// batch tasks: calls take a freed slot before the queue's owner can place a task.
 	floodReservePart = 0.5
 )
 
@@ -174,8 +177,8 @@
 	}
 }
 
-// AdmitBatch decides at the agent whether a claimed task of c starts. It must fit
-// and leave free the slots that all urgent calls, those of c included, are
+// AdmitBatch decides at the agent whether a claimed task of c starts. The task must
+// fit and leave free the slots that all urgent calls, those of c included, are
 // expected to need.
 func AdmitBatch(uses []SlotUse, c structs.Contract, quota int, need, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
@@ -207,8 +210,8 @@
 }
 
 const (
-	// maxCallsPart is the part of a customer's quota that the recent mean of its
-	// calls may use before its tasks can borrow no more slots.
+	// maxCallsPart is the part of a customer's quota up to which the recent mean of
+	// its calls may rise while its tasks still borrow slots.
 	maxCallsPart = 0.4
 	// minFloodQuota replaces a smaller quota: one call at a time is no flood.
 	minFloodQuota = 2
@@ -217,11 +220,11 @@
 // floodsWithCalls reports whether a customer's calls use so much of its quota
 // that its tasks must not borrow slots in addition.
 //
-// Failure guarded against: a customer sends floods of calls and of jobs. Its calls
-// stay within its quota and its tasks hold borrowed slots beside them; the calls
-// of others find no free slot and retry later, and their p99 rises by a fifth. As
-// a guard, tasks borrow only while the calls leave most of the quota unused, as
-// they do in normal operation.
+// Guards against: the p99 of other customers' calls rises by a fifth, because they
+// find no free slot and retry later. It comes about when one customer sends floods
+// of calls and of jobs: its calls stay within its quota while its tasks hold
+// borrowed slots. Tasks therefore borrow only while the calls of their customer
+// leave most of its quota unused, as is normal.
 func floodsWithCalls(u *SlotUse, quota int) bool {
 	return u.Recent > maxCallsPart*float64(max(quota, minFloodQuota))
 }
@@ -233,7 +236,6 @@
 		need.Connections <= free.Connections && nonNegative(need)
 }
 
-// nonNegative reports whether no amount is negative.
 func nonNegative(r structs.Resources) bool {
 	return r.Slots >= 0 && r.MilliCores >= 0 && r.MemoryBytes >= 0 && r.Accelerators >= 0 && r.Connections >= 0
 }
--- a/decide/relief.go
+++ b/decide/relief.go
@@ -16,7 +16,7 @@
 	// Time is the recent median duration of a call; 0 if no call ended.
 	Time         time.Duration
 	InUse, Slots int
-	// Calls is the number of calls behind Time; 0 counts as assumedCalls.
+	// Calls is the number of calls measured for Time; 0 counts as assumedCalls.
 	Calls int
 }
 
@@ -29,7 +29,7 @@
 	// Ran is the duration of this run so far.
 	Ran time.Duration
 	// Progress is the part of the job done, Saved the part held by its last
-	// checkpoint, 0 to 1. Runtime is the whole job's expected duration.
+	// checkpoint; both 0 to 1. Runtime is the whole job's expected duration.
 	Progress, Saved float64
 	Runtime         time.Duration
 	// Speed is the present throttle setting, 1 for none.
@@ -47,8 +47,8 @@
 	// MemoryBytes is the instance's memory, 0 when unknown.
 	MemoryBytes int64
 	// SlotsOwed is the number of slots that urgent calls or tasks within their
-	// customer's quota could not get since the last call of Relieve, CallsOwed
-	// the part of it that calls could not get.
+	// customer's quota could not get since the last call of Relieve. CallsOwed
+	// is the part of SlotsOwed that calls could not get.
 	SlotsOwed, CallsOwed int
 }
 
@@ -73,27 +73,28 @@
 
 // Tuning of Relieve.
 const (
-	// Tasks are throttled if a service's inflation is above toleratedInflation,
-	// and sped up again below restoredInflation. The gap is the hysteresis.
+	// Tasks are throttled if a service's inflation is above toleratedInflation.
+	// Their speed is raised again below restoredInflation, for hysteresis.
 	toleratedInflation = 2.6
 	restoredInflation  = 2.2
 	// equalWeightCalls is the number of calls at which a measurement has the same
-	// weight as the prediction; few prove little, since calls differ in size.
-	// assumedCalls replaces an unknown number.
+	// weight as the prediction. A few calls are weak evidence, since calls differ
+	// in size. assumedCalls replaces an unknown number of calls.
 	equalWeightCalls = 20
 	assumedCalls     = 8
 	// targetPart is the part of the latency target that the median may use.
 	targetPart = 0.5
 	// settleTime is the time until reports show the effect of an action.
 	settleTime = 2 * time.Second
-	// evictAfter is the time of pressure despite throttling before an eviction.
+	// evictAfter is the time for which a service must be over its limit, despite
+	// throttling, before a task is evicted.
 	evictAfter = 15 * time.Second
-	// minRunTime is the time a task runs before it may be evicted for pressure or
-	// for a slot owed to a task, but not for lack of memory or for calls.
+	// minRunTime is the least run time of a task evicted for pressure or for a slot
+	// owed to a task. Evictions for memory or for a slot owed to calls ignore it.
 	minRunTime = 20 * time.Second
 	minSpeed   = 0.125
 	// reclaimDelay is the time for which slots must be owed without a break before
-	// a task on a borrowed slot is evicted: most such tasks end by then.
+	// a task on a borrowed slot is evicted. Most tasks on borrowed slots end sooner.
 	reclaimDelay = 4 * time.Second
 	speedStep    = 0.5
 	maxActions   = 64
@@ -121,9 +122,9 @@
 	evicted        []bool
 }
 
-// Relieve returns the actions at time now against disturbed services, lack of
-// memory and owed slots. For disturbed services it throttles first and evicts
-// last. The result is valid until the next call with the same tracker.
+// Relieve returns the actions at time now against disturbance of services, lack of
+// memory and owed slots. Against disturbance it throttles first and evicts last.
+// The result is valid until the next call with the same tracker.
 func Relieve(now time.Duration, st ReliefState, m *Interference, tracker *ReliefMemory) []Action {
 	tracker.reset(&st)
 	tracker.freeMemory(&st)
@@ -205,10 +206,10 @@
 // reclaimBorrowed evicts one task that holds a borrowed slot when slots have been
 // owed for reclaimDelay without a break.
 //
-// Failure guarded against: newly started tasks have borrowed all slots, and calls
-// within their customer's quota are refused for 20 seconds, until one task has
-// run for minRunTime, three times as long as urgent work may wait for its start.
-// As a guard, minRunTime does not protect a task if slots are owed to calls.
+// Guards against: calls within their customer's quota are refused for 20 seconds,
+// three times as long as urgent work may wait for its start. It comes about when
+// newly started tasks have borrowed all slots and minRunTime protects them.
+// minRunTime therefore does not protect a task if slots are owed to calls.
 func (r *ReliefMemory) reclaimBorrowed(now time.Duration, st *ReliefState) {
 	if st.SlotsOwed <= 0 {
 		r.owed = false
@@ -237,7 +238,8 @@
 }
 
 // chooseVictim returns the task with the least loss of progress per unit of
-// relief, among those that ran for at least minRan and give relief; -1 for none.
+// relief. It considers tasks that ran for at least minRan and give relief, and
+// returns -1 if there are none.
 func (r *ReliefMemory) chooseVictim(st *ReliefState, minRan time.Duration, relief func(*RunningTask) float64) int {
 	best, bestCost := -1, math.Inf(1)
 	for i := range st.Tasks {
@@ -292,8 +294,8 @@
 	return worst, worstInflation
 }
 
-// estimatedInflation returns the weighted mean of the measured inflation, which
-// is delayed and rests on few calls, and the one predicted from the present tasks.
+// estimatedInflation returns the weighted mean of the measured inflation, which is
+// delayed and rests on few calls, and the inflation predicted from the present tasks.
 func (r *ReliefMemory) estimatedInflation(st *ReliefState, m *Interference, s *ServicePressure, base time.Duration) float64 {
 	calls := float64(s.Calls)
 	if s.Calls <= 0 {
--- a/decide/reserve_test.go
+++ b/decide/reserve_test.go
@@ -7,9 +7,9 @@
 	"persimmonrock.example/wire"
 )
 
-// Failure guarded against: a job waits forever with "no free place fits now" on an
-// instance with two idle services and two slots, because one slot is reserved for
-// each service.
+// Guards against: a job waits forever with "no free place fits now" on an instance
+// with two idle services and two slots. It comes about when one slot is reserved
+// for each service.
 func TestUrgentReserveLeavesHalfToBatch(t *testing.T) {
 	idle := func(slots, services int) *Instance {
 		in := &Instance{Total: structs.Resources{Slots: slots}}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -12,9 +12,9 @@
 	maxRetryAfter = 60 * time.Second
 )
 
-// RetryAfter returns the time after which a retry may succeed: the time that
-// slots need to serve a queue of queueLen at serviceTime each, plus up to as much
-// again at random, so that callers refused together do not retry together.
+// RetryAfter returns the time after which a retry may succeed: the time in which
+// slots serve a queue of queueLen calls of serviceTime each, plus a random time of
+// at most the same length. Callers refused together thus do not retry together.
 func RetryAfter(queueLen, slots int, serviceTime time.Duration, random uint64) time.Duration {
 	wait := minRetryAfter
 	if serviceTime > 0 && queueLen > 0 {
@@ -25,17 +25,17 @@
 	return wait + time.Duration(unit(mix(random))*float64(wait))
 }
 
-// Retry budget: each first attempt adds a twentieth of a retry, up to a burst,
-// so attempts stay under 1.05 per call in a long outage. A slow refill lets
-// customers with few calls retry at all.
+// Retry budget: each first attempt adds a twentieth of a retry, up to a burst, so a
+// customer with many calls makes about 1.05 attempts per call in a long outage. A
+// slow refill over time lets customers with few calls retry, too.
 const (
 	retryPerCall = 0.05
 	retryBurst   = 20.0
 	retryRefill  = 0.1 // per second
-	// hedgeReserve is the number of tokens that a hedge at p95 leaves. One call in
-	// twenty reaches p95, which would use all tokens earned, and most of these
-	// calls end a moment later: without a reserve, a call that waits much longer,
-	// or whose attempt failed, finds no token.
+	// hedgeReserve is the number of tokens that a hedge at p95 must leave. One call
+	// in twenty reaches p95. Hedging them all would use all tokens earned, although
+	// most of them end a moment later. Without a reserve, a call that waits much
+	// longer, or whose attempt failed, finds no token.
 	hedgeReserve = 15.0
 	maxBudgets   = 4096
 )
@@ -45,7 +45,7 @@
 	updated time.Duration
 }
 
-// RetryBudgetCounters counts calls, and attempts that were allowed and refused.
+// RetryBudgetCounters counts calls, and the retries and hedges allowed and refused.
 type RetryBudgetCounters struct {
 	Calls, Retries, Refused, HedgesRefused uint64
 }
@@ -81,8 +81,8 @@
 }
 
 // Hedge reports whether a second copy of a call may be sent while the first still
-// runs, and takes a token if so: only for an idempotent call, only once the first
-// has taken the 95th percentile of such calls, p95, and only with a token above a
+// runs, and takes a token if so. The call must be idempotent and have waited for at
+// least p95, the 95th percentile of such calls. A token must be left above a
 // reserve, which shrinks with the time that the call has waited.
 func (b *RetryBudget) Hedge(now time.Duration, c structs.Customer, idempotent bool, waited, p95, remaining time.Duration) bool {
 	if !idempotent || p95 <= 0 || waited < p95 || remaining <= 0 {
--- a/decide/scorer.go
+++ b/decide/scorer.go
@@ -10,18 +10,18 @@
 	// strainWeight increases the weight of harm where a service is already
 	// disturbed: the slowest answers come from the most disturbed instances.
 	strainWeight = 1.0
-	// fitWeight prefers the fuller instance among equally harmed ones, so that
-	// others keep free capacity for large jobs.
+	// fitWeight prefers the fuller of two equally harmed instances, so that the
+	// other one keeps free capacity for large jobs.
 	fitWeight = 0.05
 	// idleWeight is the part of a service's harm that counts even while no
 	// call runs, since calls may arrive.
 	idleWeight = 0.25
-	// A task is not placed where a service would be disturbed beyond
-	// maxOwnInflation or, for a task beyond its customer's share,
-	// maxBorrowedInflation, so that a flood does not slow down others.
+	// A task is not placed where a service's inflation would exceed
+	// maxOwnInflation. For a task beyond its customer's share the limit is
+	// maxBorrowedInflation, so that a flood of jobs does not slow down others.
 	maxOwnInflation      = 2.3
 	maxBorrowedInflation = 1.3
-	// negligibleHarm is the harm up to which a task is never excluded.
+	// negligibleHarm is the harm up to which these limits exclude no task.
 	negligibleHarm = 0.025
 )
 
@@ -33,7 +33,8 @@
 	weight    float64
 	inflation float64
 	// idle is set if no call runs and the last one ended so long ago that the
-	// service has no measured time: tasks are not excluded, as no call is disturbed.
+	// service has no measured time. No task is excluded then, since no call is
+	// disturbed.
 	idle bool
 }
 
@@ -43,8 +44,8 @@
 // maxNames bounds the kinds and the services kept between rounds.
 const maxNames = 4096
 
-// scorer rates instances for one kind of task. Services and kinds are numbered
-// and predictions cached in a table, so that rating an instance reads no map. The
+// scorer rates instances for one kind of task. Services and kinds have numbers, and
+// predictions are cached in a table, so that rating an instance reads no map. The
 // present inflation on an instance is computed once a round, at first use.
 type scorer struct {
 	model         *Interference
@@ -104,7 +105,7 @@
 	return i
 }
 
-// harm returns the predicted inflation of a service by one task, less 1.
+// harm returns the predicted inflation of a service by one task, minus 1.
 func (s *scorer) harm(service int32, b LoadBand, kind int32) float64 {
 	if int(kind) >= s.stride {
 		s.stride = max(2*s.stride, len(s.kindNames))
--- a/decide/sizes.go
+++ b/decide/sizes.go
@@ -11,8 +11,8 @@
 const (
 	sizeSamples = 32
 	minSizeRuns = 4
-	// Lack of memory kills a task, so its estimate is conservative. Processors
-	// are shared: a few tasks together use about the median each.
+	// Lack of memory kills a task, so the estimate of memory is conservative.
+	// Processors are shared: a few tasks together use about the median each.
 	memoryQuantile  = 0.95
 	coreQuantile    = 0.5
 	runtimeQuantile = 0.95
@@ -28,8 +28,8 @@
 	kind     structs.Kind
 }
 
-// ring holds the last values and a sorted copy, so that reading a quantile
-// needs no sort.
+// ring holds the last sizeSamples values and a sorted copy of them, so that
+// reading a quantile needs no sort.
 type ring struct {
 	values, sorted [sizeSamples]int64
 	count, next    int
@@ -65,9 +65,9 @@
 // values or for lack of a free row.
 func (s *Sizes) Dropped() uint64 { return s.dropped }
 
-// Observe records the peak use and the duration of one run, 0 if unknown. Callers
-// must pass only runs that completed or were stopped for using too much. It
-// returns false if it drops the measurement.
+// Observe records the peak use and the duration of one run; unknown values are 0.
+// Callers must pass only runs that completed or were stopped for using too much.
+// Observe returns false if it drops the measurement.
 func (s *Sizes) Observe(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) bool {
 	bad := !nonNegative(used) || used.MemoryBytes > maxMemory || used.MilliCores > maxMilliCores ||
 		ran < 0 || ran > maxRuntime || k == ""
@@ -107,10 +107,10 @@
 	return r
 }
 
-// Estimate returns the expected use and run time of a job: with enough runs, the
-// 95th percentile of measured memory plus a margin, the median of processor use
-// and the 95th percentile of run time; before that the declared values, or the
-// most memory of the runs so far plus the margin if that is more. Slots,
+// Estimate returns the expected use and run time of a job. After minSizeRuns runs
+// these are the 95th percentile of memory plus a margin, the median of processor
+// use and the 95th percentile of run time. Before that, they are the declared
+// values, but memory is at least the most that a run used plus the margin. Slots,
 // accelerators and connections are as declared, since they are allocated whole.
 func (s *Sizes) Estimate(c structs.Customer, k structs.Kind, declared structs.Resources, runtime time.Duration) (structs.Resources, time.Duration) {
 	r := s.rows[sizeKey{c, k}]
--- a/decide/urgent.go
+++ b/decide/urgent.go
@@ -13,7 +13,7 @@
 	Zone     structs.DataCentre
 	// Slots and InUse are those of the service, from the last load report. If the
 	// instance has fewer free slots than the service, Slots is InUse plus the
-	// instance's free slots, since calls and tasks share them.
+	// instance's free slots, since calls and tasks share the instance.
 	Slots, InUse int
 	// ServiceTime is the recent median duration of a call here; 0 if unknown.
 	ServiceTime time.Duration
@@ -27,7 +27,7 @@
 	Outstanding int
 }
 
-// UrgentQuery describes one attempt of a call to be placed.
+// UrgentQuery describes one attempt to place a call.
 type UrgentQuery struct {
 	Service  structs.Service
 	Customer structs.Customer
@@ -54,8 +54,9 @@
 
 // ChooseUrgent returns the index of the candidate for the next attempt, or -1
 // and the reason why there is none. It compares three random usable candidates of
-// the entry's data centre by predicted duration, and considers other data centres
-// only if the best one is missing, down to its last free slot, or late.
+// the entry's data centre by predicted duration. It considers other data centres
+// only if there is no such candidate, or if the best one has only one free slot or
+// would miss the deadline.
 func ChooseUrgent(q UrgentQuery, cs []Candidate, m *Interference) (index int, hold Hold) {
 	if len(cs) == 0 {
 		return -1, Hold{Reason: ReasonNoBackend, Refusal: structs.RefusedUnknownService}
@@ -80,8 +81,8 @@
 	return -1, noCandidateHold(&q, cs, local.index >= 0 || remote.index >= 0)
 }
 
-// choice is the best candidate so far; index is -1 for none. score ranks it,
-// time determines whether it is late.
+// choice is the best candidate so far; index is -1 for none. score ranks the
+// candidate, and time determines whether it would miss the deadline.
 type choice struct {
 	index       int
 	score, time time.Duration
@@ -98,9 +99,9 @@
 	}
 }
 
-// pick draws at random until it has compared enough usable candidates of the
-// local (or another) data centre. If few are usable, it scans all from a random
-// start, so that a single free one is always found.
+// pick draws at random until it has compared enough usable candidates, either of
+// the local data centre or of all others. If few are usable, it scans all of them
+// from a random start, so that a single usable candidate is always found.
 func pick(q *UrgentQuery, cs []Candidate, m *serviceModel, local bool) choice {
 	best, found := choice{index: -1}, 0
 	r := q.Random
@@ -158,16 +159,17 @@
 }
 
 // predictDuration returns the likely duration of the call on c. The measured
-// service time is delayed, the learnt one ignores properties of the instance; the
-// age of the report determines their weights. confirmed is the part of likely
-// that the instance's own calls support; only by it is a call refused as late.
+// service time is delayed, and the learnt one ignores properties of the instance;
+// the age of the report determines their weights. confirmed is the part of likely
+// that calls measured on the instance support. A call is refused as late only if
+// confirmed exceeds the time left.
 //
-// Failure guarded against: the first calls of a service took 4 s, so calls with a
-// deadline of 2 s are refused because of the learnt time. Since none is tried, no
-// measurement corrects it however fast the service is by then, and the reason "no
-// backend server would answer before the deadline" persists. As a guard, the
-// measured time of an instance without calls shrinks at its agent, and an
-// instance without a measured time is tried.
+// Guards against: all calls with a deadline of 2 s are refused with "no backend
+// server would answer before the deadline", although the service is fast. It comes
+// about when the first calls of the service took 4 s. No call is tried then, so no
+// measurement corrects the learnt time. Therefore the measured time of an instance
+// without calls shrinks at its agent, and an instance without a measured time is
+// tried.
 func predictDuration(c *Candidate, m *serviceModel) (likely, confirmed time.Duration) {
 	measured := max(c.ServiceTime, 0)
 	if m.st == nil {
@@ -192,10 +194,10 @@
 	return likely, min(likely, confirmed)
 }
 
-// penalizeOccupancy adds up to an eighth for slots in use, so that the emptier of
-// two equal candidates is chosen, and half as much again for the last free slot:
-// by the time the call arrives, another entry's call or a task has often taken
-// it, and the refusal costs an attempt.
+// penalizeOccupancy adds up to an eighth to t for slots in use, so that the emptier
+// of two equal candidates is chosen. It adds half of the sum if only one slot is
+// free: by the time the call arrives, another entry's call or a task has often
+// taken the slot, and the refusal costs an attempt.
 func penalizeOccupancy(t time.Duration, c *Candidate) time.Duration {
 	t += (t/8 + 1) * time.Duration(busySlots(c)) / time.Duration(max(c.Slots, 1))
 	if onLastSlot(c) {
