--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -1,8 +1,9 @@
 // Package baseline contains simple policies, as a careful operator would write
-// them, to compare with the project's own: least loaded without interference, a
-// static split of slots between urgent calls and batch tasks, and eviction above
-// a threshold without prediction. All serve customers by slots held relative to
-// share, skip jobs that don't fit, and trust declared sizes.
+// them, to compare with the project's own policy: least loaded without regard to
+// interference, a static split of slots between urgent calls and batch tasks, and
+// eviction above a threshold without prediction. All of them serve first the
+// customer with the fewest slots relative to its share, skip jobs that don't fit,
+// and trust declared sizes.
 package baseline
 
 import (
@@ -20,7 +21,7 @@
 func (LeastLoaded) Name() string { return "least loaded" }
 
 // Urgent chooses the instance of the local data centre with the smallest part of
-// its slots in use, or one of another data centre when all local ones are full.
+// its slots in use. If all local instances are full, it chooses among the others.
 func (LeastLoaded) Urgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	best, bestLoad := -1, 2.0
 	start := int(q.Random % uint64(len(cs)))
@@ -67,8 +68,8 @@
 // Reserve keeps no slots free.
 func (LeastLoaded) Reserve(time.Duration, *policy.Agent) int { return 0 }
 
-// Place serves the customer that holds least relative to its share, on the
-// instance with the most free slots.
+// Place serves first the customer that holds the fewest slots relative to its share,
+// and places its job on the instance with the most free slots.
 func (LeastLoaded) Place(_ time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	return place(v, limit, func(in *decide.Instance) int { return in.Free.Slots })
 }
@@ -108,19 +109,19 @@
 // Name implements policy.Policy.
 func (StaticSplit) Name() string { return "static split" }
 
-// AdmitUrgent limits calls to their part of the slots.
+// AdmitUrgent limits calls to the slots that are not for batch tasks.
 func (s StaticSplit) AdmitUrgent(_ time.Duration, a *policy.Agent, _ structs.Contract) bool {
 	urgent, _ := held(a)
 	return urgent < a.Total.Slots-s.batchSlots(a.Total)
 }
 
-// AdmitBatch limits tasks to their part of the slots.
+// AdmitBatch limits tasks to the slots for batch tasks.
 func (s StaticSplit) AdmitBatch(_ time.Duration, a *policy.Agent, _ structs.Contract, need structs.Resources) bool {
 	_, batch := held(a)
 	return batch+need.Slots <= s.batchSlots(a.Total) && fits(need, a.Free)
 }
 
-// Place places tasks as LeastLoaded does, within the batch part.
+// Place places tasks as LeastLoaded does, within the slots for batch tasks.
 func (s StaticSplit) Place(_ time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	for i := range v.Instances {
 		in := &v.Instances[i]
@@ -146,8 +147,9 @@
 	return urgent, batch
 }
 
-// ThresholdEviction is LeastLoaded and evicts the task that started last when a
-// service's measured time is above a multiple of the best one of the service.
+// ThresholdEviction is LeastLoaded with evictions: it evicts the task with the
+// shortest run so far when a service's measured time is above a multiple of the
+// service's best time.
 type ThresholdEviction struct {
 	LeastLoaded
 	// Above is the multiple, Pause the time between evictions on an instance.
@@ -199,8 +201,9 @@
 	return nil
 }
 
-// place serves the customer that holds the fewest slots relative to its share and
-// puts its first job that fits where capacity is greatest, up to limit times.
+// place places up to limit jobs. Each time it takes the next job of the customer that
+// holds the fewest slots relative to its share, and places it on the instance with
+// the greatest capacity. A job that fits nowhere is skipped.
 func place(v *decide.BatchView, limit int, capacity func(*decide.Instance) int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	var placed []decide.Placement
 	queues := make(map[structs.Customer][]int)
