--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -1,6 +1,6 @@
-// Package relief keeps batch tasks from disturbing the services of an instance:
-// it learns how kinds of task disturb services from the tasks that ran in each
-// measured window, and throttles first and evicts last.
+// Package relief keeps batch tasks from disturbing the services of an instance. It
+// learns how much each kind of task disturbs each service, from the tasks that ran
+// in each measured window. It throttles tasks first and evicts them last.
 package relief
 
 import (
@@ -18,7 +18,7 @@
 
 // Tuning of the controller.
 const (
-	// Every is the time between checks; it is also the measured window.
+	// Every is the time between checks and the length of the measured window.
 	Every = time.Second
 	// historyRetention is the time for which the history of tasks is kept.
 	historyRetention = time.Minute
@@ -111,8 +111,9 @@
 	return append([]decide.Action(nil), decide.Relieve(now, state, c.model, &c.state)...)
 }
 
-// learn observes a window as a sample of the tasks that ran beside its calls.
-// The calls began up to their own duration before the window.
+// learn adds a sample of the calls of a window and the tasks that ran beside them.
+// Calls of the window may have begun before it, so the tasks are taken from a
+// median duration earlier on.
 func (c *Controller) learn(now time.Duration, w ledger.Window) {
 	if w.Calls == 0 || c.lastCheck == 0 {
 		return
@@ -132,8 +133,8 @@
 	}
 }
 
-// Sample returns the next measurement, at most one, for the receiver described
-// by sent, and records it in sent.
+// Sample returns at most one measurement that the receiver of sent does not have
+// yet, and records it in sent.
 func (c *Controller) Sample(sent Sent) []wire.Sample {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/relief/relief_test.go
+++ b/agent/relief/relief_test.go
@@ -12,9 +12,9 @@
 	"persimmonrock.example/structs"
 )
 
-// Noisy tasks start beside a service whose calls then take three times as long.
-// They must be throttled within seconds, and one may be evicted only at least 10 s
-// after throttling began.
+// Noisy tasks start beside a service, and its calls then take three times as long.
+// A task must be throttled within 5 s. A task may be evicted only 10 s or more after
+// the first was throttled.
 func TestThrottleFirstEvictLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := ledger.New(ledger.Config{Total: structs.Resources{Slots: 8}})
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// minInformativeCalls is the number of calls that make a window worth
-	// sending; calls differ in size, so fewer prove little about the tasks.
+	// minInformativeCalls is the number of calls from which a window replaces the
+	// last sample at once. Calls differ in size, so fewer calls are weak evidence
+	// about the tasks beside them.
 	minInformativeCalls = 3
-	// maxInformativeAge is the age at which a window of fewer calls replaces the
-	// last sample.
+	// maxInformativeAge is the age of the last sample from which a window of fewer
+	// calls replaces it.
 	maxInformativeAge = 10 * time.Second
-	// countResolution is the unit to which counts of tasks are rounded: a number
-	// of few bits takes two or three bytes of a heartbeat, an exact mean nine.
+	// countResolution is the unit to which mean counts of tasks are rounded. A
+	// rounded count takes two or three bytes of a heartbeat, an exact one nine.
 	countResolution = 1.0 / 16
 )
 
@@ -51,8 +52,8 @@
 // service sent to it.
 type Sent map[structs.Service]uint64
 
-// next returns the newest measurement of the service that has waited longest,
-// and records it in sent.
+// next returns the newest measurement of the service whose last sent measurement
+// is the oldest, and records it in sent.
 func (s *samples) next(sent Sent) []wire.Sample {
 	best := numberedSample{}
 	for name, k := range s.latest {
@@ -71,7 +72,7 @@
 	return []wire.Sample{best.sample}
 }
 
-// toWire copies a sample, since the history reuses its buffer.
+// toWire copies a sample, since the buffer of its Together is reused.
 func toWire(sample decide.Sample) wire.Sample {
 	out := wire.Sample{Service: sample.Service, Band: uint8(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls}
 	for _, t := range sample.Together {
--- a/agent/relief/samples_test.go
+++ b/agent/relief/samples_test.go
@@ -17,9 +17,9 @@
 	return out
 }
 
-// Failure guarded against: an entry never receives the sample of one of three
-// services because the busier ones' windows are always newer. The service that
-// waits longest must be sent first, and no sample twice.
+// Guards against: an entry never receives the samples of one service. It comes about
+// when the windows of busier services are always newer and are sent first. The
+// service that waits longest must come first, and no sample may be sent twice.
 func TestEachServiceIsSentInTurnAndOnce(t *testing.T) {
 	s, sent := newSamples(), make(Sent)
 	for _, name := range []structs.Service{"a", "b", "c"} {
