--- a/decide/pressure/belief.go
+++ b/decide/pressure/belief.go
@@ -4,14 +4,13 @@
 
 // A pair has a weight either near 0 or of about 1 or more: two programs
 // contend for the same part of the processor or they don't. With this prior,
-// one or two samples classify a pair, where a mean over all weights needs
-// several.
+// one or two samples classify a pair. A mean over all weights needs several.
 
 const (
 	// sampleNoise is the standard deviation of the noise in a sample's load.
 	sampleNoise = 0.05
 	// knownProbability is the probability of pressing, or of not pressing,
-	// from which a pair is known.
+	// from which a pair counts as known.
 	knownProbability = 0.85
 	// pressThreshold is the weight above which a pair counts as pressing. Few
 	// pairs have a weight near it.
@@ -25,8 +24,8 @@
 	prior  float64
 }
 
-// weightPrior covers all weights up to 4, the larger ones more sparsely. Pairs
-// of other deployments are estimated with it, too, after one more sample.
+// weightPrior covers all weights up to 4, the larger ones more sparsely. It
+// also fits deployments with other weights: their pairs need one more sample.
 var weightPrior = []weightHypothesis{
 	{0, 0.2}, {0.1, 0.2}, {0.2, 0.15}, {0.3, 0.08},
 	{0.6, 0.06}, {0.9, 0.06}, {1.2, 0.06}, {1.5, 0.05}, {1.8, 0.04}, {2.2, 0.04}, {2.7, 0.03}, {3.3, 0.02}, {4, 0.01},
@@ -71,15 +70,15 @@
 // certain.
 const maxLogOdds = 20
 
-// newBelief computes the belief from the samples of a pair. sum and square are
-// the sums, over the samples, of the used share times the load that other
-// pairs don't explain, and of the used share's square.
+// newBelief computes the belief from the samples of a pair. sum adds up, over
+// the samples, the used share times the load that other pairs don't explain;
+// square adds up the square of the used share.
 func newBelief(sum, square float64) belief {
 	most := math.Inf(-1)
 	for _, l := range weightPrior {
 		most = max(most, l.logLikelihood(sum, square))
 	}
-	// Index 1 holds the sums over weights that press.
+	// Index 1 is for weights above pressThreshold, index 0 for the others.
 	var prior, likelihood, weighed [2]float64
 	for _, l := range weightPrior {
 		side := 0
@@ -102,8 +101,8 @@
 	}
 }
 
-// logLikelihood is that of the samples, up to a constant, if the pair has the
-// weight.
+// logLikelihood is the log likelihood of the samples, up to a constant, if the
+// pair has the weight.
 func (l weightHypothesis) logLikelihood(sum, square float64) float64 {
 	return (l.weight*sum - l.weight*l.weight*square/2) / (sampleNoise * sampleNoise)
 }
--- a/decide/pressure/kinds.go
+++ b/decide/pressure/kinds.go
@@ -5,18 +5,19 @@
 	"sort"
 )
 
-// Serving images fall into a few kinds by their limiting resource, and a
-// filling image presses on those of one kind or on none. So its samples beside
-// one serving image are evidence for its weight beside others, by the
-// probability that the two are of one kind.
+// Serving images fall into a few kinds by their limiting resource. A filling
+// image presses on the serving images of one kind or on none. Its samples
+// beside one serving image are therefore evidence for its weight beside
+// another, weighted by the probability that both are of one kind.
 
 const (
 	// harmlessWeight is the weight up to which a pair doesn't press,
 	// pressingWeight the weight from which it does for sure.
 	harmlessWeight = 0.25
 	pressingWeight = 0.75
-	// minCompared is the least sum of presses for which two serving images are
-	// compared: about one filling image that presses.
+	// minCompared is the number of filling images that must press on one of two
+	// serving images or on both before the two are compared. Each counts by its
+	// degree of pressing (see Weight.presses), so the number is not whole.
 	minCompared = 0.9
 )
 
@@ -31,7 +32,7 @@
 //
 // Regrouping needs the same few differences thousands of times in one pass.
 // Computing them each time takes so much of the scheduler's processor time
-// that short jobs are delayed. So they are cached until the next Solve.
+// that short jobs are delayed. They are therefore cached until the next Solve.
 func (m *Model) Difference(a, b string) (value float64, known bool) {
 	if a == b {
 		return 0, true
@@ -76,15 +77,15 @@
 
 const (
 	// pressShare is the fraction of pairs that press. sameShare is the fraction
-	// of pairs of serving images that are of one kind: it lies between the
-	// third for three kinds and the half for two.
+	// of pairs of serving images that are of one kind: a third if there are
+	// three kinds, a half if there are two.
 	pressShare = 0.3
 	sameShare  = 0.45
 	// bothShare is the fraction of filling images that press on two serving
 	// images of different kinds.
 	bothShare = 0.02
-	// joinFactor weights the evidence from another serving image: that from
-	// several of one kind is not independent.
+	// joinFactor reduces the evidence from another serving image, because the
+	// evidence from several serving images of one kind is not independent.
 	joinFactor = 0.75
 	// maxJoinedLogOdds bounds the log odds that one pair contributes to others.
 	maxJoinedLogOdds = 8.0
@@ -101,8 +102,8 @@
 	return likelihood{presses: p, harmless: 1 - p}
 }
 
-// join computes the weights of all pairs from their own samples and those
-// beside other serving images.
+// join computes the weights of all pairs, each from the pair's own samples and
+// the filling image's samples beside other serving images.
 func (m *Model) join() {
 	names := m.Serving()
 	sort.Strings(names)
@@ -153,9 +154,8 @@
 // joinWith adds the evidence from another serving image, where same is the
 // probability that both are of one kind.
 func (e *equations) joinWith(o *equations, same float64) {
-	// pressesGivenHarmless is the probability that a filling image that
-	// doesn't press on e presses on an image of another kind;
-	// pressesGivenPresses is that of one that does.
+	// These are the probabilities that a filling image presses on a serving
+	// image of another kind, given that it doesn't or does press on e.
 	const pressesGivenHarmless = (pressShare - bothShare) / (1 - pressShare)
 	const pressesGivenPresses = bothShare / pressShare
 	for i, image := range e.images {
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// A new filling image first runs beside one serving image only. Without
-// estimates for the others, it would have to press on each before it is kept
-// away, and would be slowed beside those on which it doesn't press.
+// A new filling image first runs beside one serving image only. Its weights
+// beside the others must be estimated. Without estimates, it is placed beside
+// serving images on which it presses, and slowed beside the others.
 func TestEstimatesCarryOverToSimilarServingImages(t *testing.T) {
 	var m Model
 	for _, a := range []string{"a1", "a2"} {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Images with too little evidence are neither alike nor different.
+// The difference of images on which no known filling image presses is unknown.
 func TestDifferenceNeedsPressing(t *testing.T) {
 	var m Model
 	observe(&m, "a", "f1", 0)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Exported estimates restore the weight of every pair after a restart, and a
-// damaged record has no bad effect.
+// Exported estimates restore the weight of every pair after a restart. A damaged
+// record must not give a weight above maxWeight.
 func TestImportRestoresExportedWeights(t *testing.T) {
 	var before, after Model
 	observe(&before, "a", "f1", 2)
@@ -90,16 +90,17 @@
 	}
 }
 
-// Nine filling images have each run beside three of five serving images. Most
-// pairs with the other two are inferred, and few wrongly, with one, two or
-// three kinds of serving images and with as many kinds as images.
+// Nine filling images have each run beside three of five serving images. Pairs
+// with the other two must be inferred, few of them wrongly. The cases differ in
+// the number of kinds of the five serving images.
 func TestMostPairsAreInferredFromSome(t *testing.T) {
 	const serving, filling, beside = 5, 9, 3
 	scenarios := []struct {
 		name  string
 		kinds int
-		// right and wrong bound the fractions of all pairs that are classified
-		// so; three fifths have samples of their own.
+		// right is the least fraction of all pairs to be classified rightly,
+		// wrong the largest fraction that may be classified wrongly. Three fifths
+		// of the pairs have samples of their own.
 		right, wrong float64
 	}{{"two kinds", 2, 0.7, 0.06}, {"three kinds", 3, 0.6, 0.06}, {"all alike", 1, 0.7, 0.06}, {"all different", 5, 0.5, 0.06}}
 	for _, scenario := range scenarios {
--- a/decide/pressure/light.go
+++ b/decide/pressure/light.go
@@ -1,16 +1,16 @@
 package pressure
 
 const (
-	// priorLight is the light weight without samples; priorLightEvidence is
-	// its evidence, in squared shares of a worker.
+	// priorLight is the result of Light without samples. priorLightEvidence is
+	// the weight of priorLight in the fit, in squared shares of a worker.
 	priorLight         = 0.2
 	priorLightEvidence = 0.5
 )
 
 // Light is the common weight of all pairs that don't press. The load of one
-// such pair on a serving task is below the noise of a sample. All of them
-// together use half a worker, and then take a tenth of the load that the task
-// bears.
+// such pair on a serving task is below the noise of a sample. But the filling
+// tasks of such pairs together use half a worker, and then cause a tenth of
+// the load that the serving task can bear.
 func (m *Model) Light() float64 {
 	if m.version == 0 {
 		return priorLight
@@ -30,8 +30,9 @@
 	return min(pressThreshold, max(0, load/square))
 }
 
-// light sums, over the pairs of one serving image that don't press, the used
-// share times the load that the others leave, and the square of that share.
+// light returns two sums over the pairs of one serving image that don't press:
+// of the used share times the load that pressing pairs don't explain, and of
+// the square of the used share.
 func (e *equations) light() (load, square float64) {
 	for i := range e.pairs {
 		if !e.isLight(i) {
--- a/decide/pressure/light_test.go
+++ b/decide/pressure/light_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// A single pair that doesn't press seems to have no weight: it adds less to a
-// sample than the noise. Half a worker of such work takes serving tasks over
-// their targets.
+// Guards against: filling work that presses on no serving task takes serving
+// tasks over their targets when it uses half a worker. It comes about when the
+// weight of such pairs is taken as 0, since one pair adds less to a sample than
+// the noise.
 func TestLightWeightIsFittedToAllPairs(t *testing.T) {
 	for _, light := range []float64{0.05, 0.15, 0.3} {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -40,7 +41,7 @@
 	}
 }
 
-// Without samples the weight is that of the prior.
+// Without samples the weight is priorLight.
 func TestLightWeightBeforeAnySample(t *testing.T) {
 	var m Model
 	if got := m.Light(); got != priorLight {
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -5,11 +5,11 @@
 // Its load is its own, plus, for each image of filling tasks beside it, the
 // share of the worker's processor that they use times the weight of the pair
 // of images. A filling image presses on a serving image if that weight is well
-// above 0. Most pairs have a weight near 0, a few have one of several units.
+// above 0. Most pairs have a weight near 0, a few have a weight of 1 to 4.
 //
 // decide.Interference, for the urgent path, learns the inflation by running
-// task and band of load. Here the work used is measured and can be paced, and
-// the tail is not linear in it.
+// task and band of load. This package learns from the processor time that
+// filling work uses, which can be paced. The tail is not linear in it.
 package pressure
 
 import (
@@ -28,7 +28,7 @@
 	// sweeps is the number of coordinate descent sweeps in a Solve, which
 	// starts from the last solution.
 	sweeps = 2
-	// maxImages bounds the filling images that are distinguished.
+	// maxImages bounds the filling images distinguished per serving image.
 	maxImages = 64
 	// maxWeight bounds the effect of a series of outliers.
 	maxWeight = 8.0
@@ -42,8 +42,8 @@
 
 // Weight is the estimated weight of a pair.
 type Weight struct {
-	// Value is the load on the serving task for a whole worker's use by the
-	// filling image.
+	// Value is the load on the serving task if the filling image uses a whole
+	// worker.
 	Value float64
 	// Known is false while it is uncertain whether the pair presses.
 	Known bool
@@ -88,16 +88,17 @@
 
 // estimate holds the estimates of one pair.
 type estimate struct {
-	// belief and own are from the pair's own samples. fitted is their
-	// least-squares weight, without the prior.
+	// belief and own are from the pair's own samples. fitted is the
+	// least-squares weight by these samples, without the prior.
 	belief belief
 	own    Weight
 	fitted float64
 	// joined is the weight by all samples, also those of the filling image
-	// beside other serving images; logOdds is its log odds of pressing.
+	// beside other serving images. logOdds is the log odds, by the same
+	// samples, that the pair presses.
 	joined  Weight
 	logOdds float64
-	// likelihood is that of the belief, cached because join uses it often.
+	// likelihood is belief.likelihood(), cached because join uses it often.
 	likelihood likelihood
 }
 
@@ -257,9 +258,9 @@
 // restarts.
 type Learnt struct {
 	Pair
-	// Value is the least-squares weight, Evidence the sum of the squares of
-	// the used shares of a worker: one sample of a typical task (a tenth of a
-	// worker) adds 0.01.
+	// Value is the least-squares weight. Evidence is the sum of the squares of
+	// the used shares of a worker. One sample of a typical task, which uses a
+	// tenth of a worker, adds 0.01.
 	Value    float64
 	Evidence float64
 }
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -7,19 +7,19 @@
 
 // Parameters of the pace.
 const (
-	// targetFraction is the fraction of its target below which a serving task's
-	// tail is kept: the measurements are rough and half a second old.
+	// A serving task's tail is kept below targetFraction of its target, because
+	// the measurements are rough and half a second old.
 	targetFraction = 0.85
 	// loadMargin is the load kept free for changes until the next measurement.
 	loadMargin = 0.03
-	// maxOver is the time over its target from which all work that may press
-	// on a task is paused, whatever the model says. Users are affected after a
-	// few seconds.
+	// If a tail is over its target for longer than maxOver, all work that may
+	// press on the task is paused, whatever the model says. After twice the
+	// time all filling work is paused. Users are affected after a few seconds.
 	maxOver = 1200 * time.Millisecond
 	// ignoredWeight is the weight up to which a known pair needs no pacing.
 	ignoredWeight = 0.15
-	// unknownPaceFactor multiplies the pace of images of unknown pairs beside a
-	// tail near its target.
+	// unknownPaceFactor multiplies, in each step, the pace of a filling image
+	// that forms an unknown pair with a serving task near its target.
 	unknownPaceFactor = 0.4
 	// minPace is the pace below which work is paused.
 	minPace = 0.04
@@ -49,16 +49,18 @@
 	Pace float64
 }
 
-// defaultBaseFraction is the assumed base of a serving task, as a fraction of
-// its target, unless its tail is lower.
+// defaultBaseFraction is the base assumed for a serving task without a usable
+// one, as a fraction of the target. The base is at most the task's tail.
 const defaultBaseFraction = 1 / 4.5
 
 // Pace returns the pace of each element of filling: the highest that the tails
-// of all serving tasks allow. Work that presses on none runs at full speed.
+// of all serving tasks allow. Work that presses on none runs at full speed,
+// unless a tail has been over its target for more than twice maxOver. A pace
+// rises by at most maxRise.
 //
 // The spare load of the serving tasks is given to the jobs in the order of
-// their ranks. Shared equally among jobs that together press too much, it
-// would make all of them end too late to be of use.
+// their ranks. If jobs shared a spare load equally that is too small for all
+// of them, all would end too late to be of use.
 func Pace(serving []Serving, filling []Filling, weight func(Pair) Weight) []float64 {
 	spare := make([]float64, len(serving))
 	for k := range serving {
--- a/decide/pressure/pressure_test.go
+++ b/decide/pressure/pressure_test.go
@@ -48,9 +48,10 @@
 	}
 }
 
-// Filling work of a new image runs beside serving tasks on several workers.
-// While its pairs are unknown, it takes their tails over their targets and is
-// placed beside more of them. So two samples of a typical task must suffice.
+// Guards against: filling work of a new image takes the tails of serving tasks
+// over their targets and is placed beside more of them. It comes about while the
+// image's pairs are unknown. Two samples of a typical task must therefore
+// classify a pair.
 func TestTwoSamplesClassifyAPair(t *testing.T) {
 	const used = 0.12
 	for _, c := range []struct {
@@ -184,11 +185,11 @@
 	}
 }
 
-// Five jobs of one image press on a serving task that bears two of them.
-// Shared equally, all would be slow and end late. The first two by rank work
-// at full speed, and the last ones are paused. Work that doesn't press is not
-// slowed, and of two serving images the one with less spare load limits the
-// pace.
+// Five jobs of one image press on a serving task whose spare load suffices for
+// two of them. If they shared it equally, all would be slow and end late. The
+// first two by rank must work at full speed, and the last ones are paused. Work
+// that doesn't press is not slowed. Of two serving images the one with less
+// spare load limits the pace.
 func TestPaceGoesByRank(t *testing.T) {
 	weights := knownWeights(map[Pair]float64{{"a", "presses"}: 2, {"a", "harmless"}: 0, {"b", "presses"}: 2, {"b", "harmless"}: 0})
 	calm := Serving{Image: "a", Tail: 6, Target: 18, Base: 4}
@@ -286,8 +287,8 @@
 	return tasks, free
 }
 
-// applyMoves applies the moves of a pass, and fails the test if one exceeds a
-// worker's capacity or moves a step twice.
+// applyMoves applies the moves of a pass. It fails the test if they exceed a
+// worker's capacity or move two tasks of a step.
 func applyMoves(t *testing.T, tasks []Task, free []workload.Resources, moves []Move) {
 	t.Helper()
 	steps := map[int]bool{}
@@ -336,10 +337,10 @@
 	}
 }
 
-// Serving images are mixed alike on 240 workers and on 11. One move per pass
-// separates the small fleet within seconds but takes minutes for the large
-// one, whose serving tasks are over their targets meanwhile. With one move for
-// each 20 workers both take about as long.
+// Guards against: in a fleet of 240 workers, serving images stay mixed, and
+// serving tasks over their targets, for minutes. It comes about when each pass
+// makes one move, which separates the images on 11 workers within seconds. With
+// one move for each 20 workers both fleets take about as long.
 func TestRegroupScalesToALargeFleet(t *testing.T) {
 	mixed := func(workers, maxMoves, passes int) float64 {
 		tasks, free := mixedFleet(rand.New(rand.NewPCG(3, 5)), workers)
@@ -376,10 +377,10 @@
 	}
 }
 
-// A model is solved at most four times a second. The largest known deployment
-// has ten serving and eighteen filling images: 0.42 ms, or 1.09 if beliefs are
-// recomputed for pairs without samples and for each pair of serving images. 30
-// by 64 images take 9.2 ms.
+// Solve runs at most four times a second. With ten serving and eighteen filling
+// images, as in the largest known deployment, it takes 0.42 ms. It takes 1.09 ms
+// if beliefs are recomputed for pairs without samples and for each pair of
+// serving images. With 30 serving and 64 filling images it takes 9.2 ms.
 func BenchmarkSolve(b *testing.B) {
 	for _, size := range []struct{ serving, filling int }{{5, 9}, {10, 18}, {30, maxImages}} {
 		b.Run(fmt.Sprintf("serving:%d,filling:%d", size.serving, size.filling), func(b *testing.B) {
--- a/decide/pressure/regroup.go
+++ b/decide/pressure/regroup.go
@@ -33,26 +33,25 @@
 // noOther is the Other of a move without an exchange.
 const noOther = -1
 
-// minGain is the cost reduction that a move must exceed: the task is
-// unavailable for a second or two.
+// minGain is the cost reduction that a move must exceed, because a moved task
+// is unavailable for a second or two.
 const minGain = 0.35
 
-// servingCost is the cost of a worker with any serving task: on the others all
-// filling work runs at full speed.
+// servingCost is the cost of a worker with any serving task. On workers without
+// serving tasks all filling work runs at full speed.
 const servingCost = 2.5
 
-// maxEvaluations bounds the moves that one pass evaluates for each that it may
-// return, to a few milliseconds in all. The next pass starts at another worker.
+// maxEvaluations times maxMoves bounds the moves evaluated in one pass, so that
+// it takes a few milliseconds. The next pass starts at another worker.
 const maxEvaluations = 1500
 
 // Regroup returns up to maxMoves moves that separate serving images on which
-// different filling images press, each the best of its worker, if it gains
-// more than minGain. free is the free capacity of each worker; pass numbers
-// the passes.
+// different filling images press. Each is the best move from its worker and
+// gains more than minGain. free is the free capacity of each worker; pass
+// numbers the passes.
 //
 // Where two such images share a worker, nearly all filling work presses on one
-// of them. When tasks are placed only the names of images are known; the
-// differences are learnt later.
+// of them. Placement can't avoid this: differences of images are learnt later.
 func Regroup(tasks []Task, free []workload.Resources, difference func(a, b string) float64, pass, maxMoves int) []Move {
 	g := newGrouping(tasks, free, difference)
 	mixed := g.mixed()
@@ -74,8 +73,8 @@
 type grouping struct {
 	tasks []Task
 	free  []workload.Resources
-	// image is the number of each task's image, differences those of two
-	// images, the larger number first.
+	// image is the number of each task's image. differences is indexed by the
+	// numbers of two images, the larger one first.
 	image       []int
 	differences [][]float64
 	// count is the number of tasks of each image on each worker.
@@ -133,8 +132,9 @@
 	}
 }
 
-// cost is the cost of a worker's mix of images: their differences times the
-// number of tasks that would have to move.
+// cost is the cost of a worker's mix of images: servingCost plus, for each two
+// images, their difference times the number of tasks that would have to move to
+// separate them. It is 0 without serving tasks.
 func (g *grouping) cost(w int) float64 {
 	sum := 0.0
 	for a, n := range g.count[w] {
@@ -171,8 +171,8 @@
 // fixed reports whether task i may not move.
 func (g *grouping) fixed(i int) bool { return g.tasks[i].Fixed || g.movedSteps[g.tasks[i].Step] }
 
-// bestFrom returns the best move of a task off a worker, if any exceeds
-// minGain.
+// bestFrom returns the best move of a task off a worker, if the move gains more
+// than minGain.
 func (g *grouping) bestFrom(from int) (Move, bool) {
 	best, bestGain := Move{}, minGain
 	for _, i := range g.tasksOn[from] {
@@ -230,9 +230,9 @@
 	}
 }
 
-// apply records a move, so that the next one of the pass accounts for it.
-// Capacity that it frees without an exchange is not reused: a stop takes a
-// while.
+// apply records a move, so that later moves of the pass account for it.
+// Capacity freed by a move without an exchange is not reused in the pass,
+// because stopping a task takes a while.
 func (g *grouping) apply(m Move) {
 	g.adjustCounts(m, 1)
 	one := &g.tasks[m.One]
--- a/decide/pressure/regroup_bench_test.go
+++ b/decide/pressure/regroup_bench_test.go
@@ -10,11 +10,11 @@
 )
 
 // A scheduler of 73 workers with 440 serving tasks of ten images regroups two
-// or three times a second. If each difference is computed from the likelihoods
-// of eighteen filling images when needed, a pass takes 163 ms and delays short
-// jobs; from mean weights 49 ms, and with cached differences 14 ms (one after
-// the other, beside other work). With numbered images, four moves per pass are
-// found in 7.8 ms.
+// or three times a second. A pass takes 163 ms, and delays short jobs, if each
+// difference is computed when needed from the likelihoods of eighteen filling
+// images. It takes 49 ms if the differences are computed from mean weights, and
+// 14 ms if they are cached (runs in sequence, on a machine with other load).
+// With numbered images, a pass finds four moves in 7.8 ms.
 func BenchmarkRegroup(b *testing.B) {
 	const workers, images = 73, 10
 	rng := rand.New(rand.NewPCG(1, 2))
