--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -14,9 +14,10 @@
 const (
 	// InTime jobs can still meet their objective.
 	InTime Class = iota
-	// Late jobs can only end within lateFactor times their objective.
+	// Late jobs can't, but can end within lateFactor times their objective.
 	Late
-	// Overdue jobs can't; they use the capacity that the others leave.
+	// Overdue jobs can't do that either. They use the capacity that the others
+	// leave.
 	Overdue
 )
 
@@ -36,17 +37,16 @@
 	// Work is the remaining filling work of the job, in core-seconds; 0 for
 	// jobs without any.
 	Work float64
-	// By is the deadline of the job in its class, since the start of the
-	// store's clock.
+	// By is the deadline of the job's class (the objective, or lateFactor times
+	// it), since the start of the store's clock.
 	By time.Duration
 }
 
 // Compare orders keys as cmp.Compare does; the lesser comes first.
 //
-// Of the filling jobs of one class the one with the least remaining work comes
-// first. There is often more filling work than the serving tasks bear. In this
-// order most jobs then end in time; by their deadlines nearly all would end
-// late.
+// Within a class, the filling job with the least remaining work comes first.
+// Often there is more filling work than the serving tasks can bear. Most jobs
+// still end in time in this order; ordered by deadline, nearly all end late.
 func (a Key) Compare(b Key) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
@@ -56,8 +56,8 @@
 	)
 }
 
-// Work is the remaining filling work of a job, in core-seconds: remaining is
-// the number of unfinished tasks in step i, and each takes durations[i].
+// Work is the remaining filling work of a job, in core-seconds: step i has
+// remaining(i) unfinished tasks, and each of them takes durations[i].
 func Work(steps []workload.Step, durations []time.Duration, remaining func(i int) int) float64 {
 	sum := 0.0
 	for i := range steps {
@@ -68,8 +68,9 @@
 	return sum
 }
 
-// Chain is the length of the critical path through the unfinished steps, where
-// each task of step i takes durations[i].
+// Chain is the length of the critical path through the unfinished steps.
+// durations[i] is the expected duration of a task of step i; the step takes
+// longestTaskFactor times as long.
 func Chain(steps []workload.Step, durations []time.Duration, done func(i int) bool) time.Duration {
 	finish := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
@@ -92,11 +93,11 @@
 }
 
 // Rank returns the key of a job accepted at the given time. total is the Chain
-// of all its steps, remaining that of the unfinished ones.
+// of all its steps, remaining the Chain of the unfinished steps.
 //
-// On heavy days the work exceeds the capacity for seconds on end. In the order
-// of acceptance every job would then end late; this order serves those that
-// can still end in time, the most urgent first.
+// Under high load the work exceeds the capacity for seconds at a time. In the
+// order of acceptance every job would then end late. Rank puts jobs that can
+// still end in time first; Compare orders them within the class.
 func Rank(q workload.Queue, accepted, now, total, remaining time.Duration) Key {
 	objective := Objective(q, total)
 	k := Key{Priority: q.Priority, Class: InTime, By: accepted + objective}
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// A minute with 1.5 times as much work as capacity, in jobs of 4 s on one
-// slot. In the order of acceptance the queue grows until all jobs end late;
-// ranked, those that can still end in time do.
+// For a minute, one slot serves jobs of 4 s that arrive 1.5 times as fast as it
+// can serve them. In the order of acceptance the queue grows until all jobs end
+// late. In the order of rank, more jobs must end in time.
 func TestOverloadServesJobsThatCanEndInTime(t *testing.T) {
 	const jobs, every, work = 15, 2666 * time.Millisecond, 4 * time.Second
 	served := func(ranked bool) int {
@@ -111,10 +111,10 @@
 	}
 }
 
-// Three jobs share capacity for one. In the order of their deadlines the large
-// one, which arrived first, uses all of it and the small ones end late. The
-// least remaining work comes first within a class; a job that can end in time
-// comes before one that can't, however small that is.
+// Guards against: small jobs end late because a large job, which arrived first,
+// uses all capacity. It comes about when jobs are ordered by deadline. Within a
+// class, the job with the least remaining work must come first. A job that can
+// end in time must come before every job that can't, even a smaller one.
 func TestLeastRemainingWorkComesFirst(t *testing.T) {
 	step := func(count int) workload.Step {
 		return workload.Step{Count: count, Need: workload.Resources{CPU: 7000}, Estimate: 2 * time.Second, Fills: true}
