--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -9,38 +9,39 @@
 	Capacity workload.Resources
 	// Free is the capacity that no task has reserved.
 	Free workload.Resources
-	// Leftover is the reserved CPU that filling tasks may count on being unused.
+	// Leftover is the reserved CPU that is expected to stay unused.
 	Leftover int
-	// FillLoad is the CPU that the filling tasks there use or will use.
+	// FillLoad is the CPU that the worker's filling tasks use or will use.
 	FillLoad int
-	// Pressed is, for a filling step, the load of filling tasks on the most
-	// affected serving task there, with one more task of the step. It is 0
+	// Pressed is, for a filling step, the load of filling tasks on the worker's
+	// most affected serving task if one more task of the step is added. It is 0
 	// without serving tasks.
 	Pressed float64
 	// Presses is set if a task of the step is known to press on a serving task
-	// there (see package pressure), or if that is under trial elsewhere.
+	// of the worker (see package pressure), or if a trial of that pair runs on
+	// another worker.
 	Presses bool
-	// Serving is the number of tasks with a tail target there.
+	// Serving is the number of the worker's tasks with a tail target.
 	Serving int
 	// Mix is, for a serving step, the sum of pressure.Model.Difference between
-	// its image and those of the serving tasks there.
+	// the step's image and the images of the worker's serving tasks.
 	Mix float64
-	// SameImage is set if tasks of the step's image serve there.
+	// SameImage is set if the worker has serving tasks of the step's image.
 	SameImage bool
 	Rack      string
 	Labels    []string
 	// Suspect workers failed or lost tasks recently; they are used last.
 	Suspect bool
-	// Slow is set if tasks that end by themselves progress far slower there
-	// than elsewhere; these are placed elsewhere first.
+	// Slow is set if tasks that end by themselves progress far slower on the
+	// worker than on others. Such tasks, except filling ones, use it last.
 	Slow bool
-	// OfStep is the number of the step's tasks there.
+	// OfStep is the number of the step's tasks on the worker.
 	OfStep int
 	// Barred excludes the worker, whatever its free capacity.
 	Barred bool
-	// Shunned excludes it for tasks that end by themselves, each of which has
-	// a bounded number of attempts. Lasting tasks have no such bound, and must
-	// not wait beside free capacity.
+	// Shunned excludes the worker for tasks that end by themselves, because
+	// their attempts are bounded. Attempts of lasting tasks are not, so lasting
+	// tasks must not wait beside free capacity.
 	Shunned bool
 }
 
@@ -55,29 +56,29 @@
 	Rack string
 }
 
-// Weights of the score. The free share of the capacity scores 0 to 1; the
-// others outweigh it in the order given.
+// Weights of the score. The free shares of CPU and memory score 0 to 1.25
+// together; each penalty and bonus can outweigh them.
 const (
 	suspectPenalty = 32.0
 	rackPenalty    = 16.0
 	avoidPenalty   = 8.0
 	// separationBonus separates serving and filling work: filling work raises
-	// the tail of serving tasks beside it, and has to be slowed for it.
+	// the tail of serving tasks beside it, and must then be slowed.
 	separationBonus = 4.0
 	// fillPenalty penalizes a worker for serving tasks in proportion to its
 	// filling work.
 	fillPenalty = 2.0
 	// mixPenalty separates serving tasks of different images. A filling image
-	// presses on about a third of the serving images: beside one of them two
-	// thirds of the filling work run at full speed, beside three less than a
-	// third.
+	// presses on about a third of the serving images. Beside one serving image
+	// two thirds of the filling work run at full speed, beside three serving
+	// images less than a third.
 	mixPenalty     = 1.5
 	sameImageBonus = 1.5
-	// toleratedPressure is the load of filling tasks that a serving task bears
-	// at most times: its tail reaches the target at a load of about 0.78, and
-	// its own load reaches 0.63.
+	// toleratedPressure is the load of filling tasks that a serving task can
+	// usually bear. The task's tail reaches its target at a load of about 0.78,
+	// and the task's own load rises to 0.63.
 	toleratedPressure = 0.12
-	// pressurePenalty weighs the load above that against free capacity.
+	// pressurePenalty is the weight of the load above toleratedPressure.
 	pressurePenalty = 12.0
 )
 
@@ -105,8 +106,8 @@
 	return !s.Fills || w.FillLoad+s.Need.CPU <= unused(w)
 }
 
-// CouldTake reports whether the worker could run a task of the step with
-// enough free capacity.
+// CouldTake reports whether the worker could run a task of the step if the
+// worker had enough free capacity.
 func CouldTake(s *workload.Step, w *Candidate) bool {
 	if s.Spread > 0 && w.OfStep >= s.Spread {
 		return false
@@ -137,8 +138,9 @@
 }
 
 // capacityScore scores a worker by its tasks and free capacity. Serving tasks
-// are packed by image, other reserving tasks go beside them, and filling tasks
-// to workers without serving ones, the emptiest first.
+// are packed by image, and other tasks with reserved capacity go beside them.
+// Filling tasks go to the worker with the most unused CPU, unless they would
+// press too much on a serving task there.
 func capacityScore(s *workload.Step, w *Candidate) float64 {
 	free := share(w.Free.CPU, w.Capacity.CPU) + share(w.Free.Memory, w.Capacity.Memory)/4
 	switch {
