--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy defines the interface of a complete set of decisions, so that
-// different sets can be run on the same workload and compared. Predictive is
-// the project's own; package baseline has others.
+// Package policy defines the interface of a scheduling policy, a complete set of
+// decisions, so that policies can be compared on the same workload. Predictive is
+// the project's own policy; package baseline has simpler ones.
 package policy
 
 import (
@@ -23,7 +23,7 @@
 	// Uses has one entry for each customer; Right and Expected are not set.
 	Uses []decide.SlotUse
 	// Service, ServiceFree and ServiceUses are only set for AdmitUrgent: the
-	// called service, its free slots, and the use of the others.
+	// called service, its free slots, and the slots in use by customer.
 	Service     structs.Service
 	ServiceFree int
 	ServiceUses []decide.SlotUse
@@ -42,7 +42,7 @@
 	Calls, Slots int
 }
 
-// Policy is one complete set of decisions. now is the same clock throughout.
+// Policy is one complete set of decisions. All methods use one clock for now.
 type Policy interface {
 	Name() string
 	// Urgent chooses the candidate for an attempt of a call at the given entry.
@@ -51,16 +51,16 @@
 	// agent.
 	AdmitUrgent(now time.Duration, a *Agent, c structs.Contract) bool
 	AdmitBatch(now time.Duration, a *Agent, c structs.Contract, need structs.Resources) bool
-	// Reserve is the number of free slots withheld from batch tasks, as stated
-	// in the load report.
+	// Reserve returns the number of free slots withheld from batch tasks, for
+	// the load report.
 	Reserve(now time.Duration, a *Agent) int
 	// Place chooses the jobs to start. Queue entries hold the declared size;
 	// the policy may replace it by a better estimate.
 	Place(now time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold)
 	// Relieve returns the actions on the tasks of an instance.
 	Relieve(now time.Duration, a *Agent) []decide.Action
-	// Call adds a call to a customer's retry budget. Retry takes an attempt
-	// from it, if it can.
+	// Call records a first attempt in a customer's retry budget. Retry takes
+	// another attempt from the budget and reports whether the budget had one.
 	Call(now time.Duration, c structs.Customer)
 	Retry(now time.Duration, c structs.Customer) bool
 	// Measured reports a delayed measurement.
@@ -69,8 +69,8 @@
 	// changed by delta. Load reports a change of a service's slots in use.
 	Changed(now time.Duration, instance int, k structs.Kind, delta float64)
 	Load(now time.Duration, instance int, s structs.Service, inUse int)
-	// Used reports the peak use of a run that ended, or that was killed for it
-	// (with ran 0).
+	// Used reports the peak use of a run that ended, or of a run that was killed
+	// for using too much; ran is 0 then.
 	Used(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
 	// Ended reports the end of a run; ok is false if it failed by itself.
 	Ended(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -10,8 +10,8 @@
 // historyRetention covers the longest lag and window of a measurement together.
 const historyRetention = 60 * time.Second
 
-// noRecentUse is the recent use of a customer without calls: 0 would mean that
-// it is unknown.
+// noRecentUse is the recent use of a customer without calls. It is not 0, which
+// would mean an unknown use.
 const noRecentUse = 1e-9
 
 type demandKey struct {
@@ -25,8 +25,8 @@
 	model   *decide.Interference
 	memory  decide.ReliefMemory
 	demand  map[structs.Customer]*decide.Demand
-	// combined is the demand of all urgent calls together, those of each
-	// customer counted up to its quota.
+	// combined is the demand of all urgent calls together. Calls of a customer
+	// count only up to its quota.
 	combined decide.Demand
 	// services is the demand of each customer for each service's slots.
 	services    map[demandKey]*decide.Demand
@@ -37,8 +37,8 @@
 }
 
 // Predictive makes every decision with package decide. It uses learnt
-// interference, weighted dominant shares, borrowed slots that are given back,
-// throttling before eviction, learnt sizes, quarantine and a retry budget.
+// interference, weighted dominant shares, reclaim of borrowed slots, throttling
+// before eviction, learnt sizes, quarantine and a retry budget.
 type Predictive struct {
 	planner   decide.Planner
 	shared    *decide.Interference
@@ -88,8 +88,8 @@
 	return s.uses
 }
 
-// AdmitUrgent implements Policy. A call needs a slot of the instance and one
-// of its service, and each is shared by the same rule.
+// AdmitUrgent implements Policy. A call needs a slot of the instance and a slot
+// of its service. Both kinds of slots are shared by the same rule.
 func (p *Predictive) AdmitUrgent(now time.Duration, a *Agent, c structs.Contract) bool {
 	s := p.agents[a.Index]
 	uses := s.slotUses(now, a, p.contracts)
