--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -127,8 +127,8 @@
 	s.enqueue(t.job)
 }
 
-// stopTask ends a run early. The work since the last checkpoint and
-// restartWork are lost. Stops that are not planned are kills for memory.
+// stopTask ends a run early. The work since the last checkpoint is lost, and
+// restartWork with it. planned is false for a kill for lack of memory.
 func (s *simulation) stopTask(at, k int, planned bool) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
@@ -147,8 +147,8 @@
 	s.enqueue(t.job)
 }
 
-// killForMemory kills the largest task until the rest fits, as the platform
-// does when memory runs out.
+// killForMemory kills the largest task until the others fit into memory, as the
+// platform does.
 func (s *simulation) killForMemory(at int) {
 	n := &s.nodes[at]
 	for {
@@ -266,8 +266,8 @@
 	s.reschedule(at)
 }
 
-// tickAgent is an agent's work of each second: send load and measurements, and
-// relieve.
+// tickAgent is what an agent does each second: it sends load and measurements,
+// and takes the policy's actions on its tasks.
 func (s *simulation) tickAgent(at int) {
 	s.events.push(s.now+tickEvery, eventAgentTick, at, 0)
 	s.advance(at)
--- a/decide/model/events.go
+++ b/decide/model/events.go
@@ -17,7 +17,8 @@
 	eventCancel
 )
 
-// event is one point of virtual time. The meaning of a and b depends on kind.
+// event is due at one point of virtual time. The meaning of a and b depends on
+// kind.
 type event struct {
 	at    time.Duration
 	order uint64
--- a/decide/model/result.go
+++ b/decide/model/result.go
@@ -22,14 +22,17 @@
 	Refusals, Attempts int
 	// Done is the number of finished batch jobs by customer.
 	Done [customers]int
-	// Evictions are by the policy, Killed by the platform for lack of memory.
+	// Evictions counts tasks stopped by the policy, Killed those stopped by
+	// the platform for lack of memory.
 	Evictions, Killed, Throttles, Failures, WrongFailures, NotStarted, Parked int
-	// WorkLost is in seconds of undisturbed work, by evictions and kills.
+	// WorkLost is the work lost by evictions and kills, in seconds of
+	// undisturbed work.
 	WorkLost float64
-	// Jain is Jain's index over customers of batch work done relative to the
-	// entitlement.
+	// Jain is Jain's fairness index of the customers' batch work, each relative
+	// to the customer's entitlement.
 	Jain float64
-	// Broken counts admission checks that found an instance overcommitted.
+	// Broken counts admission checks that found more slots in use than the
+	// instance has.
 	Broken int
 
 	w              *Workload
@@ -130,5 +133,5 @@
 	r.Jain = sum * sum / (customers * squares)
 }
 
-// Customers is the number of customers in the model; number 0 floods.
+// Customers is the number of customers in the model. Customer 0 sends the flood.
 const Customers = customers
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -21,9 +21,9 @@
 	s.tryCall(id)
 }
 
-// tryCall makes one attempt, and, within the policy's retry budget, further
-// ones after refusals, which prove that nothing ran. If none is admitted, the
-// caller retries after the Retry-After until its deadline.
+// tryCall makes one attempt. After a refusal, which means that nothing ran, it
+// makes further attempts within the policy's retry budget. If no attempt is
+// admitted, the caller retries after the Retry-After until its deadline.
 func (s *simulation) tryCall(id int) {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
@@ -88,8 +88,8 @@
 	return s.candidateBuffer
 }
 
-// admitCall starts the call if the agent admits it, and reports whether it
-// did.
+// admitCall starts the call if the agent admits it, and reports whether the call
+// was started.
 func (s *simulation) admitCall(id, at int) bool {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
@@ -152,8 +152,8 @@
 	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-// updateView copies the exact state of a backend into an entry's view, as the
-// load on an answer does.
+// updateView copies the exact state of a backend into an entry's view, except
+// inUse. An answer of an agent updates the view of its entry in this way.
 func (s *simulation) updateView(v *view, node, backend int) {
 	n := &s.nodes[node]
 	v.at = s.now
@@ -169,8 +169,8 @@
 	taken time.Duration
 }
 
-// receiveLoad applies a heartbeat, as old as loadDelay, at every entry without
-// newer state.
+// receiveLoad applies a heartbeat, which is loadDelay old, at every entry that
+// has no newer state.
 func (s *simulation) receiveLoad(i int) {
 	r := &s.loadReports[i]
 	for k, b := range s.nodes[r.node].backends {
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -1,10 +1,10 @@
 // Package model is a small simulation of instances, callers and batch jobs, to
 // compare policies on the same events. It runs in virtual time and is
-// deterministic for a seed. It is no model of a whole cluster: it has one
-// queue owner, fixed delays, and only the disturbances that the policies are
-// compared by: a hidden matrix of the slowdown of each service by each batch
-// kind, late reports, waves of noisy jobs, load shifts, wrong sizes, failing
-// workers, a flood by one customer and waves of cancellations.
+// deterministic for a seed. It does not model a whole cluster: it has one queue
+// owner and fixed delays. Its disturbances are a hidden matrix of the slowdown
+// of each service by each batch kind, late reports, waves of noisy jobs, load
+// shifts, wrong sizes, failing workers, a flood by one customer and waves of
+// cancellations.
 package model
 
 import (
@@ -38,8 +38,8 @@
 const (
 	// batchRate is the number of jobs a second for a share of 1.
 	batchRate = 2.5
-	// Each customer submits waveJobs of one kind within seconds, once in
-	// waveEvery.
+	// Each customer submits waveJobs jobs of one kind within five seconds, once
+	// in each waveEvery.
 	waveEvery = 5 * time.Minute
 	waveJobs  = 40
 	// callSpread is the standard deviation of the logarithm of a call's size.
@@ -99,7 +99,7 @@
 	bases     [services]time.Duration
 	// slowdown is the hidden matrix: the increase of a service's relative
 	// duration by one task of a kind at medium load. From shiftAt on,
-	// slowdownLater holds.
+	// slowdownLater replaces it.
 	slowdown, slowdownLater [services][kinds]float64
 	shiftAt                 time.Duration
 	sizes                   [kinds]jobSize
@@ -223,8 +223,8 @@
 }
 
 // drawCalls draws the calls of each customer as a Poisson stream whose rate
-// follows load shifts; two services surge in turn. The last seventh has no
-// surge, so that work deferred in a surge can be made up.
+// follows load shifts. In each surge, the rates of two services rise. The last
+// seventh of the run has no surge, so that work deferred in a surge can be done.
 func (w *Workload) drawCalls(r *rand.Rand) {
 	const meanInUse = 1.7
 	d := w.Options.Duration
--- a/decide/model/world.go
+++ b/decide/model/world.go
@@ -37,7 +37,8 @@
 	speed   float64
 	rate    float64
 	started time.Duration
-	// done and saved are seconds of work, of the whole job.
+	// done and saved are seconds of work of the whole job: finished, and saved
+	// in the last checkpoint.
 	done, saved float64
 	savedAt     time.Duration
 	need        structs.Resources
@@ -59,8 +60,8 @@
 	service    int
 	inUse      int
 	byCustomer [customers]int
-	// durationSum and durationCount are of calls that ended in the open
-	// window.
+	// durationSum and durationCount sum up and count the calls that ended in
+	// the current measurement window.
 	durationSum    time.Duration
 	durationCount  int
 	recentDuration time.Duration
@@ -79,7 +80,7 @@
 	windowStart time.Duration
 }
 
-// view is an entry's state of one backend.
+// view is what an entry knows of one backend.
 type view struct {
 	inUse       int
 	serviceTime time.Duration
@@ -219,7 +220,7 @@
 	}
 }
 
-// inflation is the true slowdown of b on n now, hidden from the policy.
+// inflation is the true inflation of calls to b on n now, hidden from the policy.
 func (s *simulation) inflation(n *node, b *backend) float64 {
 	slowdown := &s.w.slowdown[b.service]
 	if s.now >= s.w.shiftAt {
@@ -234,7 +235,8 @@
 	return sum * s.overcommitment(n)
 }
 
-// overcommitment is the ratio of cores in use to all, at least 1.
+// overcommitment is the ratio of the cores in demand to the node's cores, at
+// least 1.
 func (s *simulation) overcommitment(n *node) float64 {
 	used := 0.0
 	for _, t := range n.tasks {
@@ -254,8 +256,8 @@
 	return sum
 }
 
-// claimedMemory is the memory that the tasks claim, or their measured use if
-// larger.
+// claimedMemory adds up, for each task, the memory that it claims or its
+// measured use, whichever is larger.
 func (s *simulation) claimedMemory(n *node) int64 {
 	taken := int64(0)
 	for _, t := range n.tasks {
@@ -268,7 +270,7 @@
 	return taken
 }
 
-// fillAgent sets the reused view of node i.
+// fillAgent sets s.agent, which is reused, to the state of node i.
 func (s *simulation) fillAgent(i int) *policy.Agent {
 	n := &s.nodes[i]
 	a := &s.agent
