--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -161,9 +161,9 @@
 }
 
 // Guards against: calls within their customer's quota are refused for 21 seconds.
-// It comes about when new tasks have borrowed all slots in an idle minute and are
-// not evicted for 20 seconds. A slot owed to calls must be reclaimed after
-// reclaimDelay. For a slot owed to a queued task, no new task may be evicted.
+// It comes about when new tasks have borrowed all slots in an idle minute and run
+// for at least 20 seconds. A slot owed to calls must be reclaimed after
+// reclaimDelay. For a slot owed to a queued task, no new task is evicted.
 func TestBorrowedSlotsOfNewTasksAreReclaimedForCalls(t *testing.T) {
 	firstEviction := func(calls int) time.Duration {
 		var memory ReliefMemory
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -51,17 +51,16 @@
 	return float64(sum) / float64(count)
 }
 
-// Recent returns the value of SlotUse.Recent. Each observation must have counted
-// the slot being requested, which Recent subtracts. The result is above 0, since
-// 0 means unknown.
+// Recent returns the value of SlotUse.Recent. It subtracts the slot being requested,
+// which each observation must include. The result is above 0: 0 means unknown.
 func (d *Demand) Recent(now time.Duration) float64 {
 	const leastKnown = 1e-9
 	return max(leastKnown, d.Mean(now)-1)
 }
 
-// Expected returns the number of slots to keep ready, between mean and peak. As
-// many slots as the peak would be idle most of the time, and a call that finds no
-// free slot here usually finds one on another instance.
+// Expected returns the number of slots to keep ready, between mean and peak. Most
+// slots kept for the whole peak would be idle, and a call that finds no free slot
+// here usually finds one on another instance.
 func (d *Demand) Expected(now time.Duration) int {
 	return int(meanWeight*d.Mean(now) + (1-meanWeight)*float64(d.Peak(now)) + 0.5)
 }
--- a/decide/health.go
+++ b/decide/health.go
@@ -19,8 +19,8 @@
 	maxProbeDelay     = 30 * time.Minute
 	probesToRelease   = 2
 	maxHealthCells    = 65_536
-	// decayTolerance lowers the limits of failure counts, because counts decay:
-	// three recent failures count slightly less than 3.
+	// decayTolerance lowers the limits of failure counts, since recent failures
+	// already count slightly less than 1.
 	decayTolerance = 0.05
 )
 
@@ -74,8 +74,8 @@
 
 // Report records the outcome of one run of a task of kind k on instance. ok is
 // false for a run that ended in an error, not for a run that was stopped. Report
-// returns false if it drops the report, for example a report that is older than
-// the newest one by more than healthHalfLife.
+// returns false if it drops the report, for example because the newest report is
+// later by more than healthHalfLife.
 func (h *Health) Report(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) bool {
 	if instance == "" || k == "" || now < 0 || now < h.newestReport-healthHalfLife {
 		h.counters.Dropped++
@@ -158,9 +158,9 @@
 	if failed < minFailures-decayTolerance || failed/total < badWorkerRate {
 		return
 	}
-	// An excess of three standard deviations would take dozens of failures. The
-	// limit is therefore an excess of at most excessFailures over the expected
-	// number. A worker whose kinds also fail elsewhere does not reach this limit.
+	// An excess of three standard deviations would take dozens of failures. An
+	// excess of at most excessFailures over the expected number is enough: a
+	// worker whose kinds also fail elsewhere does not reach it.
 	if failed-expected < excessFailures*failed/(failed+1) || failed < 2*expected {
 		return
 	}
--- a/decide/history.go
+++ b/decide/history.go
@@ -41,8 +41,8 @@
 	return &History{retention: retention, levels: make(map[seriesKey]float64)}
 }
 
-// Dropped returns the number of changes refused as negative or out of order, and
-// of windows refused as empty, in the future or no longer covered.
+// Dropped returns the number of refused changes (negative or out of order) and
+// refused windows (empty, in the future or no longer covered).
 func (h *History) Dropped() uint64 { return h.dropped }
 
 // Add records at time now that the number of running tasks of kind k, each
@@ -117,8 +117,8 @@
 	return out, inUse, true
 }
 
-// mean returns the time-weighted mean of the series key between from and to. It
-// starts with the present level and reverts the changes from the newest back.
+// mean returns the time-weighted mean of a series between from and to. It starts
+// at the present level and reverts the changes, newest first.
 func (h *History) mean(from, to time.Duration, key seriesKey, level float64) float64 {
 	sum, end := 0.0, to
 	for i := len(h.changes) - 1; i >= 0 && end > from; i-- {
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -73,8 +73,8 @@
 	driftVariance  = 0.00002
 	varianceFloor  = 1e-6
 	shrinkEvidence = 4.0
-	// priorWeight is the weight of the prior in the mean of a kind, in which a
-	// pair with enough samples has weight 1.
+	// priorWeight is the weight of the prior in the mean of a kind, where a
+	// well-known pair has weight 1.
 	priorWeight     = 0.5
 	maxInflation    = 50.0
 	maxCount        = 10_000
@@ -82,9 +82,9 @@
 	regimeSlack     = 0.75
 	regimeThreshold = 8.0
 	regimeReset     = 0.25
-	// regimeBaseReset is far smaller than regimeReset. The undisturbed time is
+	// regimeBaseReset is far smaller than regimeReset: the undisturbed time is
 	// part of every sample. With as much variance as the pairs, its estimate
-	// would absorb the residuals that the pairs cause.
+	// would absorb the residuals of the pairs.
 	regimeBaseReset   = 0.02
 	maxSampleDuration = time.Hour
 	// maxDeviation bounds the residual of one sample, in standard deviations.
@@ -319,8 +319,8 @@
 	return prior
 }
 
-// harm returns the predicted harm of one task of kind k, relative to the service's
-// reference duration. st may be nil.
+// harm returns the harm of one task of kind k, relative to the service's reference
+// duration. st may be nil.
 func (m *Interference) harm(st *serviceState, k structs.Kind, b LoadBand) float64 {
 	if st != nil {
 		if p := st.pairs[k]; p != nil {
--- a/decide/learning_test.go
+++ b/decide/learning_test.go
@@ -197,9 +197,9 @@
 	}
 }
 
-// Guards against: jobs are killed one after the other although one run proves that
-// their declared size is too small. It comes about when forty jobs declare a tenth
-// of the memory that they use and the size is learnt only from four runs on.
+// Guards against: forty jobs that declare a tenth of the memory that they use are
+// killed one after the other. It comes about when the size is learnt only from four
+// runs on, although one run proves that the declared size is too small.
 func TestOneRunProvesADeclaredSizeTooSmall(t *testing.T) {
 	var s Sizes
 	declared := structs.Resources{Slots: 1, MemoryBytes: gigabyte}
--- a/decide/planner.go
+++ b/decide/planner.go
@@ -88,7 +88,7 @@
 	cursor int
 	// blocked is set once a job within its customer's share fitted only on
 	// instances where it was predicted to disturb a service too much. blockedAt
-	// is the time at which blocked was set, or the time of the last trial.
+	// is the time at which blocked was set, or of the last trial.
 	blocked   bool
 	blockedAt time.Duration
 }
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -89,8 +89,8 @@
 }
 
 // reservedForOthers returns the number of slots that must stay free for customers
-// other than c, the number that all urgent calls together are expected to need
-// beyond those they hold, and the row of c.
+// other than c, the number of further slots that all urgent calls together are
+// expected to need, and the row of c.
 func reservedForOthers(uses []SlotUse, c structs.Customer) (reserved, common int, own *SlotUse) {
 	common = 1 << 30
 	for i := range uses {
--- a/decide/relief.go
+++ b/decide/relief.go
@@ -86,8 +86,8 @@
 	targetPart = 0.5
 	// settleTime is the time until reports show the effect of an action.
 	settleTime = 2 * time.Second
-	// evictAfter is the time for which a service must be over its limit, despite
-	// throttling, before a task is evicted.
+	// evictAfter is the time over a service's limit, despite throttling, after
+	// which a task is evicted.
 	evictAfter = 15 * time.Second
 	// minRunTime is the least run time of a task evicted for pressure or for a slot
 	// owed to a task. Evictions for memory or for a slot owed to calls ignore it.
@@ -238,8 +238,7 @@
 }
 
 // chooseVictim returns the task with the least loss of progress per unit of
-// relief. It considers tasks that ran for at least minRan and give relief, and
-// returns -1 if there are none.
+// relief, of those that ran for at least minRan and give relief, or -1.
 func (r *ReliefMemory) chooseVictim(st *ReliefState, minRan time.Duration, relief func(*RunningTask) float64) int {
 	best, bestCost := -1, math.Inf(1)
 	for i := range st.Tasks {
--- a/decide/urgent.go
+++ b/decide/urgent.go
@@ -55,8 +55,8 @@
 // ChooseUrgent returns the index of the candidate for the next attempt, or -1
 // and the reason why there is none. It compares three random usable candidates of
 // the entry's data centre by predicted duration. It considers other data centres
-// only if there is no such candidate, or if the best one has only one free slot or
-// would miss the deadline.
+// only if none is usable, or if the best one has its last slot free or would be
+// late.
 func ChooseUrgent(q UrgentQuery, cs []Candidate, m *Interference) (index int, hold Hold) {
 	if len(cs) == 0 {
 		return -1, Hold{Reason: ReasonNoBackend, Refusal: structs.RefusedUnknownService}
@@ -82,7 +82,7 @@
 }
 
 // choice is the best candidate so far; index is -1 for none. score ranks the
-// candidate, and time determines whether it would miss the deadline.
+// candidate, and time determines whether it would be late.
 type choice struct {
 	index       int
 	score, time time.Duration
@@ -99,9 +99,9 @@
 	}
 }
 
-// pick draws at random until it has compared enough usable candidates, either of
-// the local data centre or of all others. If few are usable, it scans all of them
-// from a random start, so that a single usable candidate is always found.
+// pick draws at random until it has compared enough usable candidates of the local
+// data centre, or of the others. If few are usable, it scans all from a random
+// start, so that a single usable candidate is always found.
 func pick(q *UrgentQuery, cs []Candidate, m *serviceModel, local bool) choice {
 	best, found := choice{index: -1}, 0
 	r := q.Random
@@ -194,10 +194,10 @@
 	return likely, min(likely, confirmed)
 }
 
-// penalizeOccupancy adds up to an eighth to t for slots in use, so that the emptier
-// of two equal candidates is chosen. It adds half of the sum if only one slot is
-// free: by the time the call arrives, another entry's call or a task has often
-// taken the slot, and the refusal costs an attempt.
+// penalizeOccupancy adds up to an eighth for slots in use, so that the emptier of
+// two equal candidates is chosen. For the last free slot it adds half as much
+// again: another entry's call or a task has often taken the slot when the call
+// arrives, and the refusal costs an attempt.
 func penalizeOccupancy(t time.Duration, c *Candidate) time.Duration {
 	t += (t/8 + 1) * time.Duration(busySlots(c)) / time.Duration(max(c.Slots, 1))
 	if onLastSlot(c) {
