--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -1,9 +1,9 @@
 // Package baseline contains simple policies, as a careful operator would write
 // them, to compare with the project's own policy: least loaded without regard to
 // interference, a static split of slots between urgent calls and batch tasks, and
-// eviction above a threshold without prediction. All of them serve first the
-// customer with the fewest slots relative to its share, skip jobs that don't fit,
-// and trust declared sizes.
+// eviction above a threshold without prediction. All serve first the customer with
+// the fewest slots relative to its share, skip jobs that don't fit, and trust
+// declared sizes.
 package baseline
 
 import (
@@ -68,8 +68,8 @@
 // Reserve keeps no slots free.
 func (LeastLoaded) Reserve(time.Duration, *policy.Agent) int { return 0 }
 
-// Place serves first the customer that holds the fewest slots relative to its share,
-// and places its job on the instance with the most free slots.
+// Place serves first the customer with the fewest slots relative to its share. Each
+// job goes to the instance with the most free slots.
 func (LeastLoaded) Place(_ time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	return place(v, limit, func(in *decide.Instance) int { return in.Free.Slots })
 }
@@ -201,9 +201,9 @@
 	return nil
 }
 
-// place places up to limit jobs. Each time it takes the next job of the customer that
-// holds the fewest slots relative to its share, and places it on the instance with
-// the greatest capacity. A job that fits nowhere is skipped.
+// place places up to limit jobs, each on the instance with the greatest capacity.
+// Next is always the customer that holds the fewest slots relative to its share. A
+// job that fits nowhere is skipped.
 func place(v *decide.BatchView, limit int, capacity func(*decide.Instance) int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	var placed []decide.Placement
 	queues := make(map[structs.Customer][]int)
