--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -112,8 +112,7 @@
 }
 
 // learn adds a sample of the calls of a window and the tasks that ran beside them.
-// Calls of the window may have begun before it, so the tasks are taken from a
-// median duration earlier on.
+// Calls may have begun before the window, by about their median duration.
 func (c *Controller) learn(now time.Duration, w ledger.Window) {
 	if w.Calls == 0 || c.lastCheck == 0 {
 		return
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -13,8 +13,7 @@
 
 const (
 	// minInformativeCalls is the number of calls from which a window replaces the
-	// last sample at once. Calls differ in size, so fewer calls are weak evidence
-	// about the tasks beside them.
+	// last sample at once. Calls differ in size, so fewer calls are weak evidence.
 	minInformativeCalls = 3
 	// maxInformativeAge is the age of the last sample from which a window of fewer
 	// calls replaces it.
