--- a/decide/pressure/kinds.go
+++ b/decide/pressure/kinds.go
@@ -15,9 +15,8 @@
 	// pressingWeight the weight from which it does for sure.
 	harmlessWeight = 0.25
 	pressingWeight = 0.75
-	// minCompared is the number of filling images that must press on one of two
-	// serving images or on both before the two are compared. Each counts by its
-	// degree of pressing (see Weight.presses), so the number is not whole.
+	// minCompared is the least evidence for comparing two serving images, about
+	// one filling image that presses on either (see computeDifference).
 	minCompared = 0.9
 )
 
@@ -84,8 +83,8 @@
 	// bothShare is the fraction of filling images that press on two serving
 	// images of different kinds.
 	bothShare = 0.02
-	// joinFactor reduces the evidence from another serving image, because the
-	// evidence from several serving images of one kind is not independent.
+	// joinFactor reduces the evidence from each other serving image, because
+	// several images of one kind don't give independent evidence.
 	joinFactor = 0.75
 	// maxJoinedLogOdds bounds the log odds that one pair contributes to others.
 	maxJoinedLogOdds = 8.0
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -99,8 +99,8 @@
 		name  string
 		kinds int
 		// right is the least fraction of all pairs to be classified rightly,
-		// wrong the largest fraction that may be classified wrongly. Three fifths
-		// of the pairs have samples of their own.
+		// wrong the largest to be classified wrongly. Three fifths of the pairs
+		// have samples of their own.
 		right, wrong float64
 	}{{"two kinds", 2, 0.7, 0.06}, {"three kinds", 3, 0.6, 0.06}, {"all alike", 1, 0.7, 0.06}, {"all different", 5, 0.5, 0.06}}
 	for _, scenario := range scenarios {
--- a/decide/pressure/light.go
+++ b/decide/pressure/light.go
@@ -8,9 +8,9 @@
 )
 
 // Light is the common weight of all pairs that don't press. The load of one
-// such pair on a serving task is below the noise of a sample. But the filling
-// tasks of such pairs together use half a worker, and then cause a tenth of
-// the load that the serving task can bear.
+// such pair on a serving task is below the noise of a sample. All such filling
+// tasks together use half a worker, and then cause a tenth of the load that
+// the serving task can bear.
 func (m *Model) Light() float64 {
 	if m.version == 0 {
 		return priorLight
@@ -18,8 +18,8 @@
 	return m.light
 }
 
-// lightWeight fits one weight to all pairs that don't press, net of the load
-// of those that do.
+// lightWeight fits one weight to all pairs that don't press, after subtracting
+// the load of the pairs that press.
 func (m *Model) lightWeight() float64 {
 	load, square := priorLight*priorLightEvidence, priorLightEvidence
 	for _, e := range m.serving {
--- a/decide/pressure/light_test.go
+++ b/decide/pressure/light_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// Guards against: filling work that presses on no serving task takes serving
-// tasks over their targets when it uses half a worker. It comes about when the
-// weight of such pairs is taken as 0, since one pair adds less to a sample than
-// the noise.
+// Guards against: half a worker of filling work that presses on no serving task
+// takes serving tasks over their targets. It comes about when the weight of such
+// pairs is taken as 0, because one pair adds less to a sample than the noise.
 func TestLightWeightIsFittedToAllPairs(t *testing.T) {
 	for _, light := range []float64{0.05, 0.15, 0.3} {
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -2,9 +2,9 @@
 // it, and computes the pace of the filling work.
 //
 // A serving task's tail latency is modelled as base/(1-load), as for a queue.
-// Its load is its own, plus, for each image of filling tasks beside it, the
-// share of the worker's processor that they use times the weight of the pair
-// of images. A filling image presses on a serving image if that weight is well
+// load is the task's own load plus, for each image of filling tasks beside it,
+// the share of the worker's processor that they use times the weight of the
+// pair of images. A filling image presses on a serving image if that weight is well
 // above 0. Most pairs have a weight near 0, a few have a weight of 1 to 4.
 //
 // decide.Interference, for the urgent path, learns the inflation by running
@@ -59,7 +59,7 @@
 	// Used is the difference of the shares of the worker that each filling
 	// image used.
 	Used map[string]float64
-	// Count weights the sample; it is 1 for an independent one.
+	// Count weights the sample; it is 1 for an independent sample.
 	Count float64
 }
 
@@ -174,7 +174,6 @@
 	e.squares = append(e.squares, make([]float64, len(e.pairs)))
 }
 
-// decay multiplies the evidence by factor.
 func (e *equations) decay(factor float64) {
 	for i := range e.squares {
 		e.sums[i] *= factor
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -13,8 +13,8 @@
 	// loadMargin is the load kept free for changes until the next measurement.
 	loadMargin = 0.03
 	// If a tail is over its target for longer than maxOver, all work that may
-	// press on the task is paused, whatever the model says. After twice the
-	// time all filling work is paused. Users are affected after a few seconds.
+	// press on the task is paused, whatever the model says; after twice the
+	// time, all filling work. Users are affected after a few seconds.
 	maxOver = 1200 * time.Millisecond
 	// ignoredWeight is the weight up to which a known pair needs no pacing.
 	ignoredWeight = 0.15
@@ -49,14 +49,13 @@
 	Pace float64
 }
 
-// defaultBaseFraction is the base assumed for a serving task without a usable
-// one, as a fraction of the target. The base is at most the task's tail.
+// defaultBaseFraction is the base assumed for a serving task with an unknown
+// base, as a fraction of the target. A base is at most the task's tail.
 const defaultBaseFraction = 1 / 4.5
 
 // Pace returns the pace of each element of filling: the highest that the tails
 // of all serving tasks allow. Work that presses on none runs at full speed,
-// unless a tail has been over its target for more than twice maxOver. A pace
-// rises by at most maxRise.
+// unless a tail has been over its target for more than twice maxOver.
 //
 // The spare load of the serving tasks is given to the jobs in the order of
 // their ranks. If jobs shared a spare load equally that is too small for all
--- a/decide/pressure/regroup.go
+++ b/decide/pressure/regroup.go
@@ -133,8 +133,7 @@
 }
 
 // cost is the cost of a worker's mix of images: servingCost plus, for each two
-// images, their difference times the number of tasks that would have to move to
-// separate them. It is 0 without serving tasks.
+// images, their difference times the number of tasks to move to separate them.
 func (g *grouping) cost(w int) float64 {
 	sum := 0.0
 	for a, n := range g.count[w] {
@@ -231,8 +230,7 @@
 }
 
 // apply records a move, so that later moves of the pass account for it.
-// Capacity freed by a move without an exchange is not reused in the pass,
-// because stopping a task takes a while.
+// Capacity freed without an exchange is not reused: stopping a task takes time.
 func (g *grouping) apply(m Move) {
 	g.adjustCounts(m, 1)
 	one := &g.tasks[m.One]
