--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -139,8 +139,8 @@
 
 // capacityScore scores a worker by its tasks and free capacity. Serving tasks
 // are packed by image, and other tasks with reserved capacity go beside them.
-// Filling tasks go to the worker with the most unused CPU, unless they would
-// press too much on a serving task there.
+// Filling tasks go where most CPU is unused, unless they press too much on a
+// serving task there.
 func capacityScore(s *workload.Step, w *Candidate) float64 {
 	free := share(w.Free.CPU, w.Capacity.CPU) + share(w.Free.Memory, w.Capacity.Memory)/4
 	switch {
