--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -59,8 +59,8 @@
 	Place(now time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold)
 	// Relieve returns the actions on the tasks of an instance.
 	Relieve(now time.Duration, a *Agent) []decide.Action
-	// Call records a first attempt in a customer's retry budget. Retry takes
-	// another attempt from the budget and reports whether the budget had one.
+	// Call adds a call to a customer's retry budget. Retry takes an attempt
+	// from the budget and reports whether the budget had one.
 	Call(now time.Duration, c structs.Customer)
 	Retry(now time.Duration, c structs.Customer) bool
 	// Measured reports a delayed measurement.
@@ -69,8 +69,8 @@
 	// changed by delta. Load reports a change of a service's slots in use.
 	Changed(now time.Duration, instance int, k structs.Kind, delta float64)
 	Load(now time.Duration, instance int, s structs.Service, inUse int)
-	// Used reports the peak use of a run that ended, or of a run that was killed
-	// for using too much; ran is 0 then.
+	// Used reports the peak use of a run that ended, or (with ran 0) of a run
+	// killed for using too much.
 	Used(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
 	// Ended reports the end of a run; ok is false if it failed by itself.
 	Ended(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
