--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -266,8 +266,8 @@
 	s.reschedule(at)
 }
 
-// tickAgent is what an agent does each second: it sends load and measurements,
-// and takes the policy's actions on its tasks.
+// tickAgent is an agent's work of each second: it sends load and measurements,
+// and takes the policy's actions.
 func (s *simulation) tickAgent(at int) {
 	s.events.push(s.now+tickEvery, eventAgentTick, at, 0)
 	s.advance(at)
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -152,8 +152,8 @@
 	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-// updateView copies the exact state of a backend into an entry's view, except
-// inUse. An answer of an agent updates the view of its entry in this way.
+// updateView copies the exact state of a backend, except inUse, into an entry's
+// view, as the load on an agent's answer does.
 func (s *simulation) updateView(v *view, node, backend int) {
 	n := &s.nodes[node]
 	v.at = s.now
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -286,9 +286,8 @@
 	}
 }
 
-// drawJobs draws each customer's jobs: steady streams that together exceed the
-// capacity, noisy waves of one kind, jobs that can never run, and
-// cancellations.
+// drawJobs draws each customer's jobs: steady streams (see Options.Load), noisy
+// waves of one kind, jobs that can never run, and cancellations.
 func (w *Workload) drawJobs(r *rand.Rand) {
 	d := w.Options.Duration
 	for c := range customers {
--- a/decide/model/world.go
+++ b/decide/model/world.go
@@ -37,8 +37,8 @@
 	speed   float64
 	rate    float64
 	started time.Duration
-	// done and saved are seconds of work of the whole job: finished, and saved
-	// in the last checkpoint.
+	// done is the finished work of the whole job, saved the part of it in the
+	// last checkpoint, in seconds.
 	done, saved float64
 	savedAt     time.Duration
 	need        structs.Resources
@@ -67,7 +67,6 @@
 	recentDuration time.Duration
 }
 
-// node is one instance with its load.
 type node struct {
 	in          *instance
 	backends    []backend
