--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -17,7 +17,6 @@
 	"persimmonrock.example/wire"
 )
 
-// Settings of the agents in these tests.
 const (
 	agentLease = 40 * time.Second
 	agentSlots = 8
@@ -75,7 +74,7 @@
 }
 
 // grade is the program of a task: steps of one second, each with a checkpoint.
-// It reports work for a job that has a final state already.
+// A start of a job that already has a final state is recorded in w.broken.
 func (w *cluster) grade(ctx context.Context, in *instance, t memory.Task) ([]byte, error) {
 	w.checkNotFinal(t, "starts")
 	for left := w.runTime - time.Duration(len(t.Checkpoint))*time.Second; left > 0; left -= time.Second {
@@ -129,7 +128,6 @@
 	})
 }
 
-// evict makes an agent stop all its tasks as evicted.
 func (w *cluster) evict(n *agentNode) {
 	r := wire.StopRequest{Reason: wire.StopEvicted}
 	for id, j := range w.jobs() {
--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -44,13 +44,13 @@
 	// Queue holds the queued jobs that may start, oldest first within a
 	// customer.
 	Queue []structs.Job
-	// Agents are the agents that accept claims. Load.Free excludes what claims
-	// reserve whose start is not answered yet.
+	// Agents are the agents that accept claims. Load.Free excludes the
+	// reservations of claims whose start is not answered yet.
 	Agents []AgentView
 	// HeldSlots counts the slots that each customer's running tasks hold.
 	HeldSlots map[structs.Customer]int
-	// ShareSlots is each customer's share of all slots. It has an entry for every
-	// customer in Queue.
+	// ShareSlots is each customer's share of all slots. Every customer in Queue
+	// has a value.
 	ShareSlots map[structs.Customer]int
 	// Max bounds the number of claims.
 	Max int
@@ -63,7 +63,7 @@
 	Instance structs.InstanceID
 	// Borrowed allows the claim to go beyond the customer's share.
 	Borrowed bool
-	// Park takes the job out of the queue until its release, with Reason.
+	// Park takes the job out of the queue, with Reason, until it is released.
 	Park   bool
 	Reason string
 }
@@ -109,7 +109,7 @@
 	ShardLease time.Duration
 	// LeaseMargin is added to every lease length that this entry waits out.
 	LeaseMargin time.Duration
-	// FlushEvery is the time for which changes of a shard are gathered.
+	// FlushEvery is the time for which a transaction gathers a shard's changes.
 	FlushEvery time.Duration
 	// ScanEvery is the interval of reading the shard rows.
 	ScanEvery time.Duration
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -52,7 +52,8 @@
 	return ""
 }
 
-// onNetwork and onStore limit faults to one side of an entry.
+// onNetwork limits faults to an entry's exchanges with other processes, onStore
+// to its writes to the store.
 func onNetwork(o fault.Operation) bool { return o.Key == "net" }
 func onStore(o fault.Operation) bool   { return o.Key != "net" && o.Write }
 
@@ -133,11 +134,11 @@
 	})
 }
 
-// Guards against: a job that its customer was told does not exist runs a
-// minute later. The owner's insert times out and is delayed in the network;
-// the owner dies. The next owner is asked to cancel the job and correctly
-// answers that there is none. Then the old insert arrives: the row is absent,
-// as the insert requires.
+// Guards against: a customer is told that a job does not exist, and a minute
+// later the job runs. The owner's insert times out and is delayed in the
+// network; the owner dies. The next owner is asked to cancel the job and
+// correctly answers that it does not exist. Then the old insert arrives: the
+// row is absent, as the insert requires.
 func TestDelayedWriteAfterTakeover(t *testing.T) {
 	runCluster(t, 2, 1, nil, func(w *cluster) {
 		owner, second := w.owner("acme"), w.nonOwner("acme")
@@ -353,9 +354,9 @@
 	})
 }
 
-// Guards against: a job waits for ever though every instance is idle. Its
-// start is lost, the instance fails, and the claim ends by lapse before any
-// agent answered.
+// Guards against: a job waits for ever though every instance is idle. Its start
+// is lost, the instance fails, and the agent's lease lapses before any agent
+// has answered.
 func TestClaimEndsBeforeItsStartIsAnswered(t *testing.T) {
 	runCluster(t, 1, 1, nil, func(w *cluster) {
 		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, Patience: fault.Exactly(time.Minute)})
@@ -369,10 +370,10 @@
 }
 
 // Guards against: a job runs twice. Its start never leaves the owner, which
-// requeues the job; the store is slow, and before that write is applied the
-// link works again and the owner sends the start again. The task runs, and the
-// job is then requeued and claimed elsewhere. The cause: the proof that a
-// start was never sent does not cover its repeat.
+// requeues the job. The store is slow: before it applies that write, the link
+// works again and the owner repeats the start. The task runs, and the job is
+// then requeued and claimed elsewhere. The first start was never sent, but its
+// repeat was.
 func TestUnsentStartIsNotRepeatedWhileRequeued(t *testing.T) {
 	prepare := func(w *cluster) { w.slots, w.runTime = 1, 20*time.Second }
 	runCluster(t, 1, 1, prepare, func(w *cluster) {
--- a/entry/batch/change.go
+++ b/entry/batch/change.go
@@ -11,31 +11,31 @@
 	"persimmonrock.example/wire"
 )
 
-// change is one requested change of a job. The shard's writer decides it on
-// the latest state and settles it once that decision is durable.
+// change is one requested change of a job. The shard's writer calls decide with
+// the job's latest state, and settle once the result is durable.
 type change struct {
 	job structs.JobID
-	// decide returns the job's next state, or an error below or a refusal.
+	// decide returns the job's next state, one of the errors below, or a refusal.
 	decide func(v *view, current structs.Job, found bool) (structs.Job, error)
 	// settle receives the durable state, or the error. It must not block.
 	settle func(structs.Job, error)
-	// taken is set when the writer has put the change into a transaction; before
-	// that it can be withdrawn with proof that it had no effect.
+	// taken is set when the writer puts the change into a transaction. Until then
+	// the change can be withdrawn and certainly has no effect.
 	taken bool
 }
 
 // Results of a change's decision and errors passed to its settle function.
 var (
-	// errUnchanged leaves the job as it is; the job is the answer.
+	// errUnchanged leaves the job as it is; its current state is the answer.
 	errUnchanged = errors.New("batch: nothing to change")
 	// errAbsent says that the owner has no such job. It is returned only after a
 	// write has proved that this entry is still the owner.
 	errAbsent = errors.New("batch: no such job")
 	// errStale says that the change names a later epoch than this entry knows.
 	errStale = errors.New("batch: the change names a later epoch")
-	// errNotApplied proves that the change had no effect and never will.
+	// errNotApplied says that the change had no effect and never will have one.
 	errNotApplied = errors.New("batch: change not applied")
-	// errUncertain says that the change may have taken effect, or may yet.
+	// errUncertain says that the change may have taken effect or may still do so.
 	errUncertain = errors.New("batch: outcome unknown")
 )
 
@@ -47,7 +47,8 @@
 	return h.Sum64()
 }
 
-// submitChange inserts a job, or returns that of an equal earlier submission.
+// submitChange inserts a job, or returns the stored one if it was submitted
+// before under the same ID with the same body.
 func (t *tenure) submitChange(j structs.Job) *change {
 	sum := digest(j.Spec)
 	return &change{job: j.ID, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
@@ -102,8 +103,8 @@
 	}}
 }
 
-// endChange records the end of one claim. A report of an earlier epoch, or of
-// one that is no longer running, is void: an epoch leaves running only once.
+// endChange records the end of one claim. A report is void if it names an
+// earlier epoch or its job no longer runs: each epoch ends only once.
 func (t *tenure) endChange(r wire.TaskReport) *change {
 	return &change{job: r.Job, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		switch {
@@ -119,7 +120,7 @@
 	}}
 }
 
-// afterClaimEnd returns the state of a running job after its claim's end r.
+// afterClaimEnd returns job j after its claim has ended as r reports.
 func (t *tenure) afterClaimEnd(j structs.Job, r wire.TaskReport) structs.Job {
 	if r.Checkpoint != "" {
 		j.Checkpoint = r.Checkpoint
@@ -154,7 +155,7 @@
 	return t.endChange(wire.TaskReport{Job: id, Shard: t.shard, Epoch: e, End: wire.EndEvicted})
 }
 
-// cancelChange ends a queued job at once and asks a running one to stop.
+// cancelChange ends a queued or parked job and requests a running one's stop.
 func (t *tenure) cancelChange(customer structs.Customer, id structs.JobID) *change {
 	return &change{job: id, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		switch {
--- a/entry/batch/cost_test.go
+++ b/entry/batch/cost_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// fleet is a directory of agents without faults that admit everything.
+// fleet serves one entry as directory, contracts, placer and peers. The loads
+// of its agents never change, and peer answers for all of them.
 type fleet struct {
 	cluster
 	views   []AgentView
@@ -114,7 +115,7 @@
 	return out
 }
 
-// holdAll asks the real planner, as a placer does; it finds no capacity.
+// holdAll plans with the real planner, which finds no capacity.
 func (f *fleet) holdAll(s Snapshot) (out []Placement) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +171,7 @@
 	began := time.Now()
 	go func() { ended <- m.Run(ctx) }()
 	// The next run of the benchmark measures the heap, so all goroutines of this
-	// one must have ended.
+	// run must have ended.
 	b.Cleanup(func() {
 		stop()
 		<-ended
--- a/entry/batch/deliver.go
+++ b/entry/batch/deliver.go
@@ -10,7 +10,7 @@
 	"persimmonrock.example/wire"
 )
 
-// delivery holds the starts and stops that are sent to one agent at once.
+// delivery holds the starts and stops that are sent to one agent together.
 type delivery struct {
 	agent  AgentView
 	outbox *outbox
@@ -23,29 +23,29 @@
 // unreachable and sends no reports.
 const maxResendPause = time.Minute
 
-// outbox holds the jobs with a start or stop still to be sent to one instance,
-// and how the exchanges with its agent went.
+// outbox holds the jobs of one instance whose start or stop is not
+// acknowledged, and the state of the exchanges with the instance's agent.
 //
 // Failure guarded against: an owner takes over the shards of 28,000 running
 // tasks while their agents can't be reached, and sends all starts again every
-// two seconds, which wastes half a core. The guard: the pause doubles with
-// each failed exchange, up to maxResendPause. After a new report from the
-// agent everything is sent at once; only an answer ends the pause, so that an
-// agent that reports but can't be reached is tried once for each report.
+// two seconds, which wastes half a core. The guard: the pause doubles with each
+// failed exchange, up to maxResendPause. After a new report from the agent
+// everything is sent at once, but only an answer ends the pause: an agent that
+// reports but can't be reached is tried once for each report.
 type outbox struct {
 	unacked map[structs.JobID]struct{}
-	// nextDue is before the next send of any unacked job.
+	// nextDue is no later than the next send of any unacked job.
 	nextDue time.Time
 	// pause is zero unless the last exchange failed.
 	pause    time.Duration
 	inFlight int
-	// process and sequence identify the agent's last report that was seen here.
+	// process and sequence identify the last report that newReport has seen.
 	process  string
 	sequence uint64
 }
 
 // newReport records the agent's last report. It returns true if that report is
-// new, the last exchange failed and none is in flight.
+// new, the last exchange failed and no exchange is in flight.
 func (o *outbox) newReport(l wire.Load) bool {
 	if o.process == l.Process && o.sequence == l.Sequence {
 		return false
@@ -79,20 +79,20 @@
 	}
 }
 
-// sendDueJobs sends starts of claimed jobs that are not confirmed, and stops
-// of cancelled jobs.
+// sendDueJobs sends the unconfirmed starts of claimed jobs and the stops of
+// cancelled jobs.
 //
 // Failure guarded against: the owner commits a claim and dies or is cut off
-// before the agent receives the start, or its answer is lost; the job would
-// stay running for ever. The guard: a start is sent until the agent has
-// answered for this epoch, also by the next owner. An agent answers a repeat
-// as it answered the first, and never runs an epoch twice.
+// before the agent receives the start, or the agent's answer is lost; the job
+// would stay in state running for ever. The guard: this owner, or the next,
+// repeats the start until the agent has answered for this epoch. An agent
+// answers a repeat as it answered the first, and never runs an epoch twice.
 //
-// Failure guarded against: a job whose start was never sent is requeued, and
-// while that is written, or while the start's connection was still being
-// tried, a repeat arrives: the task runs at the agent and, once requeued, a
-// second time elsewhere. The guard: one start of an epoch is in flight at a
-// time, and none while its job is requeued.
+// Failure guarded against: a start is never sent and its job is requeued, but a
+// repeat of the start reaches the agent while the requeue is being written, or
+// while the first start still waits for a connection. The task then runs at the
+// agent and a second time elsewhere. The guard: at most one start of an epoch
+// is in flight, and none while its job is being requeued.
 func (t *tenure) sendDueJobs(agents map[structs.InstanceID]AgentView) {
 	now := time.Now()
 	var deliveries []*delivery
@@ -127,8 +127,9 @@
 	}
 }
 
-// sendDue reports whether any instance is due for a send; new reports of
-// agents are found when running jobs are compared. The caller holds t.mu.
+// sendDue reports whether a send to any instance is due by time. sendDueJobs
+// itself notices agents' new reports, at the next lease check. The caller holds
+// t.mu.
 func (t *tenure) sendDue(now time.Time) bool {
 	for _, o := range t.outboxes {
 		if !now.Before(o.nextDue) {
@@ -138,8 +139,9 @@
 	return false
 }
 
-// fillDelivery adds due jobs, or all unacked ones, to p. It returns cancelled
-// jobs whose start was never sent. The caller holds t.mu.
+// fillDelivery adds the unacked jobs that are due, or all of them if all is
+// set, to p. It returns the cancelled jobs whose start was never sent. The
+// caller holds t.mu.
 func (t *tenure) fillDelivery(p *delivery, now time.Time, all bool) (unsent []structs.Job) {
 	o := p.outbox
 	resendAt := now.Add(max(t.m.cfg.ResendEvery, o.pause))
@@ -159,7 +161,8 @@
 			o.nextDue = earlier(o.nextDue, r.nextSend)
 			continue
 		}
-		// The agent may appear, or the write that requeues the job may fail.
+		// The agent may become reachable, or the write that requeues the job may
+		// fail.
 		o.nextDue = earlier(o.nextDue, now.Add(t.m.cfg.PlanEvery))
 	}
 	return unsent
@@ -189,7 +192,8 @@
 	}
 }
 
-// postpone defers the next attempt for sent jobs. The caller holds t.mu.
+// postpone defers the next send of jobs whose start may have been sent. The
+// caller holds t.mu.
 func (t *tenure) postpone(o *outbox, at time.Time) {
 	for id := range o.unacked {
 		if r := t.jobs[id]; r.mayHaveSent {
@@ -199,7 +203,6 @@
 	o.nextDue = time.Time{}
 }
 
-// add adds the stop or the start of one job to the delivery.
 func (p *delivery) add(r *record) {
 	if r.job.CancelRequested {
 		p.stops = append(p.stops, wire.TaskRef{Job: r.job.ID, Shard: r.job.Shard, Epoch: r.job.Epoch})
--- a/entry/batch/deliver_test.go
+++ b/entry/batch/deliver_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Guards against: calls at an entry turn slow after it has taken over the
-// queue shards of another. The agents of the running tasks can't be reached,
-// and the entry spends half a core on sending all their starts again every 2 s.
-// When the network works again, jobs must not wait out a long pause.
+// Guards against: an entry answers calls slowly after it has taken over another
+// entry's queue shards. The agents of the running tasks can't be reached, and
+// the entry spends half a core on sending all their starts again every 2 s.
+// Guards also against: jobs wait out a long pause after the network works
+// again.
 func TestStartsBackOffWhileAnAgentIsUnreachable(t *testing.T) {
 	runSlotCluster(t, func(y *slotCluster) {
 		y.mu.Lock()
--- a/entry/batch/evidence.go
+++ b/entry/batch/evidence.go
@@ -11,8 +11,8 @@
 )
 
 // agentLeases holds the latest state of the agents' lease rows that this entry
-// has read. A row's incarnation only rises, and within one incarnation fenced
-// and released are final, so the proven end of a lease stays proven.
+// has read. A row's incarnation only rises, and the states fenced and released
+// are final within one incarnation: a lease that has ended stays ended.
 type agentLeases struct {
 	mu     sync.Mutex
 	agents map[structs.InstanceID]*observedLease[structs.AgentLease]
@@ -24,16 +24,16 @@
 // The proofs that a claim's task no longer runs.
 const (
 	noProof proof = iota
-	// proofIncarnation: a newer agent has fenced the worker before it wrote
-	// its incarnation.
+	// proofIncarnation: the row names a newer agent, which fenced the worker
+	// before it wrote the row.
 	proofIncarnation
-	// proofReleased: the agent stopped all tasks before it wrote the row.
+	// proofReleased: the agent stopped all tasks before it released the lease.
 	proofReleased
-	// proofFenced: the row stayed unchanged for the full length of the lease.
+	// proofFenced: an entry saw the row unchanged for the lease's full length.
 	proofFenced
 )
 
-// proofOf returns the proof that a lease of an instance runs no task any more.
+// proofOf returns the proof that no task of an instance's lease runs any more.
 func (f *agentLeases) proofOf(id structs.InstanceID, incarnation structs.Incarnation) proof {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,9 +103,10 @@
 	m.wakeAllTenures()
 }
 
-// fence marks a lapsed lease as fenced. The write is conditional on the
-// version that was seen unchanged, so that a holder that renewed in time, or a
-// new incarnation, wins. The next reading resolves an unknown outcome.
+// fence marks a lapsed lease as fenced. The write is conditional on the version
+// that was seen unchanged, so it fails if the holder has renewed in time or a
+// new incarnation has written the row. The next reading shows the row after an
+// unknown outcome.
 func (m *Manager) fence(ctx context.Context, s observedLease[structs.AgentLease]) {
 	key := structs.AgentLeaseKey(s.lease.Instance)
 	fenced := s.lease
@@ -128,7 +129,7 @@
 }
 
 // rereadLease reads one agent's row at once, because the agent reports a newer
-// lease. Only the row is proof, not the report.
+// lease. Only the row, not the report, proves that the older lease has ended.
 func (m *Manager) rereadLease(ctx context.Context, id structs.InstanceID) {
 	sent := time.Now()
 	row, err := m.get(ctx, structs.AgentLeaseKey(id))
@@ -148,9 +149,9 @@
 	}
 }
 
-// requeueEndedClaims requeues every running job of the tenure whose lease is
-// known to have ended. If an agent reports a newer lease than a job names, its
-// row is read first.
+// requeueEndedClaims requeues the running jobs whose agent lease is known to
+// have ended. If an agent reports a newer lease than one of its jobs names, the
+// agent's lease row is read first.
 func (t *tenure) requeueEndedClaims(agents map[structs.InstanceID]AgentView) {
 	for _, instance := range t.instancesWithNewerLease(agents) {
 		t.m.rereadLease(t.ctx, instance)
@@ -179,7 +180,8 @@
 }
 
 // instancesWithNewerLease returns the instances whose agent reports a newer
-// lease than one of their jobs names, and whose row has not shown it yet.
+// lease than one of their jobs names, while the row as last read doesn't show
+// it.
 func (t *tenure) instancesWithNewerLease(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/expire.go
+++ b/entry/batch/expire.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxOffloaded bounds the marks of final jobs whose rows are in the table
-	// service only; with more of them each unknown job is looked up there.
+	// maxOffloaded bounds the marks of offloaded jobs. Once there are more jobs,
+	// each one that is not in memory is looked up in the table service.
 	maxOffloaded = 500_000
 	// expirePage is the number of rows that a pass over a shard reads at once.
 	expirePage = 500
@@ -48,18 +48,19 @@
 
 func (o *offloaded) remove(id structs.JobID) { delete(o.marks, hashJobID(id)) }
 
-// contains reports whether a job very probably has a row outside memory.
+// contains reports whether a job, or one of the same hash, is offloaded.
 func (o *offloaded) contains(id structs.JobID) bool {
 	_, contains := o.marks[hashJobID(id)]
 	return contains
 }
 
-// mayContain is false only for a job that has no row outside memory.
+// mayContain is false only for a job that was certainly not offloaded.
 func (o *offloaded) mayContain(id structs.JobID) bool {
 	return o.full || o.contains(id)
 }
 
-// offloadFinals drops the oldest final jobs from memory. The caller holds t.mu.
+// offloadFinals drops the oldest final jobs beyond Retain from memory. The
+// caller holds t.mu.
 func (t *tenure) offloadFinals() {
 	extra := max(0, len(t.finals)-t.m.cfg.Retain)
 	for _, id := range t.finals[:extra] {
@@ -71,11 +72,11 @@
 
 // recall reads an offloaded job back into memory, where the writer finds it.
 //
-// Failure guarded against: a customer submits a job again under its
-// Idempotency-Key days after its end, the owner has no record of it any more,
-// and the job runs twice. The guard: the owner marks the jobs that it offloads
-// and reads the row of such a job before it decides. Even without the mark the
-// insert would be refused, since it requires that there is no row.
+// Failure guarded against: days after its end a job is submitted again under
+// its Idempotency-Key, the owner no longer has it in memory, and the job runs
+// twice. The guard: the owner marks the jobs that it offloads, and reads a
+// marked job's row before it decides on a submission. Even without the mark the
+// store would refuse the insert, which requires that there is no row.
 func (t *tenure) recall(ctx context.Context, id structs.JobID) error {
 	t.mu.Lock()
 	needed := t.jobs[id] == nil && t.offloaded.mayContain(id)
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// cacheFinal puts the row of a final job into memory, unless it is there.
+// cacheFinal puts a final job into memory, unless the job is there already.
 func (t *tenure) cacheFinal(j structs.Job, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +121,8 @@
 	}
 }
 
-// expirePass examines each row of the shard once. Memory is bounded by the
-// page; failures are left to the next pass.
+// expirePass examines each row of the shard once. It holds one page of rows in
+// memory; failures are left to the next pass.
 func (t *tenure) expirePass() {
 	after := ""
 	for t.ctx.Err() == nil {
@@ -147,9 +148,9 @@
 	}
 }
 
-// deletable reports whether a row may be deleted now. A final row without the
-// period of its end gets one, and its objects are deleted before the row that
-// names them.
+// deletable reports whether the row of job j may be deleted now, and first
+// deletes the objects that the row names. A final row without the retention
+// period of its end gets the current one instead.
 func (t *tenure) deletable(j structs.Job, version uint64) bool {
 	if !ended(j.State) {
 		return false
@@ -217,9 +218,10 @@
 	t.m.count.jobsExpired.Add(int64(len(ids)))
 }
 
-// endPeriodChange records the current retention period as a final job's end,
-// for a row without one: the period was not known then, or the row is of an
-// older version. The row is written as read, since memory lacks the payload.
+// endPeriodChange records the current retention period as the end of a final
+// job whose row has none: the period was not known, or an older release wrote
+// the row. The row is written as read, since the job in memory lacks the
+// payload.
 func (t *tenure) endPeriodChange(row structs.Job) *change {
 	return &change{job: row.ID, decide: func(_ *view, current structs.Job, found bool) (structs.Job, error) {
 		epoch, known := t.m.retention.Epoch()
@@ -231,7 +233,7 @@
 	}}
 }
 
-// withEndPeriod sets the period of the job's end in next if it ends the job.
+// withEndPeriod sets next.Ended to the current period if next ends the job.
 func (m *Manager) withEndPeriod(old, next structs.Job) structs.Job {
 	if ended(next.State) && !ended(old.State) {
 		next.Ended, _ = m.retention.Epoch()
--- a/entry/batch/expire_test.go
+++ b/entry/batch/expire_test.go
@@ -31,8 +31,8 @@
 
 // Guards against: a customer repeats a submission under its Idempotency-Key a
 // day later, and the job runs again. Thousands of other jobs have ended in the
-// meantime, and the shard's owner had deleted the old row to save space. Or
-// the row is never deleted, and the table grows by each job.
+// meantime, and the shard's owner has deleted the old row to save space. Guards
+// also against: rows are never deleted, and the table grows with each job.
 func TestEndedJobIsFoundUntilItsRetentionEnds(t *testing.T) {
 	const jobs = 10
 	runSlotClusterOf(t, Config{Retain: 2, JobRetention: testRetention}, func(y *slotCluster) {
@@ -58,7 +58,8 @@
 				t.Fatalf("after %s the result is gone: %v", time.Since(began), err)
 			}
 		}
-		// 26 steps of the period count, each up to half a period late, and one pass.
+		// The deletion takes 26 advances of the retention epoch, each up to half a
+		// period late, and one expirePass.
 		time.Sleep(testRetention)
 		if n := len(y.jobs()); n != 0 {
 			t.Errorf("%d rows are left %s after the last end", n, time.Since(began))
--- a/entry/batch/manager.go
+++ b/entry/batch/manager.go
@@ -38,15 +38,16 @@
 	owned    map[structs.ShardID]*tenure
 	shards   [structs.ShardCount]observedLease[structs.ShardLease]
 	draining bool
-	// rebalanceAfter is the earliest time of the next rebalancing release.
+	// rebalanceAfter is the earliest time at which rebalance may release a shard.
 	rebalanceAfter time.Time
-	// excludedUntil is when an entry that let a shard lapse counts again.
+	// excludedUntil is when an entry that let a shard lapse counts as alive
+	// again.
 	excludedUntil map[structs.EntryID]time.Time
 	ctx           context.Context
 	running       sync.WaitGroup
 }
 
-// New returns a Manager that owns nothing until Run.
+// New returns a Manager that owns no shard until Run is called.
 func New(cfg Config, deps Deps) *Manager {
 	if deps.Events == nil {
 		deps.Events = structs.NoEvents{}
@@ -130,7 +131,7 @@
 	return t
 }
 
-// get reads one row under the store's time limit.
+// get reads one row within StoreTimeout.
 func (m *Manager) get(ctx context.Context, key string) (infra.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.StoreTimeout)
 	defer cancel()
@@ -138,7 +139,6 @@
 	return m.deps.Table.Get(ctx, key)
 }
 
-// scanPage is the number of rows read at once.
 const scanPage = 1000
 
 // scan reads all rows under prefix, page by page.
--- a/entry/batch/monotonic_test.go
+++ b/entry/batch/monotonic_test.go
@@ -9,9 +9,9 @@
 	"persimmonrock.example/structs"
 )
 
-// Guards against: one entry shows a client that its job is done, and the owner
-// of the job's shard then shows it as running: the owner's transaction is in
-// the store, and the store's answer is still on its way.
+// Guards against: one entry shows a client that its job is done, and then the
+// owner of the job's shard shows the job as running. The owner's transaction is
+// in the store, and the store's answer is still on its way.
 func TestOwnerShowsNoEarlierStateThanTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(t)
--- a/entry/batch/ownership.go
+++ b/entry/batch/ownership.go
@@ -12,9 +12,9 @@
 	"persimmonrock.example/structs"
 )
 
-// rebalancePause is the time for which an entry releases no shard after it
-// reacquired one that no other entry had acquired, and for which an entry that
-// let a shard lapse is not counted.
+// rebalancePause is the time for which an entry releases no shard after it had
+// to acquire a free one above its target, and for which an entry that let a
+// shard lapse is not counted as alive.
 const rebalancePause = time.Minute
 
 // observeShards reads the shard rows, stops replaced tenures, acquires free
@@ -50,7 +50,7 @@
 	}
 }
 
-// stopReplaced ends tenures whose row names a later epoch.
+// stopReplaced ends the tenures whose shard row names a later epoch.
 func (m *Manager) stopReplaced() {
 	for _, t := range m.tenures() {
 		m.mu.Lock()
@@ -76,7 +76,7 @@
 			live[s.lease.Owner] = true
 		}
 	}
-	// An entry that let a shard lapse will not acquire others.
+	// An entry that let a shard lapse is not expected to acquire others.
 	for i := range m.shards {
 		if s := &m.shards[i]; m.lapsed(s) && s.lease.Owner != m.cfg.Entry {
 			m.excludedUntil[s.lease.Owner] = time.Now().Add(rebalancePause)
@@ -96,7 +96,7 @@
 }
 
 // acquireFreeShards acquires shards without a valid owner, up to the target. A
-// shard that stays free longer is acquired even above the target.
+// shard that has stayed free for ShardLease is acquired even above the target.
 func (m *Manager) acquireFreeShards(ctx context.Context) {
 	target := m.targetShards()
 	type free struct {
@@ -111,8 +111,8 @@
 		if m.owned[id] != nil {
 			continue
 		}
-		// A row that names this entry without a tenure is left from an ended
-		// tenure or this entry's former process: no other entry serves the shard.
+		// This entry has no tenure of the shard. A row that names it was left by an
+		// ended tenure or a former process: no other entry serves the shard.
 		unowned := s.lease.Owner == "" || s.lease.Owner == m.cfg.Entry
 		if unowned || m.lapsed(s) {
 			orphanAfter := m.cfg.ShardLease
@@ -135,10 +135,10 @@
 	}
 }
 
-// acquireShard raises the shard's epoch in this entry's name by a conditional
-// write. After an unknown outcome nothing is assumed: the next read of the row
-// shows whether this entry is the owner, and in both cases the epoch is raised
-// again before the shard is served.
+// acquireShard makes this entry the shard's owner at the next epoch, by a
+// conditional write. After an unknown outcome nothing is assumed: the next read
+// of the row shows the owner, and this entry raises the epoch again before it
+// serves the shard.
 func (m *Manager) acquireShard(ctx context.Context, s structs.ShardID) {
 	m.mu.Lock()
 	seen := m.shards[s]
@@ -186,8 +186,8 @@
 	t.m.drop(t)
 }
 
-// load reads all rows of the shard. The raised epoch makes every older write
-// of the shard impossible, so the rows read are final.
+// load reads all rows of the shard. The store refuses writes of earlier epochs,
+// so that the rows can't change after they are read.
 func (t *tenure) load() bool {
 	for {
 		rows := make(map[structs.JobID]structs.Job)
@@ -228,7 +228,6 @@
 	signal(t.wakeWork)
 }
 
-// drop removes an ended tenure and its reservations.
 func (m *Manager) drop(t *tenure) {
 	m.mu.Lock()
 	if m.owned[t.shard] == t {
@@ -250,10 +249,10 @@
 // rebalance releases one shard if this entry owns more than its target and
 // every shard has an owner.
 //
-// Failure guarded against: an entry that counts as alive acquires no shard,
-// and shards released to it stay free and unserved. The guard: the next shard
-// is released only after another entry has acquired the last one, and not
-// within rebalancePause after this entry had to reacquire one.
+// Failure guarded against: an entry that counts as alive acquires no shard, and
+// shards released to it stay free and unserved. The guard: the next shard is
+// released only after another entry has acquired the one released before, and
+// not within rebalancePause after this entry acquired one above its target.
 func (m *Manager) rebalance() {
 	target := m.targetShards()
 	owned := m.tenures()
@@ -264,7 +263,7 @@
 	owned[len(owned)-1].release()
 }
 
-// mayRebalance reports whether all shards have owners and no pause is running.
+// mayRebalance reports whether all shards have owners and the pause is over.
 func (m *Manager) mayRebalance() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/batch/place.go
+++ b/entry/batch/place.go
@@ -31,7 +31,7 @@
 			t.claim(j, agent, snapshot.ShareSlots[j.Customer], p.Borrowed)
 		}
 	}
-	// Jobs that a full round left undecided are part of the next one.
+	// Jobs on which a full round didn't decide are part of the next round.
 	for id := range jobs {
 		t.reconsider(id)
 	}
@@ -58,8 +58,8 @@
 	return s
 }
 
-// backOff keeps a job whose start was refused out of placement, longer each
-// time, until an agent admits it.
+// backOff excludes a job from placement after its start was refused or could
+// not be sent. The time doubles until an agent admits the job.
 func (t *tenure) backOff(id structs.JobID, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/queue_bench_test.go
+++ b/entry/batch/queue_bench_test.go
@@ -9,7 +9,6 @@
 	"persimmonrock.example/structs"
 )
 
-// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -28,21 +27,22 @@
 	}
 }
 
-// BenchmarkAgentsUnreachable does the same for an owner that has taken over
-// 28,000 running tasks whose agents don't answer.
+// BenchmarkAgentsUnreachable reports the part of a core that an owner uses
+// after it has taken over 28,000 running tasks whose agents don't answer.
 func BenchmarkAgentsUnreachable(b *testing.B) {
 	newFleet(b, 28_000, structs.JobRunning, unresponsiveAgent{})
 	reportCoreUse(b)
 }
 
-// BenchmarkRunning does the same for an owner of 28,000 running tasks.
+// BenchmarkRunning reports the part of a core that an owner of 28,000 running
+// tasks uses.
 func BenchmarkRunning(b *testing.B) {
 	newFleet(b, 28_000, structs.JobRunning, admitAll{})
 	reportCoreUse(b)
 }
 
-// BenchmarkRestart reports, besides the time until all shards are loaded, an
-// entry's time to claim new jobs then, with 30,000 rows in the table.
+// BenchmarkRestart reports an entry's time to load all shards from 30,000 rows
+// in the table, and its time to claim new jobs after that.
 func BenchmarkRestart(b *testing.B) {
 	const fresh = 100
 	m := newFleet(b, 30_000, structs.JobRunning, admitAll{})
--- a/entry/batch/race_test.go
+++ b/entry/batch/race_test.go
@@ -6,11 +6,11 @@
 
 // init keeps tests in fake time on one processor under the race detector.
 //
-// Failure guarded against: the Go runtime runs due channel timers of a
-// synctest bubble on whichever thread polls them, all with the bubble's one
-// race context, without a lock. Two at once leave its stack of frames one too
-// short, and the next goroutine that a timer starts makes the detector read
-// from outside of it: SIGSEGV in StackDepotBase::Put, with a size of
-// 0xffffffff. One processor runs one of them at a time. The detector needs no
-// parallel threads to see accesses without order.
+// Failure guarded against: the Go runtime runs due channel timers of a synctest
+// bubble on whichever thread polls them, all with the bubble's one race
+// context, without a lock. Two timers at once leave that context's stack of
+// frames one frame too short. When a timer then starts a goroutine, the
+// detector reads outside the stack: SIGSEGV in StackDepotBase::Put, with a size
+// of 0xffffffff. With one processor, one timer runs at a time. The detector
+// finds unordered accesses without parallel threads.
 func init() { runtime.GOMAXPROCS(1) }
--- a/entry/batch/random_test.go
+++ b/entry/batch/random_test.go
@@ -14,13 +14,11 @@
 	"persimmonrock.example/structs"
 )
 
-// seeds is the number of random histories; each is the plan of one seed.
 var seeds = flag.Int("batch.seeds", 5, "number of random histories, from seed 1")
 
 // firstSeed allows a failed history to be run alone.
 var firstSeed = flag.Int("batch.first", 1, "first seed of the random histories")
 
-// action is one step of a random history.
 type action struct {
 	At     time.Duration
 	Kind   string
@@ -85,7 +83,7 @@
 	}
 }
 
-// perform does one action and undoes it after its time.
+// perform does one action. A lasting fault ends after a.For at the latest.
 func (c *client) perform(a action) {
 	w := c.w
 	entry := fmt.Sprintf("e%d", a.Target%3)
@@ -169,8 +167,8 @@
 }
 
 // TestRandomHistories combines all faults in random order. Whatever the order,
-// each accepted job reaches one final state, none that was refused as not run
-// exists, and none runs in two places.
+// each accepted job reaches one final state, no job that was refused as not run
+// exists, and no job runs in two places.
 func TestRandomHistories(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		plan := actions.Example(seed)
--- a/entry/batch/release_test.go
+++ b/entry/batch/release_test.go
@@ -8,10 +8,10 @@
 	"persimmonrock.example/structs"
 )
 
-// Guards against: an operator has removed the cause that parked a job and
-// releases it; the load balancer sends the command to an entry that doesn't
-// own the job's queue shard, and that entry refuses it each time. With the
-// owner cut off, the operator must know whether the job may run.
+// Guards against: an operator can't release a parked job after removing the
+// cause. The load balancer sends the command to an entry that doesn't own the
+// job's queue shard, and that entry refuses it each time. If the owner is cut
+// off, the answer must tell the operator whether the job may run.
 func TestReleaseAtAnyEntry(t *testing.T) {
 	runCluster(t, 2, 0, nil, func(w *cluster) {
 		owner, nonOwner := w.entry(w.owner("acme")), w.entry(w.nonOwner("acme"))
--- a/entry/batch/reserve.go
+++ b/entry/batch/reserve.go
@@ -6,9 +6,9 @@
 	"persimmonrock.example/structs"
 )
 
-// reservations holds the resources of unanswered claims on each instance, so
-// that two rounds, or two shards of this entry, don't assign the same slot. It
-// only avoids refusals: the agent's own ledger decides.
+// reservations holds the resources of each instance's claims whose start is not
+// answered, so that two rounds, or two shards of this entry, don't assign the
+// same slot. This only avoids refusals: the agent's own ledger decides.
 type reservations struct {
 	mu   sync.Mutex
 	jobs map[*tenure]map[structs.JobID]reservation
@@ -58,7 +58,6 @@
 	}
 }
 
-// removeTenure removes all reservations of an ended tenure.
 func (r *reservations) removeTenure(t *tenure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +80,7 @@
 	return plus(free, r.sums[on], -1)
 }
 
-// plus returns a plus sign times b.
+// plus returns a + sign*b.
 func plus(a, b structs.Resources, sign int) structs.Resources {
 	a.Slots += sign * b.Slots
 	a.MilliCores += sign * b.MilliCores
--- a/entry/batch/room.go
+++ b/entry/batch/room.go
@@ -7,13 +7,14 @@
 	"persimmonrock.example/structs"
 )
 
-// agentsView is the directory by instance, shared by all shards for one round.
+// agentsView holds the directory's agents by instance, shared by all shards for
+// one round.
 type agentsView struct {
 	mu      sync.Mutex
 	builtAt time.Time
 	all     map[structs.InstanceID]AgentView
 	// capacities is the free capacity of each instance in this view, less
-	// reservations; changes counts what could let a waiting job start.
+	// reservations; changes counts those that could let a waiting job start.
 	capacities map[structs.InstanceID]capacity
 	changes    uint64
 	revision   structs.Revision
@@ -25,8 +26,8 @@
 	free, total structs.Resources
 }
 
-// agents returns the directory by instance, which must not be changed, and the
-// number of changes so far that could let a waiting job start.
+// agents returns the directory's agents by instance, in a map that must not be
+// changed, and the number of changes that could have let a waiting job start.
 func (m *Manager) agents() (map[structs.InstanceID]AgentView, uint64) {
 	v := &m.view
 	v.mu.Lock()
@@ -48,7 +49,7 @@
 	return v.all, v.changes
 }
 
-// updateCapacities counts a change if any instance can take more than before.
+// updateCapacities counts a change if any instance's free capacity has grown.
 func (v *agentsView) updateCapacities(capacities map[structs.InstanceID]capacity) {
 	for id, now := range capacities {
 		if before, known := v.capacities[id]; !known || now.hasMoreThan(before) {
@@ -59,8 +60,8 @@
 	v.capacities = capacities
 }
 
-// hasMoreThan reports whether s may fit a job that before could not. Without a
-// free slot s fits none.
+// hasMoreThan reports whether s may fit a job that the earlier capacity did
+// not. Without a free slot no job fits.
 func (s capacity) hasMoreThan(before capacity) bool {
 	if s.free.Slots <= 0 {
 		return false
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -15,19 +15,20 @@
 
 // Limits of forwarding and serving.
 const (
-	// defaultDeadline bounds a request whose context has none.
+	// defaultDeadline bounds a request whose context has no deadline.
 	defaultDeadline = 10 * time.Second
-	// forwardPause is the wait before a forwarded request is repeated.
+	// forwardPause is the wait before a request to a shard's owner is repeated.
 	forwardPause = 100 * time.Millisecond
 	// maxUnsentTries bounds the attempts at an owner that can't be reached.
 	maxUnsentTries = 5
-	// stallLimit is the time for which a transaction's outcome may be unknown
-	// before requests that would wait behind it are refused at once.
+	// stallLimit is the longest time for which new requests wait behind a
+	// transaction whose outcome is unknown. After it they are refused at once.
 	stallLimit = time.Second
 )
 
-// Submit stores a job, or returns that of an equal earlier submission. job.ID
-// must be set to make repeats by the caller safe; Submit fills an empty one.
+// Submit stores a job, or returns the stored one if the same ID and body were
+// submitted before. A caller that may repeat it must set job.ID; Submit fills
+// an empty one.
 func (m *Manager) Submit(ctx context.Context, job structs.Job) (structs.Job, *structs.Refusal) {
 	if job.ID == "" {
 		job.ID = structs.JobID(rand.Text())
@@ -141,8 +142,8 @@
 	remote func(context.Context, wire.EntryPeer) (*structs.Refusal, error)
 }
 
-// callOwner runs a repeatable request at the owner of a shard. Once the
-// request may have reached an owner, only success or the deadline ends it.
+// callOwner runs a repeatable request at the owner of a shard. Once the request
+// may have reached an owner, it returns only on success or at the deadline.
 func (m *Manager) callOwner(ctx context.Context, s structs.ShardID, step string, id structs.JobID, call ownerCall) *structs.Refusal {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -172,7 +173,8 @@
 	}
 }
 
-// tryOnce sends the request once. sent is false only if it had no effect.
+// tryOnce sends the request once. sent reports whether a request without a
+// definite answer may have had an effect.
 func (m *Manager) tryOnce(ctx context.Context, s structs.ShardID, step string, call ownerCall) (refused *structs.Refusal, sent bool) {
 	if t := m.tenure(s); t != nil {
 		refused = call.local(ctx, t)
@@ -236,8 +238,8 @@
 	return nil
 }
 
-// ServeReport records ends of claims. A report is settled only once it is
-// durable, or void for good.
+// ServeReport records ends of claims. A report is settled only once the end is
+// durable or the report void for good.
 func (m *Manager) ServeReport(r wire.ReportRequest, reply *wire.ReportReply) error {
 	reply.Settled = make([]bool, len(r.Reports))
 	m.deps.Directory.Observe(r.Load)
@@ -304,7 +306,7 @@
 	refusals := make([]*structs.Refusal, len(ids))
 	changes := make([]*change, len(ids))
 	for i, id := range ids {
-		// A job whose row can't be read is final: there is nothing to cancel.
+		// Only final jobs are recalled: without the row there is nothing to cancel.
 		_ = t.recall(ctx, id)
 		changes[i] = t.cancelChange(customer, id)
 	}
@@ -329,7 +331,7 @@
 	err error
 }
 
-// submitAll passes changes to the writer at once and returns their waiters.
+// submitAll passes changes to the writer and returns one waiter for each.
 func (t *tenure) submitAll(changes []*change) []waiter {
 	waiters := make([]waiter, len(changes))
 	for i, c := range changes {
@@ -347,15 +349,15 @@
 	return waiters
 }
 
-// stalled reports whether a transaction's outcome has been unknown for long.
+// stalled reports whether an outcome has been unknown beyond stallLimit.
 func (t *tenure) stalled() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.stalledSince.IsZero() && time.Since(t.stalledSince) > stallLimit
 }
 
-// leaseValid reports whether this entry's lease on the shard is valid by its
-// own elapsed time.
+// leaseValid reports whether the shard's lease is valid by this process's
+// clock.
 func (t *tenure) leaseValid() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/scanpace.go
+++ b/entry/batch/scanpace.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// agentScanInterval is the pause after a scan that saw as many rows as the
-// last one, and the expected gap between two readings; see observedLease.
+// agentScanInterval returns the pause between scans, by the rows of the last
+// one. observedLease expects this gap between two readings.
 func (m *Manager) agentScanInterval() time.Duration {
 	interval := m.cfg.AgentScanEvery
 	stretched := interval * time.Duration(m.leaseRows.Load()) / maxUnstretchedRows
--- a/entry/batch/scanpace_test.go
+++ b/entry/batch/scanpace_test.go
@@ -13,9 +13,9 @@
 )
 
 // One of 1,000 instances fails and its lease row stays unchanged while the
-// others renew theirs. Its tasks wait until the entry sees the lease as
-// lapsed: never before the lease ends, and at most two scans later, at the
-// interval that fits the entry's byte budget. No other agent is fenced.
+// others renew theirs. The entry must fence that lease alone, never before it
+// ends and at most two scans later, at the interval stretched for 1,000 rows.
+// Until then the tasks wait.
 func TestLapseIsDetectedAtTheStretchedInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const agents, length = 1000, 10 * time.Minute
@@ -56,8 +56,8 @@
 	})
 }
 
-// With few agents the scan interval is the configured one; with very many it
-// stays within its bound, since recovery waits for it.
+// With few agents the scan interval is the configured one. With very many it
+// stays within its bound, since a failed instance's tasks wait for a scan.
 func TestIntervalOfLeaseScans(t *testing.T) {
 	m := New(Config{AgentScanEvery: 10 * time.Second}, Deps{})
 	for rows, want := range map[int64]time.Duration{0: 10 * time.Second, maxUnstretchedRows: 10 * time.Second, 2 * maxUnstretchedRows: 20 * time.Second, 100_000: time.Minute} {
--- a/entry/batch/sighting.go
+++ b/entry/batch/sighting.go
@@ -5,10 +5,11 @@
 // observedLease is an observer's state of one lease row.
 //
 // Failure guarded against: an observer that could not read (store down) or did
-// not run (paused) sees an old counter and declares a live holder dead, for
-// every lease at once. The guard: only time in which the observer was reading
-// counts. A gap of more than two reading intervals counts as one interval.
-// Counted time never exceeds elapsed time, so no lease ends early by it.
+// not run (process paused) finds all counters unchanged for too long, and
+// declares all live holders dead at once. The guard: only time in which the
+// observer was reading counts. A gap of more than two reading intervals counts
+// as one interval. Counted time never exceeds elapsed time, so this rule ends
+// no lease early.
 type observedLease[L any] struct {
 	known   bool
 	lease   L
@@ -20,8 +21,8 @@
 	unchanged time.Duration
 }
 
-// observe records one reading of the row at now, a time on the observer's own
-// clock from before the read was sent. It reports whether the reading is late.
+// observe records one reading of the row and reports whether it is late. now is
+// the observer's own time before the read was sent.
 func (s *observedLease[L]) observe(lease L, version, counter uint64, now time.Time, interval time.Duration) (late bool) {
 	gap := now.Sub(s.last)
 	if late = s.known && gap > 2*interval; late {
--- a/entry/batch/sweep.go
+++ b/entry/batch/sweep.go
@@ -13,7 +13,8 @@
 	// roundSize is the largest number of jobs of one customer that a round
 	// considers for the first time in a sweep.
 	roundSize = 64
-	// headSize is the number of oldest jobs of each customer in every round.
+	// headSize is the number of each customer's oldest jobs (heads) in every
+	// round.
 	headSize = 4
 	// headEvery is the least time between rounds that consider the heads alone.
 	headEvery = 500 * time.Millisecond
@@ -21,32 +22,33 @@
 	// free capacity still changes.
 	maxSweepPause = 5 * time.Second
 	// sweepEvery is the longest time between two sweeps of a queue. It bounds the
-	// delay until capacity is found that no counted change announced.
+	// time for which capacity stays unused if no counted change announced it.
 	sweepEvery = 10 * time.Second
 )
 
 // sweep selects the queued jobs of a tenure for the next round. One sweep
-// considers each queued job once, in rounds of a bounded size. The next begins
-// after a change that could free capacity, and every sweepEvery at least.
+// considers each queued job once, in rounds of a bounded size. The next sweep
+// begins after a change that may have freed capacity, at the latest after
+// sweepEvery.
 //
-// Failures guarded against: a queue that fits nowhere is planned again ten
-// times a second, which keeps a core busy; the first jobs of a queue fit
-// nowhere, and those behind them, which would fit, are never considered; a
-// steady stream of new jobs keeps the old ones from being considered again.
-// The guard: a sweep ends, since it covers only jobs that were queued when it
-// began; new jobs join its rounds but don't prolong it; and the oldest jobs of
-// each customer are part of every round.
+// Failures guarded against: jobs that fit nowhere are planned again ten times a
+// second, which keeps a core busy; jobs that would fit are never considered
+// because the first jobs of the queue fit nowhere; a steady stream of new jobs
+// keeps the old ones from being considered again. The guard: a sweep ends,
+// since it covers only jobs that were queued when it began. New jobs join its
+// rounds but don't prolong it, and the oldest jobs of each customer are part of
+// every round.
 type sweep struct {
 	number uint64
-	// active is set while the sweep has jobs left; upTo is the last submission
-	// that it covers.
+	// active is set while the sweep has jobs left; upTo is the number of the last
+	// submission in it.
 	active bool
 	upTo   uint64
-	// more is set while any queued job may not have been considered.
+	// more is set while queued jobs may be left to consider.
 	more bool
 	// placed is set once the sweep has found a place for a job.
 	placed bool
-	// changes is the count of changes at the beginning of the sweep.
+	// changes is the number of changes of capacity when the sweep began.
 	changes uint64
 	ended   time.Time
 	pause   time.Duration
@@ -78,8 +80,8 @@
 	s.upTo = upTo
 }
 
-// end sets the pause until the next sweep: none after one that placed a job,
-// otherwise a longer one each time.
+// end sets the pause until the next sweep: zero if this sweep placed a job,
+// otherwise twice the last pause, from first up to maxSweepPause.
 func (s *sweep) end(now time.Time, first time.Duration) {
 	s.active = false
 	s.ended = now
@@ -113,8 +115,8 @@
 	return false
 }
 
-// candidates adds the jobs that the next round considers, oldest first within
-// a customer, and notes whether the sweep leaves any for a later round.
+// candidates adds to s the jobs that the round considers, oldest first within a
+// customer, and records whether the sweep leaves jobs for a later round.
 func (t *tenure) candidates(s *Snapshot, slots int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,8 +139,8 @@
 	}
 }
 
-// pick adds the jobs of one customer to a round and returns the first that has
-// to wait for a later one, or nil.
+// pick adds the jobs of one customer to a round and returns the first job that
+// has to wait for a later round, or nil.
 func (t *tenure) pick(s *Snapshot, queue []structs.JobID, now time.Time) *record {
 	added := 0
 	for i, id := range queue {
@@ -163,7 +165,6 @@
 	return nil
 }
 
-// markConsidered records a round's decision on a job.
 func (t *tenure) markConsidered(id structs.JobID, reason string, placed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +181,8 @@
 	r.waitReason = reason
 }
 
-// reconsider makes the next round consider a queued job in any case.
+// reconsider makes the next round consider a job that this sweep has
+// considered.
 func (t *tenure) reconsider(id structs.JobID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/sweep_test.go
+++ b/entry/batch/sweep_test.go
@@ -27,7 +27,7 @@
 	free     map[string]int
 	running  []structs.Job
 	revision structs.Revision
-	// Agents that are down answer nobody; sequence numbers their reports.
+	// down makes agents answer no start; sequence numbers their reports.
 	down     bool
 	sequence uint64
 	fits     map[structs.JobID]time.Time
@@ -97,7 +97,7 @@
 	return reply, nil
 }
 
-// checkStartDelays fails once a job has fitted for longer than maxStartDelay.
+// checkStartDelays fails the test if a job is overdue.
 func (y *slotCluster) checkStartDelays() {
 	most := 0
 	y.mu.Lock()
@@ -112,7 +112,8 @@
 	}
 }
 
-// overdue returns a tenure's jobs that have fitted for longer than that.
+// overdue returns a tenure's queued jobs that have fitted some instance for
+// longer than maxStartDelay; most is the largest number of free slots.
 func (y *slotCluster) overdue(t *tenure, most int) (late []structs.JobID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,9 +227,9 @@
 }
 
 // Guards against: a job stays queued beside a worker that has capacity for it.
-// The queue was considered, nothing fitted, and no change that freed capacity
-// later reached the owner: a task ended, an urgent call ended, an instance or
-// a contract was added, all at once or during a sweep.
+// The owner considers the queue, nothing fits, and the owner then misses a
+// change that frees capacity: a task or an urgent call ends, or an instance or
+// a contract is added, all at once or during a sweep.
 func TestJobThatFitsStartsInTime(t *testing.T) {
 	for seed := range *seeds {
 		events := capacityEvents.Example(*firstSeed + seed)
--- a/entry/batch/tenure.go
+++ b/entry/batch/tenure.go
@@ -27,12 +27,13 @@
 	sending bool
 	// nextSend is the time at which a start or stop is sent again.
 	nextSend time.Time
-	// notBefore keeps a queued job out of placement; backoffs counts the times.
+	// notBefore is the time until which backOff excludes the job from placement;
+	// backoffs counts these exclusions.
 	notBefore time.Time
 	backoffs  int
 	// considered is the number of the last sweep that considered the queued job.
 	considered uint64
-	// waitReason is the reason, for people, why the job is still queued.
+	// waitReason tells people why the job is still queued.
 	waitReason string
 }
 
@@ -51,8 +52,8 @@
 	}
 }
 
-// instanceTasks are the running jobs of one instance. No job names a lease
-// below lowestLease: until that lease has a proven end, they need no check.
+// instanceTasks holds the running jobs of one instance. No job names a lease
+// below lowestLease: until that lease has ended, the jobs need no check.
 type instanceTasks struct {
 	jobs        map[structs.JobID]struct{}
 	lowestLease structs.Incarnation
@@ -61,8 +62,8 @@
 // slotsOf returns the number of slots that a task holds, at least one.
 func slotsOf(j structs.Job) int { return max(1, j.Spec.Declared.Slots) }
 
-// tenure is one period in which this entry owns a shard. All its state is
-// dropped with it; the next tenure reads the rows again.
+// tenure is one period in which this entry owns a shard. All state in memory is
+// dropped at its end; the next tenure reads the rows again.
 type tenure struct {
 	m          *Manager
 	shard      structs.ShardID
@@ -77,12 +78,13 @@
 	// lease and version are the shard row as last confirmed.
 	lease   structs.ShardLease
 	version uint64
-	// validUntil is the end of the lease by this process's elapsed time,
-	// counted from before the confirming write was sent.
+	// validUntil is the end of the lease by this process's own clock, counted
+	// from before the write that confirmed the lease was sent.
 	validUntil time.Time
 	loaded     bool
 	draining   bool
-	// stalledSince is when the transaction's outcome became unknown, or zero.
+	// stalledSince is when the outcome of the transaction in flight became
+	// unknown, or zero.
 	stalledSince time.Time
 	// inFlight are the jobs of the transaction in flight.
 	inFlight map[structs.JobID]struct{}
@@ -93,15 +95,15 @@
 	// outboxes hold what has still to be sent to each instance: starts without an
 	// answer, and stops.
 	outboxes map[structs.InstanceID]*outbox
-	// finals are the ended jobs in memory, in the order of their ends; offloaded
-	// marks those removed from memory, and expired are rows to be deleted.
+	// finals are the ended jobs in memory, as they ended or were read; offloaded
+	// marks jobs removed from memory, and expired are jobs whose rows are to be
+	// deleted.
 	finals    []structs.JobID
 	offloaded offloaded
 	expired   []structs.JobID
 	submitted uint64
 	sweep     sweep
-	// claimEnds counts running jobs that left an instance: each frees a part of
-	// its customer's share.
+	// claimEnds counts ended claims: each frees a part of a customer's share.
 	claimEnds uint64
 	pending   []*change
 }
@@ -240,9 +242,9 @@
 }
 
 // current returns the confirmed state of a job, unless a transaction in flight
-// may have changed it. Its row may then be ahead of this process, and a client
-// that has seen the row through another entry would see the job return to an
-// earlier state here.
+// may have changed it. The row may then be newer than the state in memory, and
+// a client that has seen the row through another entry would see the job return
+// to an earlier state here.
 func (t *tenure) current(id structs.JobID) (structs.Job, bool) {
 	t.mu.Lock()
 	_, changing := t.inFlight[id]
--- a/entry/batch/work.go
+++ b/entry/batch/work.go
@@ -12,7 +12,8 @@
 const (
 	// maxClaims bounds the claims of one round; they fit one transaction.
 	maxClaims = 200
-	// minBackoff and maxBackoff bound a refused job's time out of placement.
+	// minBackoff and maxBackoff bound a job's exclusion from placement by
+	// backOff.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 30 * time.Second
 )
--- a/entry/batch/world_test.go
+++ b/entry/batch/world_test.go
@@ -53,7 +53,6 @@
 	dead bool
 }
 
-// newCluster returns a cluster in which nothing has been started.
 func newCluster(t *testing.T) *cluster {
 	w := &cluster{
 		t: t, table: memory.NewTable(), objects: memory.NewObjects(), runs: memory.NewRunRegistry(zerolog.Nop()),
@@ -104,7 +103,7 @@
 	return w.entries[name]
 }
 
-// close stops the cluster and checks what must hold at any time.
+// close stops the cluster and checks that no invariant was broken.
 func (w *cluster) close() {
 	w.mu.Lock()
 	for _, e := range w.entries {
@@ -134,7 +133,6 @@
 	}
 }
 
-// until waits for a condition, up to a limit in fake time.
 func (w *cluster) until(limit time.Duration, what string, done func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
@@ -304,7 +302,6 @@
 	return out
 }
 
-// dialer connects one process to the others.
 type dialer struct {
 	w   *cluster
 	ctl *fault.Control
@@ -326,7 +323,7 @@
 }
 
 // remoteTable presents the remote side of an exchange as a table service, so
-// that the faults of both processes apply to it.
+// that the fault plans of both processes apply to the exchange.
 type remoteTable struct {
 	infra.Table
 	run func()
@@ -337,7 +334,7 @@
 	return nil, nil
 }
 
-// exchange runs one request at the process that target controls.
+// exchange runs one request at the process whose faults target controls.
 func exchange[R any](ctx context.Context, d *dialer, target *fault.Control, run func(*R) error) (R, error) {
 	replies := make(chan R, 1)
 	failed := make(chan error, 1)
--- a/entry/batch/writer.go
+++ b/entry/batch/writer.go
@@ -12,11 +12,10 @@
 	"persimmonrock.example/structs"
 )
 
-// maxJobRows is the number of job rows of one transaction; the shard row is
-// one more.
+// maxJobRows bounds the job rows of a transaction; the shard row is one more.
 const maxJobRows = infra.MaxTxnRows - 1
 
-// maxTxnBytes ends a transaction early when its payloads are large.
+// maxTxnBytes is the size of payloads at which a transaction is full.
 const maxTxnBytes = 1 << 20
 
 // repeatPause is the wait between attempts of one transaction.
@@ -32,7 +31,8 @@
 	bytes     int
 	// expired are final jobs whose rows the transaction deletes.
 	expired []structs.JobID
-	// fence is set when an answer needs the proof of ownership.
+	// fence is set when an answer needs a write that proves this entry's
+	// ownership.
 	fence bool
 	// release is set in the last transaction of a tenure that releases its shard.
 	release bool
@@ -85,10 +85,10 @@
 	v.bytes += len(next.Spec.Payload)
 }
 
-// checkTransition checks the rules of every step of a job: a claim starts from
-// queued and raises the epoch by one, nothing else changes the epoch, and a
-// final state never changes except that an operator releases a parked job or
-// its customer cancels it.
+// checkTransition checks the rules for every change of a job. A claim starts
+// from queued and raises the epoch by one; nothing else changes the epoch. A
+// final state never changes, except that an operator may release a parked job
+// or its customer may cancel it.
 func (m *Manager) checkTransition(old structs.Job, found bool, next structs.Job) {
 	claim := next.State == structs.JobRunning && old.State != structs.JobRunning
 	switch {
@@ -196,14 +196,12 @@
 	return false
 }
 
-// clearInFlight notes that no transaction is in flight any more.
 func (t *tenure) clearInFlight() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inFlight = nil
 }
 
-// decision is a change with the error that its decision returned.
 type decision struct {
 	change *change
 	err    error
@@ -284,14 +282,14 @@
 // no effect), or errUncertain (replaced or ended, effect unknown).
 //
 // Failure guarded against: the store applies the write and its answer is lost,
-// or applies it long after the attempt timed out. It shows as an unknown
-// outcome. The guard: nothing else is written to the shard until the outcome
-// is known, and each repeat is conditional on the same shard row version. One
-// attempt at most can take effect, and the first that does makes all earlier
-// ones impossible, however late they arrive. A conflict that names this
-// transaction's operation means that it was applied. A conflict that names
-// another operation after an unknown attempt proves nothing: the transaction
-// may have been applied and then replaced.
+// or it applies the write long after the attempt timed out. In both cases the
+// outcome is unknown to the owner. The guard: nothing else is written to the
+// shard until the outcome is known, and each repeat is conditional on the same
+// shard row version. At most one attempt can take effect: it changes that
+// version, so the store refuses the others however late they arrive. A conflict
+// that names this transaction's operation means that the transaction was
+// applied. A conflict that names another operation after an unknown attempt
+// proves nothing: the transaction may have been applied and then replaced.
 func (t *tenure) commit(txn infra.Txn) ([]uint64, error) {
 	unknown := false
 	defer t.setStalled(false)
@@ -381,9 +379,9 @@
 			version = versions[i+1]
 		}
 		t.setConfirmed(v.jobs[id], version)
-		// A claim that has ended reserves nothing, however it ended: its start may
-		// have been lost, so that no answer ever removes the reservation. A job
-		// would then wait for ever beside free workers.
+		// The end of a claim removes its reservation, whatever the cause. If the
+		// start was lost, no answer would remove it, and a job would wait for ever
+		// although workers are free.
 		if v.jobs[id].State != structs.JobRunning {
 			t.m.reserved.remove(t, id)
 		}
