--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -15,7 +15,8 @@
 const maxAttempts = 4
 
 // lateAnswerTimeout bounds the wait for an attempt's answer after its call has
-// ended. The directory counts the attempt until then, since it occupies a slot.
+// ended. The directory counts the attempt during this wait, since the attempt
+// occupies a slot.
 const lateAnswerTimeout = 10 * time.Second
 
 // unresponsiveTimeout bounds an idempotent call's wait for an unresponsive agent
@@ -24,7 +25,7 @@
 const unresponsiveTimeout = 5 * time.Second
 
 // attempts is the state of one call over its attempts. One goroutine owns it;
-// exchanges report to it over the channels.
+// exchanges and liveness checks send their results on the channels.
 type attempts struct {
 	request    Request
 	idempotent bool
@@ -110,7 +111,7 @@
 		case <-watch.C:
 			s.checkPending(a)
 		case <-done:
-			// Each exchange ends now and reports whether it was sent.
+			// Each exchange ends now and reports whether its request was sent.
 			done = nil
 			a.cancelAll()
 		}
@@ -175,7 +176,8 @@
 	}
 }
 
-// hasResponsive reports whether an agent not known to be unresponsive is in use.
+// hasResponsive reports whether an attempt is in flight at an agent that is not
+// known to be unresponsive.
 func (a *attempts) hasResponsive() bool {
 	for _, x := range a.inFlight {
 		if !x.unresponsive {
@@ -185,7 +187,8 @@
 	return false
 }
 
-// budgetExhausted is the refusal when no retry is left: the last one, if any.
+// budgetExhausted returns the refusal when no retry is left: the last attempt's,
+// if any.
 func (a *attempts) budgetExhausted() *structs.Refusal {
 	if a.lastRefusal != nil {
 		return a.lastRefusal
@@ -227,15 +230,15 @@
 	}
 }
 
-// start chooses an agent and sends one attempt to it, or returns a refusal. An
-// attempt after the first costs a retry of the customer.
+// start chooses an agent and sends one attempt to it, or returns a refusal. Each
+// attempt after the first spends a retry of the customer's budget.
 func (s *Server) start(ctx context.Context, a *attempts) *structs.Refusal {
 	return s.startIf(ctx, a, func(decide.Candidate) bool {
 		return a.count == 0 || s.budget.Retry(a.request.Contract.Customer)
 	})
 }
 
-// startIf is start with another condition, evaluated once a candidate is chosen.
+// startIf is start with another condition, allowed, on the candidate chosen.
 func (s *Server) startIf(ctx context.Context, a *attempts, allowed func(decide.Candidate) bool) *structs.Refusal {
 	candidates, _ := s.dir.Service(a.request.Service)
 	if len(candidates) == 0 {
@@ -253,8 +256,9 @@
 	return nil
 }
 
-// send makes one attempt, whose result arrives on a.results. It outlives ctx, so
-// that a caller's disconnect and another attempt's answer can be distinguished.
+// send makes one attempt, whose result arrives on a.results. The attempt has its
+// own context: if ctx ends first, attempt cancels it at once; after another
+// attempt's answer, only after lateAnswerTimeout.
 func (s *Server) send(ctx context.Context, a *attempts, agent directory.Agent) {
 	a.count++
 	a.tried = append(a.tried, agent.Instance)
--- a/entry/urgent/call.go
+++ b/entry/urgent/call.go
@@ -73,8 +73,8 @@
 	return s.keyed(ctx, a)
 }
 
-// idempotent reports whether every backend server of the service has declared
-// it idempotent; one that hasn't makes the whole service non-idempotent.
+// idempotent reports whether every backend server of the service has declared the
+// service idempotent.
 func idempotent(agents []directory.Agent, service structs.Service) bool {
 	for _, a := range agents {
 		for _, l := range a.Load.Services {
@@ -86,7 +86,7 @@
 	return len(agents) > 0
 }
 
-// keyed serves a non-idempotent call with an Idempotency-Key under its record.
+// keyed serves a non-idempotent call by the record of its Idempotency-Key.
 func (s *Server) keyed(ctx context.Context, a *attempts) (Answer, *structs.Refusal) {
 	claim, earlier, refused := s.records.Begin(ctx, a.request)
 	if refused != nil {
--- a/entry/urgent/call_test.go
+++ b/entry/urgent/call_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// firstAttempts are the results of a first attempt. An attempt that is proved
-// not to have started may be followed by another; one that isn't, only if the
-// call is idempotent; none once the deadline has passed.
+// firstAttempts are the results of a first attempt. A second one may follow if
+// the first is proved not to have started or the call is idempotent, but never
+// after the deadline.
 var firstAttempts = []struct {
 	name         string
 	do           func(context.Context, wire.CallRequest) (wire.CallReply, error)
@@ -140,9 +140,9 @@
 	}
 }
 
-// In a long outage every attempt fails and other agents are always known.
-// Callers are refused at once, with fewer than 1.1 attempts a call, so that
-// retries don't multiply the load on the remaining agents.
+// In a long outage every attempt fails and other agents are always known. Callers
+// must be refused at once, with fewer than 1.1 attempts a call, so that retries
+// don't multiply the load on the remaining agents.
 func TestRetriesInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 1000
@@ -166,9 +166,9 @@
 }
 
 // The last load of every agent reports that all slots are taken, by calls of
-// another entry or by batch tasks. While the report is recent, callers are
-// refused without an attempt. An older report may be wrong, and one call at a
-// time finds out; otherwise free slots stay unused until a heartbeat.
+// another entry or by batch tasks. While the report is recent, callers must be
+// refused without an attempt. An older report may be wrong: one call at a time
+// must be sent, or free slots stay unused until a heartbeat.
 func TestStaleReportOfNoFreeSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		inUse, free, outstanding int
@@ -193,10 +193,10 @@
 	}
 }
 
-// A caller repeats a call that isn't idempotent under one Idempotency-Key. After
-// a first attempt that is proved not to have run, the key can be used again; one
-// that may have run is never repeated; and the answer of one that was answered is
-// replayed. For a key that can't be a row's name, no write stays pending.
+// A caller repeats a call that isn't idempotent under one Idempotency-Key. If the
+// first attempt is proved not to have run, the repeat must run; if it may have
+// run, the repeat must be refused; if it was answered, the answer must be
+// replayed. For a key that can't be a row's name, no write may stay pending.
 func TestRepeatOfAKeyedCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		do       func(context.Context, wire.CallRequest) (wire.CallReply, error)
@@ -220,7 +220,7 @@
 			defer server.Records().Close()
 			call(server, "r-1", "key")
 			if name == "not run" {
-				// The caller retries sooner than an answer's record is written.
+				// The caller retries before a deferrable write would be sent.
 				time.Sleep(deferrableDelay / 2)
 			} else {
 				time.Sleep(time.Second)
--- a/entry/urgent/candidates.go
+++ b/entry/urgent/candidates.go
@@ -19,12 +19,12 @@
 
 // fullReportMaxAge is the age up to which a report of no free slots is trusted.
 //
-// Failure guarded against: the last load that this entry received reports all
-// slots taken, by calls of another entry that ended long ago. No call is sent
-// there, so no answer corrects the load, and callers are refused until the next
-// heartbeat, a minute away with many agents. After fullReportMaxAge one call at
-// a time is sent as if to a last free slot; the agent admits it, or refuses it
-// with proof that it has not run, and either answer carries its load.
+// Failure guarded against: the last load received from an agent reports all slots
+// taken, by calls of another entry that ended long ago. No call is sent to the
+// agent, so no answer corrects the load, and callers are refused until the next
+// heartbeat, a minute away with many agents. After fullReportMaxAge one call at a
+// time is sent as if to a last free slot. The agent admits the call, or refuses
+// it as not run; either answer carries the agent's load.
 const fullReportMaxAge = time.Second
 
 // toCandidates converts agents to candidates. Overdue agents are excluded like
--- a/entry/urgent/fleet_test.go
+++ b/entry/urgent/fleet_test.go
@@ -27,13 +27,14 @@
 	agents map[string]*fakeAgent
 	// starts counts the starts of each request by a backend server.
 	starts map[structs.RequestID]int
-	// unmeasured agents report no service times, as at their start, so that
-	// the choice is random.
+	// unmeasured makes agents report no service times, as after a start, so that
+	// they are chosen at random.
 	unmeasured bool
 }
 
-// fakeAgent answers calls after work, even if the caller has left, and reports
-// the median; while frozen is open it sends nothing.
+// fakeAgent serves each call for the duration of work, even if the caller has
+// left, and reports the median. While the channel frozen is open, the agent sends
+// nothing.
 type fakeAgent struct {
 	wire.AgentPeer
 	fleet    *fleet
@@ -57,7 +58,8 @@
 func newFleet(n int, idempotent bool, work func(i int) time.Duration) *fleet {
 	f := &fleet{agents: make(map[string]*fakeAgent), starts: make(map[structs.RequestID]int)}
 	f.dir = directory.New("e:1", nil, f, structs.NoEvents{}, zerolog.Nop())
-	// The heartbeat interval with 1,000 agents: none is overdue within the tests.
+	// The heartbeat interval with 1,000 agents: no agent is overdue within the
+	// tests.
 	f.dir.SetPace(160 * time.Second)
 	for i := range n {
 		address := fmt.Sprint("a:", i)
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -13,20 +13,18 @@
 	"persimmonrock.example/infra"
 )
 
-// Bounds of the group commit of records.
 const (
-	// promptDelay bounds the wait of a prompt write for others while a
-	// transaction is in flight; otherwise it is sent at once.
+	// promptDelay bounds the wait of a prompt write while a transaction is in
+	// flight; without one the write is sent at once.
 	promptDelay = 5 * time.Millisecond
-	// deferrableDelay bounds the wait of a deferrable write (an answer that its
-	// caller already has) for a prompt one.
+	// deferrableDelay bounds the wait for a prompt write by a deferrable one (an
+	// answer that its caller already has).
 	deferrableDelay = 50 * time.Millisecond
 	// maxGroupBytes bounds a transaction, so that a prompt write doesn't wait
 	// for the transfer of long answers.
 	maxGroupBytes = 64 << 10
 )
 
-// recordWrite is the conditional write of one record.
 type recordWrite struct {
 	ctx   context.Context
 	cond  infra.Cond
@@ -64,8 +62,8 @@
 }
 
 // write writes a record on the condition of its version and returns the new
-// version. Errors are those of infra.CommitOnce. A deferrable write waits longer
-// for others.
+// version. Errors are those of infra.CommitOnce. A deferrable write may wait
+// longer for others to join its transaction.
 func (g *groupWriter) write(ctx context.Context, cond infra.Cond, value []byte, deferrable bool) (uint64, error) {
 	// The store refuses a whole transaction for one invalid key.
 	if err := infra.CheckKey(cond.Key); err != nil {
@@ -99,7 +97,8 @@
 }
 
 // flushAfter sends the queued writes if w is still queued after d, even while a
-// transaction is in flight: one that the store doesn't answer delays no others.
+// transaction is in flight. So a transaction that the store doesn't answer delays
+// no other writes.
 func (g *groupWriter) flushAfter(d time.Duration, w *recordWrite) {
 	time.AfterFunc(d, func() {
 		g.mu.Lock()
@@ -163,13 +162,13 @@
 // commit writes ws in one transaction.
 //
 // Failures guarded against: one record was changed by another attempt, and the
-// conflict fails all; or the answer is lost, and a record that was not written
-// is reported as written, or the other way round. After a conflict, which proves
-// that nothing was applied, the conflicting write fails and the rest is sent
-// again. After an unknown outcome each record is written separately, under the
-// same operation ID and the same condition on its version. So at most one of the
-// two writes can change the record, however late the first one is applied, and a
-// row that names the operation proves that one of them did.
+// conflict fails all writes; or the answer is lost, and a record is reported as
+// written though it is not, or as not written though it is. After a conflict,
+// which proves that nothing was applied, the conflicting write fails and the rest
+// is sent again. After an unknown outcome each record is written separately,
+// under the same operation ID and the same condition on its version. So at most
+// one of the two writes can change the record, however late the first one is
+// applied, and a row that names the operation proves that one of them did.
 func (g *groupWriter) commit(ws []*recordWrite) {
 	for len(ws) > 0 {
 		op := "calls/" + rand.Text()
@@ -200,7 +199,8 @@
 	}
 }
 
-// resolve writes one record of a transaction, unless it proves to be written.
+// resolve writes one record of a transaction of unknown outcome, unless the
+// transaction has written it.
 func (g *groupWriter) resolve(op string, w *recordWrite) {
 	g.Resolved.Add(1)
 	versions, err := infra.CommitAgain(w.ctx, g.table, transaction(op, []*recordWrite{w}))
--- a/entry/urgent/group_test.go
+++ b/entry/urgent/group_test.go
@@ -27,7 +27,7 @@
 	err     error
 }
 
-// check compares a writer's result with the row, once all writes took effect.
+// check compares a writer's result with the row after all writes have ended.
 func (e writeResult) check(t *testing.T, name string, table infra.Table) {
 	row, err := table.Get(context.Background(), e.key)
 	if err != nil && !errors.Is(err, infra.ErrNotFound) {
@@ -165,7 +165,7 @@
 }
 
 // At the planned size, two writes per keyed call would use most of the table
-// service's capacity.
+// service's capacity. So calls must share transactions, without a long wait.
 func TestWritesOfKeyedCalls(t *testing.T) {
 	for _, rate := range []int{1, 30, 150} {
 		writes, p50, p99 := measureWrites(t, rate)
--- a/entry/urgent/hedge.go
+++ b/entry/urgent/hedge.go
@@ -17,8 +17,8 @@
 	// latencyUpdateEvery the number of new ones per update of the percentile.
 	latencyWindow      = 256
 	latencyUpdateEvery = 32
-	// minHedgeDelay is the least time before a second attempt: below it, the
-	// round trip to another data centre takes longer than it saves.
+	// minHedgeDelay is the least time before a second attempt: an earlier one would
+	// save less than its round trip to another data centre takes.
 	minHedgeDelay = 2 * time.Millisecond
 	// maxServices bounds the services whose durations are kept.
 	maxServices = 1024
@@ -43,8 +43,8 @@
 	return &latencies{services: make(map[structs.Service]*latencyRing), minSamples: latencyUpdateEvery}
 }
 
-// add records the duration of an answered attempt. Answers that arrive after
-// another attempt's count, too, or slow ones would be missing.
+// add records the duration of an answered attempt. Late answers, which arrive
+// after another attempt's, are recorded, too, or slow ones would be missing.
 func (l *latencies) add(service structs.Service, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +81,8 @@
 	return max(r.p95, minHedgeDelay)
 }
 
-// hedgeTicker ticks when a second attempt may be made, and again after the same
-// time if there was no candidate or budget; it is nil if none may be made.
+// hedgeTicker returns a ticker for the second attempt, or nil if the call is not
+// to be hedged. It ticks again in case there was no candidate or budget.
 func (s *Server) hedgeTicker(a *attempts) *time.Ticker {
 	if !a.idempotent {
 		return nil
@@ -114,5 +114,5 @@
 // underHalfFull reports whether less than half of the slots at c are taken.
 //
 // Failure guarded against: all calls become slower under load, each is hedged,
-// and the second attempts take the slots of first ones, which are refused.
+// and second attempts take the slots of other calls, which are refused.
 func underHalfFull(c decide.Candidate) bool { return 2*(c.InUse+c.Outstanding) < c.Slots }
--- a/entry/urgent/hedge_test.go
+++ b/entry/urgent/hedge_test.go
@@ -82,9 +82,9 @@
 }
 
 // One instance of ten becomes slow or unresponsive. Without hedging, calls sent
-// there wait for it, though nine others are free, until the agent's load or a
-// liveness check shows the fault. With a second attempt after the 95th percentile
-// they don't, and the attempts stay within the budget.
+// to it wait, though nine others are free, until the agent's load or a liveness
+// check shows the fault. Second attempts after the 95th percentile must shorten
+// the wait and stay within the retry budget.
 func TestHedgingReducesTailLatency(t *testing.T) {
 	for _, kind := range []string{"nobody", "slow", "silent"} {
 		without, with := measure(t, kind, false), measure(t, kind, true)
@@ -139,8 +139,8 @@
 }
 
 // Many calls arrive at once, and all are slower than the 95th percentile. Second
-// attempts would take slots that the next calls need, which would be refused; so
-// there are none at instances that are at least half full.
+// attempts would take slots that the next calls need, and those calls would be
+// refused. So none may be made at instances that are at least half full.
 func TestNoHedgeWhereSlotsAreScarce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var work time.Duration
--- a/entry/urgent/judge.go
+++ b/entry/urgent/judge.go
@@ -83,14 +83,15 @@
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		defer stop()
-		// A lost cancel has no effect: only the backend server's answer frees
-		// the slot.
+		// A lost cancel needs no repeat: only the backend server's answer frees the
+		// slot.
 		_ = s.peers.Agent(agent.Address).Cancel(ctx, wire.CancelRequest{Request: id})
 	}()
 }
 
 // evaluate returns the answer or refusal in a reply. A reply to another request
-// is never given to the caller; it violates an invariant, and proves nothing.
+// is never given to the caller; it violates an invariant, and the call may have
+// run.
 func (s *Server) evaluate(a *attempts, agent directory.Agent, reply wire.CallReply) (Answer, *structs.Refusal) {
 	if reply.Request != a.request.ID {
 		s.Counters.Mismatched.Add(1)
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -13,20 +13,19 @@
 	"persimmonrock.example/wire"
 )
 
-// Bounds of the liveness check.
 const (
 	// checkAfter is the time without any message after which an agent with an
 	// unanswered call is checked.
 	checkAfter = 250 * time.Millisecond
-	// checkTimeout bounds a check. The agent answers from its own memory,
-	// whatever its backend servers do, and a late one is excluded only until
+	// checkTimeout bounds a check. The agent answers from its own memory, whatever
+	// its backend servers do, and an agent that answers late is excluded only until
 	// its answer arrives.
 	checkTimeout = 300 * time.Millisecond
 	// checkOverrun is the delay after checkTimeout beyond which a failed check
 	// shows a pause of this process rather than an unresponsive agent.
 	checkOverrun = 100 * time.Millisecond
-	// returnTimeout bounds one wait for an unresponsive agent, and returnPause
-	// is the time between two.
+	// returnTimeout bounds one request to an unresponsive agent, and returnPause is
+	// the time between two requests.
 	returnTimeout = 30 * time.Second
 	returnPause   = time.Second
 )
@@ -34,12 +33,13 @@
 // liveness finds agents that are unresponsive although their connections are
 // open.
 //
-// Failure guarded against: an agent is paused, or its machine is cut off, and
-// no connection breaks. Each call there waits for its own deadline, and new ones
-// follow until heartbeats are missed, which takes minutes with many agents. So
-// an agent that has not answered a call and sends nothing is asked for its load
-// on the same connection. It answers this from memory at once, also during a
-// long call at its backend server; if it doesn't, it is excluded until it does.
+// Failure guarded against: an agent is paused, or its machine is cut off, and no
+// connection breaks. Each call sent to the agent waits for its own deadline, and
+// new calls follow until heartbeats are missed, which takes minutes with many
+// agents. The guard: an agent that has not answered a call and sends nothing is
+// asked for its load on the same connection. A working agent answers from memory
+// at once, also during a long call at its backend server. An agent that doesn't
+// is excluded until it does.
 type liveness struct {
 	dir      Directory
 	peers    wire.Dialer
@@ -70,13 +70,13 @@
 	return known && age < within
 }
 
-// checkAfterLoss checks an agent whose exchange has ended without its answer,
-// unless it has sent a message since the request and within checkAfter. No call
-// waits for the result.
+// checkAfterLoss checks an agent after an exchange without an answer, unless the
+// agent has sent a message since the request and within checkAfter. No call waits
+// for the result.
 //
-// Failure guarded against: calls at an unresponsive agent end early, by their
-// own deadlines or by the answer of a second attempt, so that none waits for
-// checkAfter. Each new call would be sent there and cost a retry.
+// Failure guarded against: calls at an unresponsive agent end early, by their own
+// deadlines or by the answer of a second attempt, so that none lasts until
+// checkAfter. Each new call would be sent to the agent and cost a retry.
 func (l *liveness) checkAfterLoss(a directory.Agent, since time.Duration) {
 	if !l.recentContact(a, min(since, checkAfter)) {
 		l.check(a)
--- a/entry/urgent/record.go
+++ b/entry/urgent/record.go
@@ -18,7 +18,6 @@
 	"persimmonrock.example/wire"
 )
 
-// Bounds of the record store.
 const (
 	// writeTimeout bounds one attempt to write a record. A keyed call whose
 	// first write is not answered in this time is refused.
@@ -31,7 +30,6 @@
 	maxPending = 10_000
 )
 
-// callState is the state of one keyed call's record.
 type callState string
 
 // The states of a record. A call whose record stays at callStarted may have run
@@ -73,22 +71,23 @@
 	group  *groupWriter
 	events structs.Recorder
 	log    zerolog.Logger
-	// lifetime ends with the process, and with it the background writes.
+	// lifetime ends at Close, and with it the background writes.
 	lifetime context.Context
 	stop     context.CancelFunc
 
-	// Begun, Replayed and InDoubt count keyed calls by their record. Pending
-	// counts final states still being written, Dropped those abandoned (their
-	// keys stay in doubt, and are never run again).
+	// Begun counts keyed calls that got a claim, Replayed those answered from a
+	// record, InDoubt those refused as in doubt. Pending counts final states still
+	// being written, Dropped those abandoned: calls of these keys stay in doubt and
+	// are never run again.
 	Begun, Replayed, InDoubt, Dropped atomic.Int64
 	Pending                           atomic.Int64
-	// Stamped counts records that the sweep stamped, Deleted those that it
-	// deleted after their retention.
+	// Stamped counts records to which the sweep added an epoch, Deleted those that
+	// it deleted after their retention.
 	Stamped, Deleted atomic.Int64
 }
 
-// NewRecords returns a record store on table. Without epochs its records are
-// not stamped.
+// NewRecords returns a record store on table. If epochs is nil, records get no
+// epoch.
 func NewRecords(table infra.Table, epochs Epochs, events structs.Recorder, log zerolog.Logger) *Records {
 	lifetime, stop := context.WithCancel(context.Background())
 	return &Records{table: table, epochs: epochs, group: newGroupWriter(lifetime, table), events: events, log: log, lifetime: lifetime, stop: stop}
@@ -213,9 +212,9 @@
 	r.writeFinal(c, callDone)
 }
 
-// Abandon records that the attempt is proved not to have run, so that the key
-// may be used again. Unlike Finish it writes promptly: its caller is asked to
-// retry, and would find its own key in doubt.
+// Abandon records that the attempt is proved not to have run, so that the key may
+// be used again. Unlike Finish it makes a prompt write: the client is asked to
+// retry, and must not find its own key in doubt.
 func (r *Records) Abandon(c *Claim) { r.writeFinal(c, callNotRun) }
 
 // writeFinal writes a record's final state in the background, with retries for
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -31,8 +31,8 @@
 	Begin(id structs.InstanceID) (end func())
 	Age(id structs.InstanceID) (age time.Duration, known bool)
 	Suspect(id structs.InstanceID)
-	// SetSilent excludes an agent until it sends a message, or ends the
-	// exclusion.
+	// SetSilent excludes an agent until it sends a message, or, with false, ends
+	// the exclusion.
 	SetSilent(id structs.InstanceID, silent bool)
 	Update(l wire.Load)
 }
@@ -93,7 +93,8 @@
 	}
 }
 
-// Records returns the store of keyed calls. The entry runs its sweep.
+// Records returns the store of keyed calls' records. The entry must run its
+// Sweep.
 func (s *Server) Records() *Records { return s.records }
 
 // Close ends the background work of s.
--- a/entry/urgent/sweep.go
+++ b/entry/urgent/sweep.go
@@ -35,8 +35,9 @@
 	Expired(written structs.RetentionEpoch) bool
 }
 
-// currentEpoch returns the epoch for a record that is written now, or 0: then
-// the sweep adds it later, so that the record is kept for longer, never shorter.
+// currentEpoch returns the epoch for a record that is written now, or 0 if
+// unknown. The sweep then adds an epoch later, so that the record is kept for
+// longer, never shorter.
 func (r *Records) currentEpoch() structs.RetentionEpoch {
 	if r.epochs == nil {
 		return 0
@@ -48,9 +49,9 @@
 	return epoch
 }
 
-// Sweep deletes expired records of the customers for which owns is true, and
-// stamps those without an epoch, until ctx ends. Two entries may sweep the same
-// customer: each change is conditional on the record's version.
+// Sweep deletes expired records of the customers for which owns is true, and adds
+// the epoch to records without one, until ctx ends. Two entries may sweep the
+// same customer: each change is conditional on the record's version.
 func (r *Records) Sweep(ctx context.Context, owns func(structs.Customer) bool) {
 	for ctx.Err() == nil {
 		r.sweepAll(ctx, owns)
@@ -145,8 +146,8 @@
 	}
 }
 
-// deleteExpired deletes records at the versions read. A record changed since is
-// left to the next pass, as are all if the outcome is unknown.
+// deleteExpired deletes the records that still have the version read. A changed
+// record is left to the next pass; so are all records if the outcome is unknown.
 //
 // Failure guarded against: a key is used again just as its record expires, and
 // the new record is deleted; the call could run twice. The delete is
--- a/entry/urgent/sweep_test.go
+++ b/entry/urgent/sweep_test.go
@@ -14,11 +14,11 @@
 	"persimmonrock.example/wire"
 )
 
-// A caller repeats a call under its key within a day and must get the first
-// answer, but the table service must not hold the row of each call forever.
-// Rows without an epoch, such as those written while it was not known, are
-// deleted, too, a day after an epoch is added; the rows of a customer that
-// another entry sweeps stay.
+// A caller that repeats a call under its key within a day must get the first
+// answer, but the table service must not hold each call's row forever. A row
+// without an epoch, such as one written while the epoch was unknown, must be
+// deleted a day after an epoch is added. The rows of a customer that another
+// entry sweeps must stay.
 func TestRecordsAreDeletedAfterRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
