--- a/entry/retention/retention.go
+++ b/entry/retention/retention.go
@@ -3,9 +3,9 @@
 // For each kind of row, one row of the table service holds the epoch, a count of
 // periods. An entry advances the epoch only after seeing it unchanged for a whole
 // period by its own clock, so each epoch lasts at least a period, however many
-// entries there are and however their clocks differ. A row stamped e was written
-// in epoch e or e+1 (see Counter.Epoch), and the next advance may follow at
-// once; so a row deleted in epoch e+Keep+2 has existed for at least Keep whole
+// entries there are and however their clocks differ. A row stamped with epoch e
+// was written in epoch e or e+1 (see Counter.Epoch), perhaps just before the next
+// advance. So a row deleted in epoch e+Keep+2 has existed for at least Keep whole
 // periods.
 package retention
 
@@ -25,15 +25,16 @@
 )
 
 const (
-	// Keep is the least number of whole periods that a stamped row is kept.
+	// Keep is the least number of whole periods for which a stamped row is kept.
 	Keep = 24
 	// readsPerPeriod is the number of reads of the epoch per entry and period.
 	readsPerPeriod = 4
 	readTimeout    = 2 * time.Second
 )
 
-// row is the value of structs.RetentionKey. Period is the longest that an entry
-// was configured with, so that a wrong setting of one can't shorten it.
+// row is the value of structs.RetentionKey. Period is the longest that any entry
+// was configured with, so that one entry's wrong setting can't shorten the
+// retention.
 type row struct {
 	Epoch  structs.RetentionEpoch `json:"epoch"`
 	Period structs.Duration       `json:"period"`
@@ -42,9 +43,9 @@
 // instant is a time by the process's monotonic and wall clocks.
 //
 // Failure guarded against: the machine is suspended for a day, in which the
-// monotonic clock stands still; the process resumes, takes its old epoch for
-// the current one, and rows that it stamps are deleted at once. The wall clock
-// shows the pause, and the longer of the two counts.
+// monotonic clock stands still; the process resumes, takes its old epoch for the
+// current one, and rows that it stamps are deleted at once. The guard: the wall
+// clock shows the pause, and the longer of the two elapsed times counts.
 type instant struct {
 	monotonic time.Time
 	wall      time.Time
@@ -71,7 +72,8 @@
 	row     row
 	version uint64
 	known   bool
-	// changedAt is by the monotonic clock alone: it must never be early.
+	// changedAt is compared by the monotonic clock alone: a step of the wall clock
+	// must not advance the epoch early.
 	changedAt time.Time
 	readAt    instant
 
@@ -84,8 +86,9 @@
 	return &Counter{table: table, key: structs.RetentionKey(kind), period: minRetention / Keep}
 }
 
-// Epoch returns the epoch to stamp on a row that is written now. It is 0, false
-// while unknown, or if it may have advanced more than once since the last read.
+// Epoch returns the epoch to stamp on a row that is written now. It returns 0,
+// false if the epoch is unknown or may have advanced more than once since the
+// last read.
 func (c *Counter) Epoch() (structs.RetentionEpoch, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,7 +137,8 @@
 	return c.advance(ctx, next, found.Version)
 }
 
-// observe records the row read and returns the next one, and whether it is due.
+// observe records the row read, and returns the row to write next and whether
+// this write is due.
 func (c *Counter) observe(found infra.Row, began instant) (next row, due bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/retention/retention_test.go
+++ b/entry/retention/retention_test.go
@@ -11,8 +11,8 @@
 )
 
 // Five entries start at different times and run for two days. A row must exist
-// for a whole day before it may be deleted, or a call that is repeated within
-// the day runs a second time; and it must be deleted eventually.
+// for a whole day before it may be deleted, or a call that is repeated within the
+// day runs a second time. The row must be deleted eventually.
 func TestStampedRowIsKeptForRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const day = 24 * time.Hour
@@ -45,9 +45,9 @@
 	})
 }
 
-// An entry is cut off from the table service while others advance the epoch.
-// Rows stamped with the last epoch that it read would be deleted too early, after
-// a day at once, so it must stamp none after a period without a read.
+// An entry is cut off from the table service while others advance the epoch. Rows
+// that it stamped with the last epoch read would be deleted too early; after a
+// day, at once. So it must stamp no row after a period without a read.
 func TestNoEpochFromStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
