--- a/entry/batch/expire.go
+++ b/entry/batch/expire.go
@@ -48,7 +48,7 @@
 
 func (o *offloaded) remove(id structs.JobID) { delete(o.marks, hashJobID(id)) }
 
-// contains reports whether a job, or one of the same hash, is offloaded.
+// contains reports whether a job, or one of the same hash, is marked.
 func (o *offloaded) contains(id structs.JobID) bool {
 	_, contains := o.marks[hashJobID(id)]
 	return contains
