--- a/agent/runner/answers.go
+++ b/agent/runner/answers.go
@@ -21,9 +21,9 @@
 // answerTimes estimates the worker's answer times. The zero value uses the
 // longest timeouts.
 //
-// A healthy worker answers within a few milliseconds, one on a slow machine
-// later. A timeout that fits the worker detects a lost answer sooner, and the
-// ends in that answer then arrive sooner with the next one.
+// A healthy worker answers within a few milliseconds; a worker on a slow
+// machine needs longer. With a timeout that fits the worker, a lost answer is
+// detected sooner, and the next answer brings its ends sooner.
 type answerTimes struct{ rtt.Estimator }
 
 // timeout returns the time that the given try of a call waits for its answer.
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -17,8 +17,8 @@
 	// promptCrashTime is the longest time from the start of a run that crashes its
 	// worker at once to the first failed call.
 	promptCrashTime = 250 * time.Millisecond
-	// promptDownTime is the longest time from a worker's last answer to the first
-	// refused call after a crash: a listing and its pause.
+	// promptDownTime is the longest time from a worker's last answer to the
+	// first refused call after a crash: a listing and the pause after it.
 	promptDownTime = time.Second
 	// maxLoggedRuns bounds the runs named in one log line.
 	maxLoggedRuns = 16
@@ -27,14 +27,14 @@
 // formerIncarnation is an incarnation of the worker that has ended.
 type formerIncarnation struct {
 	id workload.WorkerID
-	// freshRuns are the runs that may have crashed it.
+	// freshRuns are the runs that may have crashed the incarnation.
 	freshRuns []dispatch.FreshRun
-	// changed is the version at which its end was recorded.
+	// changed is the version at which the incarnation's end was recorded.
 	changed uint64
 }
 
 // freshRuns lists the runs that may have crashed the worker: they may have
-// begun, and were not yet on the worker for provenAfter at its last answer. A
+// begun, and had been there for less than provenAfter at its last answer. A
 // worker that announced its shutdown has not crashed. The caller holds mu.
 func (inc *incarnation) freshRuns() []dispatch.FreshRun {
 	if inc.leaving {
@@ -51,13 +51,14 @@
 }
 
 // downPromptly reports whether a crash must have come soon after the worker's
-// last answer, and not after its last lease, when the worker runs nothing.
+// last answer. A later crash may have come after the worker's last lease, when
+// the worker runs nothing.
 func (inc *incarnation) downPromptly() bool {
 	return !inc.lapsed || inc.downAt > 0 && inc.downAt-inc.answeredAt <= promptDownTime
 }
 
-// recordFailure records the time of the first call without an answer and of
-// the first one refused by the worker's address. The caller holds mu.
+// recordFailure records the time of the first call without an answer and of the
+// first call that the worker's address refused. The caller holds mu.
 func (r *Runner) recordFailure(inc *incarnation, err error) {
 	if inc.failedAt == 0 && (errors.Is(err, workerctl.ErrUnknown) || errors.Is(err, workerctl.ErrDown)) {
 		inc.failedAt = r.deps.Now()
@@ -80,14 +81,15 @@
 }
 
 // recordPresent records that the run is on the worker. A gang starts working
-// when all its members are present, so its runs count from their first work.
+// when all its members are present, so a gang's run counts from its first work.
 func (x *run) recordPresent(works bool, now time.Duration) {
 	if x.presentAt == 0 && (works || !x.gang) {
 		x.presentAt = now
 	}
 }
 
-// reportProven reports once that a watched run is proven. The caller holds mu.
+// reportProven reports, once, that a watched run is proven not to crash its
+// worker. The caller holds mu.
 func (r *Runner) reportProven(inc *incarnation, x *run) {
 	if x.watched && !x.provenReported && x.proven(inc.answeredAt) {
 		x.provenReported = true
@@ -95,8 +97,8 @@
 	}
 }
 
-// formerIncarnations lists the incarnations that have ended, and the runs that
-// may have crashed an ended or lapsed one, if that changed after version since.
+// formerIncarnations lists the ended incarnations, and the runs that may have
+// crashed ended or lapsed incarnations that changed after version since.
 func (r *Runner) formerIncarnations(since uint64) (ids []workload.WorkerID, freshRuns []dispatch.FreshRun) {
 	for _, f := range r.former {
 		ids = append(ids, f.id)
--- a/agent/runner/fresh_test.go
+++ b/agent/runner/fresh_test.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// A run is suspected exactly if it may have crashed its worker.
+// A run that may have begun is suspected until it was there for provenAfter.
 func TestFreshRunsAreThoseThatMayHaveCrashedTheWorker(t *testing.T) {
 	const answered = time.Hour
 	cases := []struct {
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// holdWait bounds the wait of a listing for an end. The lease and the rough
-	// figures, which cover half a second, reach the same age.
+	// holdWait bounds a listing's wait for an end, and so the age of the lease
+	// and of the rough figures, which cover half a second.
 	holdWait = 500 * time.Millisecond
 	// lossyWait replaces holdWait for lossyPeriod after an unanswered listing.
 	lossyWait   = 100 * time.Millisecond
@@ -58,8 +58,8 @@
 }
 
 // tryCandidate requests a listing from the worker that has reported. Only an
-// answer to a call that names its incarnation proves that this one runs: a
-// report of an earlier incarnation may arrive after the next has started.
+// answer to a call that names its incarnation proves that this incarnation
+// runs: a report may arrive after the next incarnation has started.
 func (r *Runner) tryCandidate(ctx context.Context, w workload.Worker) {
 	sent := r.deps.Now()
 	listing, err := r.deps.Control.Hold(ctx, w.ID, workerctl.HoldOrder{Token: r.token})
@@ -104,8 +104,8 @@
 }
 
 // checkUnresponsive records that the worker does not answer, so that nothing
-// more is placed there, and that its last lease has expired: whether the worker
-// is gone or only unreachable, nothing runs there any more.
+// more is placed there, and later that its last lease has expired. From then on
+// nothing runs there, whether the worker is gone or only unreachable.
 func (r *Runner) checkUnresponsive(inc *incarnation) {
 	now := r.deps.Now()
 	if now-inc.answeredAt <= unresponsiveAfter {
@@ -139,7 +139,7 @@
 	r.pause(ctx, holdRetryPause)
 }
 
-// endIncarnation records that the current incarnation has ended; it runs
+// endIncarnation records that the current incarnation has ended and runs
 // nothing any more.
 func (r *Runner) endIncarnation(why string) {
 	inc := r.incarnation
@@ -157,10 +157,10 @@
 // time between two samples, so that a sample can show early that filling work
 // presses on a serving task.
 //
-// Failure guarded against: some of the worker's answers are lost. A listing
-// without an answer times out only after its whole wait, which delays the ends
-// in that answer; a step of tens of tasks nearly always has an end among them.
-// While answers are lost, listings therefore wait less.
+// Guards against late ends while some of the worker's answers are lost. A
+// listing without an answer times out only after its whole wait, which delays
+// the ends in the lost answer. A step of tens of tasks nearly always has such
+// an end. While answers are lost, listings therefore wait less.
 func (r *Runner) listingWait(inc *incarnation) time.Duration {
 	longest := holdWait
 	if inc.unansweredAt > 0 && r.deps.Now()-inc.unansweredAt < lossyPeriod {
@@ -179,7 +179,7 @@
 	order := workerctl.HoldOrder{Token: r.token, Lease: r.leaseLimit(inc), Seen: inc.storedEnd, Wait: r.listingWait(inc)}
 	r.counters.Holds++
 	if inc.failures > 0 {
-		// Ends may have come since the lost call.
+		// Runs may have ended since the lost call.
 		order.Wait = 0
 	}
 	callCtx, cancel := context.WithTimeout(ctx, order.Wait+inc.answers.timeout(inc.failures+1))
@@ -338,7 +338,7 @@
 	}
 }
 
-// makeVoid marks the run void and keeps it until the scheduler has read that.
+// makeVoid marks the run void and keeps it until the scheduler has read this.
 func (r *Runner) makeVoid(_ *incarnation, x *run, reason string) {
 	x.state = dispatch.RunVoid
 	x.reason = reason
--- a/agent/runner/orders.go
+++ b/agent/runner/orders.go
@@ -16,10 +16,10 @@
 	// maxNotDoneTries bounds the tries of a start that the worker does not
 	// carry out: it may be unhealthy, and another worker serves better.
 	maxNotDoneTries = 3
-	// maxOrderAge is the age above which an order is refused, counted from
-	// this agent's message that it echoes: the job of an order that the network
-	// delayed may have been cancelled since. The scheduler receives a message
-	// from each agent about once a second.
+	// maxOrderAge is the age above which an order is refused, since a delayed
+	// order's job may have been cancelled. An order echoes the time of a
+	// message from this agent, and its age counts from that time. The scheduler
+	// receives a message from each agent about once a second.
 	maxOrderAge = 2 * time.Second
 	// startTimeout bounds the time for which a start without an answer is
 	// repeated. Then the run is stopped, which voids the start.
@@ -52,8 +52,8 @@
 	return dispatch.OrderReply{}
 }
 
-// acceptClaim records a scheduler's claim or refuses it. After the claim of a
-// newer scheduler, those of older ones are refused.
+// acceptClaim records a scheduler's claim to its term, or refuses it. After the
+// claim of a newer scheduler, the claims of older ones are refused.
 func (r *Runner) acceptClaim(c dispatch.Claim) dispatch.Refusal {
 	if c.Epoch < r.epoch {
 		return dispatch.RefusedEpoch
@@ -141,7 +141,7 @@
 	return r.capacityRefusal(inc)
 }
 
-// start repeats one order until its outcome is known.
+// start repeats one start order until its outcome is known.
 func (r *Runner) start(ctx context.Context, inc *incarnation, x *run) {
 	begun := r.deps.Now()
 	for try := 1; ctx.Err() == nil; try++ {
@@ -184,8 +184,8 @@
 }
 
 // sendRefusal returns why a start whose first try was at begun must not be sent
-// under lease, or "". The worker's capacity may have shrunk since. The caller
-// holds mu.
+// under lease, or "". The worker's capacity may have shrunk since the first
+// try. The caller holds mu.
 func (r *Runner) sendRefusal(inc *incarnation, lease workerctl.Clock, begun time.Duration) string {
 	switch {
 	case r.drained:
@@ -203,8 +203,8 @@
 	inc.answers.Observe(took)
 }
 
-// applyStartAnswer applies the answer to a start. If done is false, a reason is
-// the worker's final refusal, and without a reason the start is to be repeated.
+// applyStartAnswer applies the answer to a start. If done is false, reason is
+// the worker's final refusal, or "" if the start is to be repeated.
 func (r *Runner) applyStartAnswer(inc *incarnation, x *run, now workerctl.Clock, err error) (done bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -226,9 +226,9 @@
 		r.endIncarnation("the worker answered as another incarnation")
 		return true, ""
 	case errors.As(err, &refused):
-		// After an order without an answer, or one of an earlier agent
-		// process, the run may have been there and ended. The next listing
-		// shows whether it did.
+		// An earlier try without an answer, or an order of an earlier agent
+		// process, may have started the run, and the run may have ended since.
+		// The next listing shows whether it did.
 		if refused.Reason == workerctl.RefusedOld {
 			r.confirmRun(inc, x, now)
 			return true, ""
@@ -279,8 +279,8 @@
 func (r *Runner) orderStop(ctx context.Context, inc *incarnation, id workload.RunID) {
 	x, ok := inc.runs[id]
 	if !ok {
-		// The run is unknown: an order of an earlier process may still
-		// arrive, and the stop voids that order.
+		// The run is unknown: a start order of an earlier agent process may
+		// still arrive at the worker, and the stop voids that order.
 		for _, e := range inc.ends {
 			if e.end.Run == id {
 				return
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// paceInterval is the time between two readings of the tails, whose
-	// figures cover half a second.
+	// paceInterval is the time between two adjustments of the paces. The
+	// measured tails cover half a second.
 	paceInterval = 250 * time.Millisecond
 	fullPace     = 100
 	// paceRepeat is the time after which an unchanged pace is sent again.
@@ -118,7 +118,7 @@
 	return 1
 }
 
-// accountWork adds the work until now, at the pace so far.
+// accountWork adds the work since workedAt, at the pace in force since then.
 func (x *run) accountWork(now time.Duration) {
 	if x.workedAt > 0 {
 		pace := fullPace
@@ -139,7 +139,7 @@
 }
 
 // servingJobs lists the jobs with started serving tasks on the worker. A job's
-// tasks carry the same load, and each figure is rough, so the mean is used.
+// tasks carry the same load, and each tail is rough, so their mean is used.
 func (r *Runner) servingJobs(inc *incarnation) []pressure.Serving {
 	now := r.deps.Now()
 	index := map[workload.JobID]int{}
@@ -185,10 +185,10 @@
 	return x.tailTarget > 0 && x.state == dispatch.RunPresent && x.progress >= startedProgress && x.rough > 0
 }
 
-// rateGain is the weight of a new figure against the earlier ones.
+// rateGain is the weight of a new measurement against the earlier ones.
 const rateGain = 1.0
 
-// updateRough records a new rough figure of a run.
+// updateRough records a new rough figure of a run (see workerctl.RunStatus).
 func (x *run) updateRough(rough float64, now time.Duration) {
 	x.rough = rough
 	if !x.serves() {
@@ -206,8 +206,8 @@
 	}
 }
 
-// minLoggedOver is the shortest time over its target for which a tail is
-// logged: the rough figure alone is sometimes over it for half a second.
+// minLoggedOver is the shortest time above its target for which a tail is
+// logged: a rough figure alone is sometimes above the target for half a second.
 const minLoggedOver = time.Second
 
 // logOver logs that the tail of a serving task was over its target from since
@@ -323,7 +323,7 @@
 	if len(s.Serving) == 0 {
 		return
 	}
-	// The list is in the order of the images.
+	// The list is sorted by image.
 	for _, f := range inc.fillingWork() {
 		if n := len(s.Filling); n > 0 && s.Filling[n-1].Image == f.Image {
 			s.Filling[n-1].Used += f.Used
@@ -335,8 +335,8 @@
 	r.recordChange(true)
 }
 
-// applyUpdate applies the sample intervals, the order of the jobs and the
-// learnt figures that the scheduler sends.
+// applyUpdate applies the sample intervals, the order of the jobs, and the
+// pressure weights and base tails that the scheduler has learnt.
 func (r *Runner) applyUpdate(args *dispatch.WatchArgs) {
 	r.sampleInterval, r.unknownInterval = args.SampleEvery, args.SampleUnknown
 	if len(args.Order) > 0 {
--- a/agent/runner/pace_test.go
+++ b/agent/runner/pace_test.go
@@ -20,9 +20,9 @@
 }
 
 // Runs of four jobs of one image press on a serving task that tolerates about
-// one of them. They are paced in the scheduler's order and not alike: the first
-// job works, the last ones stand still, and a job that is not in the order yet
-// comes last. In another order another job works.
+// one of them. Their paces follow the scheduler's order and are not equal: the
+// first job works, the last ones stand still, and a job that is not in the
+// order yet comes last. When the order changes, another job works.
 func TestJobsArePacedInTheirOrder(t *testing.T) {
 	now := time.Hour
 	r := New(Config{}, Deps{Log: zerolog.Nop(), Now: func() time.Duration { return now }})
@@ -65,7 +65,7 @@
 	found := workload.RunID{Task: workload.TaskID{Job: "found"}, Run: 1}
 	inc.runs[paced.id] = paced
 	r.confirmRun(inc, paced, 0)
-	// A run that was there before this process began has an unknown past.
+	// The paces of a run from before this process began are unknown.
 	r.applyRunning(inc, workerctl.RunStatus{Run: found})
 	setPace := func(pace float64) {
 		inc.paces = map[paceKey]float64{paced.paceKey(): pace}
--- a/agent/runner/register.go
+++ b/agent/runner/register.go
@@ -16,7 +16,7 @@
 	// registerRetryPause is the pause before a registration is repeated.
 	registerRetryPause = 150 * time.Millisecond
 	// recordTimeout bounds the time for which the record of a found worker is
-	// tried. The record only saves the next process a second.
+	// tried. The record only saves the next process a second of search.
 	recordTimeout = 5 * time.Second
 )
 
@@ -29,7 +29,7 @@
 }
 
 // Register writes the row and returns the process's token and the worker that
-// the process before it had found, if any.
+// the previous process had found, if any.
 func (g Registration) Register(ctx context.Context) (token uint64, before workload.Worker, err error) {
 	for {
 		token, before, err = g.tryRegister(ctx)
--- a/agent/runner/room.go
+++ b/agent/runner/room.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A worker's capacity may shrink while it runs, and only its reports show that.
-// The capacity that an earlier process of the agent recorded, or that an old
-// report gave, may be more than the worker has.
+// A worker's capacity may shrink while the worker runs, and only its reports
+// show this. A capacity from an old report, or recorded by an earlier process
+// of the agent, may be more than the worker has.
 
 // defaultReportAge replaces a Config.ReportsHold of 0.
 const defaultReportAge = 3 * time.Second
@@ -28,9 +28,9 @@
 	}
 }
 
-// capacityRefusal returns why the worker's capacity is not known to suffice for
-// the runs that are or may be on it, or "". Runs that are ordered or being
-// stopped count until an end is listed. The caller holds mu.
+// capacityRefusal returns "" if the worker's capacity is known to suffice for
+// the runs that are or may be on it, else the reason. Runs that are ordered or
+// being stopped count until an end is listed. The caller holds mu.
 func (r *Runner) capacityRefusal(inc *incarnation) string {
 	used, sized := inc.used()
 	switch {
--- a/agent/runner/rpc.go
+++ b/agent/runner/rpc.go
@@ -12,16 +12,16 @@
 	runner *Runner
 }
 
-// NewRPC returns the service of r; the orders that it starts run until ctx ends.
+// NewRPC returns the service of r; orders are carried out until ctx ends.
 func NewRPC(ctx context.Context, r *Runner) *RPC { return &RPC{ctx: ctx, runner: r} }
 
-// Order implements the call of that name.
+// Order implements the RPC of that name.
 func (a *RPC) Order(args dispatch.OrderArgs, reply *dispatch.OrderReply) error {
 	*reply = a.runner.Order(a.ctx, args)
 	return nil
 }
 
-// Watch implements the call of that name.
+// Watch implements the RPC of that name.
 func (a *RPC) Watch(args dispatch.WatchArgs, reply *dispatch.WatchReply) error {
 	*reply = a.runner.Watch(a.ctx, args)
 	return nil
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner is the agent's side of jobs of steps. It is the only caller
-// of the worker beside it: it renews the worker's lease for as long as a
+// Package runner is the agent's side of jobs of steps. It alone calls the
+// worker beside the agent. It renews the worker's lease for as long as a
 // scheduler grants it, fences earlier agents of the same worker, enforces the
 // worker's capacity, carries out orders and reports runs and ends.
 package runner
@@ -36,8 +36,8 @@
 	Found func(context.Context, workload.Worker)
 }
 
-// Runner is one agent's state. All of it is under one lock, which is never
-// held during a call.
+// Runner is one agent's state. One lock guards all of it and is never held
+// during a call.
 type Runner struct {
 	cfg  Config
 	deps Deps
@@ -72,14 +72,14 @@
 	holdWake chan struct{}
 	counters Counters
 
-	// sampleInterval is the time between two samples, unknownInterval that
-	// beside a pair of images whose pressure is unknown; sample is the latest
-	// sample until it is sent, sampledAt the time of the latest sample.
+	// sampleInterval is the time between two samples; unknownInterval replaces
+	// it while the pressure of a pair of images here is unknown. sample is the
+	// latest sample until it is sent, sampledAt the time of the latest sample.
 	sampleInterval  time.Duration
 	unknownInterval time.Duration
 	sample          *dispatch.TailSample
 	sampledAt       time.Duration
-	// weights and base are the figures that the scheduler has learnt.
+	// weights and base are the learnt pressure weights and tails without load.
 	weights map[pressure.Pair]pressure.Weight
 	// ranks is the scheduler's order of the jobs with filling runs here.
 	ranks map[workload.JobID]int
@@ -102,8 +102,8 @@
 	worker workload.Worker
 	// sequence is the number of the latest report.
 	sequence uint64
-	// reportedAt is the arrival time of that report; 0 if there was none.
-	// stale says that it was too old at the last check.
+	// reportedAt is the arrival time of the latest report; 0 if there was none.
+	// stale says that the report was too old at the last check.
 	reportedAt time.Duration
 	stale      bool
 	changed    uint64
@@ -112,14 +112,14 @@
 	clock      clockReading
 	// answeredAt is the time of the worker's last answer.
 	answeredAt time.Duration
-	// failedAt is the time of the first call since answeredAt without an answer,
-	// downAt that of the first call that the address refused; 0 without one.
+	// failedAt is the time of the first call since answeredAt without an
+	// answer, downAt that of the first call that the address refused, or 0.
 	failedAt time.Duration
 	downAt   time.Duration
 	// leaseEnd is the time by which the last lease that was sent has expired.
 	leaseEnd time.Duration
-	// failures counts the listings without an answer in a row, unansweredAt
-	// is the time at which the latest failed.
+	// failures counts the listings in a row without an answer; unansweredAt is
+	// the time at which the latest of them failed.
 	failures     int
 	unansweredAt time.Duration
 	answers      answerTimes
@@ -128,8 +128,8 @@
 	// lapsed says that the last lease has expired and the worker has not
 	// answered since: nothing runs there any more.
 	lapsed bool
-	// readEnd is the number of the highest end that was read, storedEnd that of
-	// the highest end that is stored.
+	// readEnd is the highest number of an end that was read, storedEnd the
+	// highest of an end that is stored.
 	readEnd   uint64
 	storedEnd uint64
 	ends      []endEntry
@@ -170,14 +170,14 @@
 	// stop: only a listing requested later proves the run's absence.
 	confirmedAt time.Duration
 	// presentAt is the time at which the run was first known to be on the
-	// worker, or to work for a run of a gang; 0 before.
+	// worker, or, for a run of a gang, to work there; 0 before.
 	presentAt time.Duration
 	// inherited says that the run is of an earlier process of this agent.
 	inherited bool
-	// provenReported says that a change has reported the run as proven.
+	// provenReported says that the run was reported as proven not to crash.
 	provenReported bool
-	// calling says that an order of the run is in flight, uncertain that one
-	// got no answer.
+	// calling says that an order of the run is in flight, uncertain that an
+	// order got no answer.
 	calling   bool
 	uncertain bool
 	stopping  bool
@@ -186,8 +186,8 @@
 	changed   uint64
 	progress  int
 	rough     float64
-	// estimate is the order's estimated run time; firstProgress is the progress
-	// in the first listing, at firstAt, and slow says that it is too slow since.
+	// estimate is the order's estimated run time, firstProgress the progress in
+	// the first listing, at firstAt. slow says that progress since is too slow.
 	estimate      time.Duration
 	firstProgress int
 	firstAt       time.Duration
@@ -198,8 +198,7 @@
 	// none was sent works at full pace.
 	pace    int
 	pacedAt time.Duration
-	// worked is the time that the run had worked at workedAt, converted to
-	// full pace.
+	// worked is the run's work up to workedAt, as time at full pace.
 	worked   time.Duration
 	workedAt time.Duration
 	// overSince is the time since which the tail of a serving task is over its
@@ -215,19 +214,19 @@
 	return &Runner{cfg: cfg, deps: deps, watchWake: make(chan struct{}), holdWake: make(chan struct{}, 1)}
 }
 
-// Registered sets the runner's token and the worker that the process before
-// this one had found, if any. It is called once, before Run and before the
-// scheduler's first call.
+// Registered sets the runner's token and the worker that the previous process
+// had found, if any. It is called once, before Run and before the scheduler's
+// first call.
 //
-// Reports are accepted before that, too: a worker that starts together with its
-// agent reports at once, and then not for a second. If that report were lost
-// while the agent still registers, nothing would start there for that second.
+// Reports are accepted earlier, too: a worker that starts together with its
+// agent reports at once, and then not for a second. If that first report were
+// lost while the agent registers, nothing would start there for a second.
 func (r *Runner) Registered(token uint64, before workload.Worker) {
 	r.token = token
 	r.suggest(before)
 }
 
-// Run lists the worker and renews its lease until ctx ends.
+// Run lists the worker, renews its lease and sets paces until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	go r.paceLoop(ctx)
 	r.holdLoop(ctx)
@@ -259,10 +258,10 @@
 }
 
 // leaseLimit returns the worker's clock reading until which the lease may run,
-// or 0 if it may not be renewed. The grant is measured on this machine's clock.
-// The reading arrived at or after the moment that it shows, so counting from
-// the arrival is safe except for a slow clock of the worker, for which margins
-// are added on both sides.
+// or 0 if the lease may not be renewed. The grant is measured on this machine's
+// clock. The worker's clock is at least at its last reading when that reading
+// arrives, so counting from the arrival is safe. Only a slow clock of the
+// worker would make the lease longer; margins on both sides cover this.
 //
 // The lease of a worker that does not answer is not extended: the worker may be
 // gone for good, and its tasks can start elsewhere only after the last lease.
--- a/agent/runner/unknown_test.go
+++ b/agent/runner/unknown_test.go
@@ -11,9 +11,10 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Filling work of a new image presses on a serving task, and half a second
-// passes until a figure shows this. While a pair of images is unknown, the
-// worker is listed and sampled twice as often; with known pairs it is not.
+// Filling work of a new image presses on a serving task, and a measurement
+// shows this only after half a second. While the pressure of a pair of images
+// is unknown, the worker is listed and sampled twice as often; with known pairs
+// it is not.
 func TestUnknownPairsAreSampledTwiceAsOften(t *testing.T) {
 	now := time.Hour
 	r := New(Config{}, Deps{Log: zerolog.Nop(), Now: func() time.Duration { return now }})
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -8,8 +8,8 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Watch returns the changes since the caller's last answer, at once after an
-// urgent change, else after args.Wait.
+// Watch returns the changes since args.Since: at once after an urgent change,
+// else after args.Wait.
 func (r *Runner) Watch(ctx context.Context, args dispatch.WatchArgs) dispatch.WatchReply {
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
@@ -45,7 +45,7 @@
 	return r.report(args.Since)
 }
 
-// acknowledge drops ends that are stored and void runs that were read.
+// acknowledge drops ends that are stored and void runs that the caller read.
 func (r *Runner) acknowledge(args dispatch.WatchArgs) {
 	inc := r.incarnation
 	if inc == nil {
@@ -84,7 +84,8 @@
 	reply := dispatch.WatchReply{Process: r.token, At: r.deps.Now(), Version: r.version}
 	reply.Former, reply.Fresh = r.formerIncarnations(since)
 	if reply.Version == 0 {
-		// With Since 0 the caller would get everything again and never wait.
+		// With version 0 the caller's next Since would be 0: it would get the
+		// whole state again, without a wait.
 		reply.Version = r.recordChange(false)
 	}
 	inc := r.incarnation
@@ -171,8 +172,8 @@
 	r.deps.Log.Info().Str("worker", string(id)).Int("runs", len(r.incarnation.runs)).Msg("worker announced its shutdown")
 }
 
-// Unreadable counts a report that could not be decoded. It names no usable
-// worker, so the state stays as it is.
+// Unreadable counts a report that could not be decoded. The report names no
+// usable worker, so the state stays as it is.
 func (r *Runner) Unreadable(err error) {
 	r.mu.Lock()
 	r.counters.Unreadable++
