--- a/agent/tasks/end.go
+++ b/agent/tasks/end.go
@@ -64,11 +64,11 @@
 // evict checkpoints the task, then stops it, then returns the report; nil if
 // the eviction has to be tried again.
 //
-// Failure guarded against: the task is stopped and its checkpoint can't be
-// written, so that all its progress is lost; or the report names a checkpoint
-// that does not exist. Therefore the object is written before the task is
-// stopped, and the task has stopped before the report is made. While the object
-// store is down the task continues, unless the instance must stop.
+// Guards against two failures: the task is stopped before its checkpoint is
+// written, and all its progress is lost; or the report names a checkpoint that
+// does not exist. So the object is written first, then the task is stopped,
+// then the report is made. While the object store is down the task continues,
+// unless the instance must stop.
 func (t *task) evict(ctx context.Context) *wire.TaskReport {
 	saved := t.saveCheckpoint(ctx)
 	if !saved {
@@ -130,7 +130,7 @@
 }
 
 // finalStatus returns the worker's status of a task that was stopped: the task
-// may have ended by itself before.
+// may have ended by itself before the stop.
 func (t *task) finalStatus(ctx context.Context) *infra.TaskStatus {
 	ctx, cancel := context.WithTimeout(ctx, t.m.config.Timeout)
 	defer cancel()
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// poll lists the worker's tasks and records the end of each task. The worker
-// is asked to forget ended tasks that nobody waits for.
+// poll lists the worker's tasks and records the end of each task. It asks the
+// worker to forget ended tasks of earlier incarnations.
 func (m *Manager) poll(ctx context.Context) {
 	watched := m.watched()
 	callCtx, cancel := context.WithTimeout(ctx, m.config.Timeout)
--- a/agent/tasks/outbox.go
+++ b/agent/tasks/outbox.go
@@ -13,11 +13,11 @@
 // maxReports bounds the ends in one message.
 const maxReports = 128
 
-// outbox holds the ends that are not settled yet.
+// outbox holds the ends that no entry has confirmed as settled.
 type outbox struct {
 	pending map[Key]wire.TaskReport
 	order   []Key
-	// owners holds the entry that settled ends of a shard last.
+	// owners is, by shard, the entry that last settled an end of the shard.
 	owners map[structs.ShardID]string
 	wake   chan struct{}
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// deliverEnds sends the pending ends until they are settled. Its rate is
-// bounded: one message at a time, and longer pauses while nothing settles.
+// deliverEnds sends the pending ends until they are settled. It sends one
+// message at a time and pauses longer while nothing settles, to bound its rate.
 func (m *Manager) deliverEnds(ctx context.Context) {
 	pause := m.config.Report
 	for {
@@ -165,8 +165,8 @@
 	return out
 }
 
-// requeue drops settled ends from the order and moves those that were sent but
-// not settled behind the others, so that they don't delay these.
+// requeue drops settled ends from the order. Ends that were sent but not
+// settled move behind the others, so that they don't delay those.
 func (o *outbox) requeue(sent []wire.TaskReport) {
 	var rest, unsettled []Key
 	tried := make(map[Key]bool, len(sent))
--- a/agent/tasks/states.go
+++ b/agent/tasks/states.go
@@ -10,11 +10,11 @@
 	"persimmonrock.example/wire"
 )
 
-// progress is a task's progress as of the worker's lagging reports.
+// progress is a task's progress as of the worker's reports, which lag behind.
 type progress struct {
-	// began and stopped bound the run; each is zero before its event.
+	// began and stopped are the times of the task's start and end; zero before.
 	began, stopped time.Time
-	// done is the part done, saved the part in the last checkpoint.
+	// done is the fraction of the work done, saved that in the last checkpoint.
 	done, saved float64
 	speed       float64
 	memory      int64
@@ -59,7 +59,7 @@
 	}, true
 }
 
-// Apply carries out one decision; it is false if the task is gone or the
+// Apply carries out one decision. It returns false if the task is gone or the
 // worker did not confirm the new speed.
 func (m *Manager) Apply(ctx context.Context, a decide.Action) bool {
 	m.mu.Lock()
@@ -87,7 +87,7 @@
 	return true
 }
 
-// setSpeed records the task's speed, 0 when it has stopped.
+// setSpeed records the task's speed; 0 says that the task has stopped.
 func (t *task) setSpeed(speed float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -17,7 +17,7 @@
 	m     *Manager
 	grant wire.TaskGrant
 	key   Key
-	// stopped is set when the task has provably stopped, or never started.
+	// stopped is set when the task has verifiably stopped or never started.
 	stopped atomic.Bool
 	// wake signals that one of the fields under mu has changed.
 	wake chan struct{}
@@ -32,11 +32,11 @@
 	// lost says that the worker no longer listed the task.
 	lost bool
 	used structs.Resources
-	// progress is for decisions about relief.
+	// progress is used for decisions about relief.
 	progress progress
 
 	// checkpoint is the object key of the last checkpoint, checkpoints the
-	// number of those written; only run's goroutine uses both.
+	// number of checkpoints written. Only run's goroutine uses both.
 	checkpoint  string
 	checkpoints int
 }
@@ -89,8 +89,8 @@
 	return t.want, t.forced, t.ended
 }
 
-// held returns the time left of the lease that covers the task, and whether it
-// is held. It is called before each effect.
+// held returns the time left of the agent's lease, and whether the lease that
+// covers the task is held. It is called before each effect.
 func (t *task) held() (time.Duration, bool) {
 	incarnation, left := t.m.deps.Lease.Held(time.Now())
 	return left, incarnation == t.grant.Incarnation && left > 0
@@ -108,7 +108,7 @@
 }
 
 // startOnWorker starts the task on its worker. If the task did not start, the
-// report says so; the report is nil when ctx has ended.
+// report says why; the report is nil if ctx has ended.
 func (t *task) startOnWorker(ctx context.Context) (report *wire.TaskReport, started bool) {
 	state, err := t.loadCheckpoint(ctx)
 	if ctx.Err() != nil {
@@ -152,10 +152,11 @@
 
 // pausedTooLong reports whether the lease lapsed, or nearly so, during a start.
 //
-// Failure guarded against: the agent is paused between its check of the lease
-// and the worker's receipt of the start; when it resumes the job runs elsewhere.
-// The task is then stopped at once, and at the latest when the worker's lease
-// of the task ends, since nothing renews that lease.
+// Guards against a start that takes effect when the job already runs elsewhere.
+// It comes about when the agent is paused between its check of the lease and
+// the worker's receipt of the start. The task is then stopped at once, and at
+// the latest when the worker's lease of the task ends, since nothing renews
+// that lease.
 func (t *task) pausedTooLong() bool {
 	left, held := t.held()
 	return !held || left <= t.m.config.WorkerLease
@@ -219,8 +220,8 @@
 	return nil
 }
 
-// pause waits for d, or without a limit when d is 0, or until the task is
-// signalled. It is false when ctx has ended.
+// pause waits for d (without a limit if d is 0) or until the task is signalled.
+// It returns false if ctx has ended.
 func (t *task) pause(ctx context.Context, d time.Duration) bool {
 	var timer <-chan time.Time
 	if d > 0 {
@@ -250,7 +251,7 @@
 	t.m.outbox.add(t.key, r)
 }
 
-// release releases the resources, once; the task has provably stopped.
+// release releases the resources, once; the task must be known to have stopped.
 func (t *task) release() {
 	if t.stopped.CompareAndSwap(false, true) {
 		t.setSpeed(0)
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -30,7 +30,7 @@
 	Report time.Duration
 }
 
-// Lease returns the agent's lease and its time left; lease.Keeper is one.
+// Lease returns the agent's lease and its time left, as lease.Keeper does.
 type Lease interface {
 	Held(now time.Time) (structs.Incarnation, time.Duration)
 }
@@ -79,7 +79,7 @@
 	outbox     outbox
 }
 
-// New returns a manager, which Run starts.
+// New returns a manager; Run starts it.
 func New(c Config, d Deps) *Manager {
 	return &Manager{
 		config: c, deps: d,
@@ -118,14 +118,14 @@
 // coversRenewal reports whether the time left of the agent's lease allows a
 // renewal of the worker's lease.
 //
-// Failure guarded against: the agent is paused between this check and the
+// Guards against a task that outlives the agent's lease row and runs in two
+// places. It comes about when the agent is paused between this check and the
 // worker's receipt of the renewal. A task can be renewed for at most one worker
-// lease after the check, and then runs for one more; with less than two left it
-// could outlive the row's lease and run in two places.
+// lease after the check, and then runs for one more: two must be left.
 func (m *Manager) coversRenewal(left time.Duration) bool { return left > 2*m.config.WorkerLease }
 
-// renewWorker extends the tasks' leases while enough of the agent's own is
-// left; else they expire.
+// renewWorker extends the worker's leases of the tasks while enough of the
+// agent's own lease is left; otherwise they expire.
 func (m *Manager) renewWorker(ctx context.Context) {
 	held, left := m.deps.Lease.Held(time.Now())
 	if held == 0 {
@@ -142,9 +142,9 @@
 	}
 }
 
-// Start admits granted tasks; the reply has one element for each grant, nil if
-// the task was admitted or is known already. A refusal is final for the claim:
-// the claim is never started afterwards, so that its owner may reassign the job.
+// Start admits granted tasks. The reply has one element for each grant: nil if
+// the task was admitted or is known already, else the refusal. A refused claim
+// is never started afterwards, so its owner may reassign the job.
 func (m *Manager) Start(grants []wire.TaskGrant) []*structs.Refusal {
 	out := make([]*structs.Refusal, len(grants))
 	for i, g := range grants {
@@ -222,9 +222,9 @@
 // Stop requests the stop of tasks. An unknown claim is reported as ended at
 // once, and never starts afterwards.
 //
-// Failure guarded against: a cancellation overtakes the start of its task and
-// finds nothing, and then the cancelled task starts. Therefore the claim is
-// recorded under the lock under which Start looks it up.
+// Guards against a cancelled task that starts. It comes about when a
+// cancellation overtakes the start of its task and finds nothing. Therefore the
+// claim is recorded under the lock under which Start looks it up.
 func (m *Manager) Stop(refs []wire.TaskRef, reason wire.StopReason) {
 	held, _ := m.deps.Lease.Held(time.Now())
 	m.mu.Lock()
@@ -248,7 +248,7 @@
 	}
 }
 
-// Running returns the number of tasks that have not provably stopped.
+// Running returns the number of tasks that are not known to have stopped.
 func (m *Manager) Running() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,16 +261,16 @@
 	return n
 }
 
-// Unsettled returns the number of tasks and ends that are not settled.
+// Unsettled returns the number of tasks and of ends that are not settled.
 func (m *Manager) Unsettled() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.tasks) + len(m.outbox.pending)
 }
 
-// EvictAll checkpoints and stops all tasks and reports their ends. When force
-// ends, tasks that could not be checkpointed are stopped with their earlier
-// checkpoint. It returns when all ends are settled, or with ctx's error.
+// EvictAll checkpoints and stops all tasks and reports their ends. Once force
+// ends, tasks that cannot be checkpointed are stopped with their earlier
+// checkpoint. EvictAll returns when all ends are settled, or with ctx's error.
 func (m *Manager) EvictAll(ctx, force context.Context) error {
 	forced := false
 	for m.Unsettled() > 0 {
