--- a/agent/ledger/batch.go
+++ b/agent/ledger/batch.go
@@ -79,13 +79,12 @@
 	}
 }
 
-// Measured records the highest memory use observed of a task.
+// Measured records the highest memory use observed of a task. Memory used above
+// a claim is not free for later tasks; the claims themselves stay as admitted.
 //
-// Failure guarded against: a job declares far less memory than it uses; by the
-// claims its instance looks empty, more tasks are placed there, and the
-// platform kills them for lack of memory, again and again. The guard holds
-// because memory used above a claim counts as taken for later tasks; the claims
-// themselves stay as admitted.
+// Guards against tasks that the platform kills for lack of memory, again and
+// again. It comes about when a job declares far less memory than it uses: by
+// the claims the instance looks empty, and more tasks are placed there.
 func (l *Ledger) Measured(k TaskKey, memory int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/batch_test.go
+++ b/agent/ledger/batch_test.go
@@ -8,11 +8,11 @@
 	"persimmonrock.example/structs"
 )
 
-// Tasks that declare a tenth of the memory they use are placed on one instance
-// until the platform kills them, again and again, because by their claims the
-// instance always has free memory. Memory measured above a claim is not free
-// until the task has stopped. A task that uses less than its claim frees
-// nothing, since it may still need the rest.
+// Guards against an instance that gets more and more tasks until the platform
+// kills them. It comes about when tasks declare a tenth of the memory they use,
+// and free memory is counted by claims alone. Memory measured above a claim is
+// not free until the task has stopped. A task that uses less than its claim
+// frees nothing, since it may still need the rest.
 func TestMemoryUsedAboveTheClaimIsNotFree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
@@ -45,10 +45,11 @@
 	want("both have stopped", 800)
 }
 
-// A customer floods the instance with calls and jobs at once and slows down
-// another customer's calls. The flood's calls stay within its right, and its
-// tasks borrow slots on top. While its calls use most of its right, its tasks
-// may borrow no slot; some seconds after the calls have ended they may again.
+// Guards against a customer that floods the instance with calls and jobs at
+// once and slows down another customer's calls. It comes about when its calls
+// stay within its quota and its tasks borrow slots on top. While its calls use
+// most of its quota, its tasks may borrow no slot; some seconds after the calls
+// have ended they may again.
 func TestNoSlotIsLentToTasksOnTopOfAFloodOfCalls(t *testing.T) {
 	l := newLedger(t)
 	now := l.start
--- a/agent/ledger/inherit.go
+++ b/agent/ledger/inherit.go
@@ -13,14 +13,14 @@
 }
 
 // Survey replaces the tasks that the ledger counts for earlier agents by those
-// that the worker runs for them now, and returns their number.
+// that the worker still runs for them, and returns their number.
 //
-// Failure guarded against: an agent is killed and a new one admits calls to all
-// slots while the worker still runs the old one's tasks, until their lease
-// lapses or they are fenced; the instance then runs more than it can hold. The
-// guard holds because a ledger with Config.Survey admits nothing before its
-// first survey, and because an earlier agent can start no more tasks once the
-// backend servers and the worker have accepted this one.
+// Guards against an instance that runs more than it can hold. It comes about
+// when an agent is killed and a new one admits calls to all slots while the
+// worker still runs the old agent's tasks, until their lease lapses or they are
+// fenced. Therefore a ledger with Config.Survey admits nothing before its first
+// survey. Earlier agents can start no more tasks once the backend servers and
+// the worker have accepted this one.
 func (l *Ledger) Survey(running []WorkerTask, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,12 +44,12 @@
 
 // unsettled reports whether nothing may be admitted yet.
 //
-// Failure guarded against: a new agent admits work to slots in which backend
-// servers still run calls of the old agent. Slots are shared by all services
-// and by batch tasks, so one server's announcement is not enough, and there is
-// no list of the servers. The guard: every running server announces itself
-// within Settle, twice the time between announcements. The other servers name
-// one that is paused for longer (see reserveAwaited).
+// Guards against a new agent that admits work to slots in which backend servers
+// still run calls of the old agent. Slots are shared by all services and by
+// batch tasks, so one server's announcement is not enough, and there is no list
+// of the servers. Every running server announces itself within Settle, twice
+// the time between announcements. A server that is paused for longer is named
+// by the others (see reserveAwaited).
 func (l *Ledger) unsettled(now time.Time) bool {
 	early := l.config.Settle > 0 && now.Sub(l.start) < l.config.Settle
 	return early || (l.config.Survey && !l.surveyed)
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -83,9 +83,9 @@
 	revision  structs.Revision
 	start     time.Time
 	refreshed time.Time
-	// incarnation is the highest that this agent has had towards a backend
-	// server or in its lease row; it orders the agent's loads after those of
-	// its predecessor.
+	// incarnation is the highest incarnation that this agent has used towards a
+	// backend server or in its lease row. It orders the agent's loads after
+	// those of its predecessor.
 	incarnation structs.Incarnation
 	session     string
 	// inherited are the sizes of tasks that run for earlier agents.
@@ -146,7 +146,7 @@
 	Customer structs.Customer
 	Service  structs.Service
 	Budget   time.Duration
-	// Revision is that of the configuration which the sender used.
+	// Revision is the revision of the sender's configuration.
 	Revision structs.Revision
 }
 
@@ -243,9 +243,9 @@
 	}
 }
 
-// inExchange returns the call whose exchange is about to end. If there is none
-// it returns nil and reports a violated invariant: an exchange ends once. what
-// names the kind of end.
+// inExchange returns the call whose exchange is about to end. If there is none,
+// it returns nil and reports a violated invariant, since an exchange ends once.
+// what names the kind of end.
 func (l *Ledger) inExchange(id structs.RequestID, what string) *call {
 	c := l.calls[id]
 	if c == nil || c.phase != exchanging {
@@ -282,8 +282,8 @@
 }
 
 // Cut records that the exchange ended without a whole answer. The slot stays
-// taken, since the server may still work on the call, unless the process that
-// the request was sent to has been replaced.
+// taken, since the server may still work on the call. The slot is freed only if
+// the process that got the request has been replaced.
 func (l *Ledger) Cut(id structs.RequestID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -41,10 +41,10 @@
 	return g.Fill(backend.Announcement{Service: "s", Address: "x", Slots: 4, Connections: 4, MemoryBytes: 100})
 }
 
-// An operator retires a backend server. It gets no calls once the agent has the
-// DELETE or the server's own announcement of it. A late or repeated
-// announcement from before doesn't bring the server back; a new process under
-// its name does.
+// An operator retires a backend server. It gets no calls once the agent has
+// received the DELETE request or the server's announcement that it leaves. A
+// late or repeated earlier announcement doesn't bring the server back; a new
+// process under its name does.
 func TestLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, byAnnouncement := range []bool{false, true} {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Two customers share an instance. A customer that floods it with calls and
-// tasks gets more than its share while the other needs nothing; once the other
-// sends requests, it gets no more than is free beside the other's right.
+// Two customers share an instance. One that floods it with tasks gets more than
+// its quota while the other needs nothing. Once the other sends requests, the
+// first gets only slots that are free beside the other's quota.
 func TestShares(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
@@ -131,11 +131,11 @@
 }
 
 // An agent is killed while two backend servers of its instance work. Its
-// successor receives the first one's announcement. It may not admit calls or
-// batch tasks to the slots that the second one may be using until it knows what
-// that one runs. The same holds if the second one announced itself and the
-// answer was lost: it has not accepted the new agent and sent no list of its
-// calls.
+// successor receives the announcement of one of them. It may admit no calls or
+// batch tasks to slots that the other server may be using until it knows what
+// that server runs. This also holds if the other server has announced itself
+// and the answer was lost: that server has not accepted the new agent and has
+// sent no list of its calls.
 func TestNewAgentReservesSlotsOfUnreportedServers(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		testReservedSlots(t, lost)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Tasks of any declared size and calls come and go. Their sum never exceeds the
-// instance in any resource, and all of it is free at the end.
+// Tasks of any declared size come and go. Their sum never exceeds the instance
+// in any resource, and all of it is released at the end.
 func TestRandomSizes(t *testing.T) {
 	checks := flag.Lookup("rapid.checks").Value
 	defer func(all string) { _ = checks.Set(all) }(checks.String())
@@ -226,9 +226,9 @@
 	}
 }
 
-// A service is slow for a while, then as fast as before; its callers are still
-// refused, since no answer within their deadline is expected. Cause: the
-// estimate of its calls' duration only changes with calls, and there are none.
+// Guards against a service whose callers are refused after it was slow for a
+// while and is fast again. It comes about when the estimate of a call's
+// duration changes only with calls: with a high estimate there are none.
 func TestEstimateOfASlowServerFades(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
--- a/agent/ledger/peers.go
+++ b/agent/ledger/peers.go
@@ -10,25 +10,24 @@
 // has not accepted this agent.
 const awaitedTimeout = 30 * time.Second
 
-// awaited is a server that has not accepted this agent yet and that may run
-// calls of the agent before it.
+// awaited is a server that has not accepted this agent yet and that may still
+// run calls of the previous agent.
 type awaited struct {
 	slots int
 	since time.Time
 }
 
-// reserveAwaited reserves the slots of the servers that an announcement to
-// another agent names, and of the server that made it, while this agent does
-// not know what they run.
+// reserveAwaited handles an announcement to another agent. It reserves the
+// slots of the server that made it and of the servers that it names, while this
+// agent does not know what they run.
 //
-// Failure guarded against: an agent is killed while two backend servers of its
-// instance work. The new agent receives the first one's announcement and admits
-// calls to all of the instance's free slots before it learns what the second
-// one runs; the instance then runs more than it can hold. The guard holds
-// because each server repeats the names that the previous agent gave it, in the
-// announcement before which the new agent admits nothing to it. The slots of a
-// server that has announced itself stay reserved, too, until it has accepted
-// this agent: the answer that asks it to may be lost.
+// Guards against an instance that runs more than it can hold. It comes about
+// when an agent is killed while two backend servers work: the new agent
+// receives the first one's announcement and admits calls to all free slots
+// before it learns what the second one runs. Therefore each server's first
+// announcement to a new agent repeats the names that the previous agent gave
+// it. A server that has announced itself has its slots reserved until it has
+// accepted this agent, since the answer that asks for this may be lost.
 func (l *Ledger) reserveAwaited(s *server, a backend.Announcement, now time.Time) {
 	if a.AgentSession == l.session {
 		return
--- a/agent/ledger/pressure.go
+++ b/agent/ledger/pressure.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Windows returns the load and latency of each service since the last call, and
-// starts new windows.
+// Windows returns the load and latency of each service since Windows was last
+// called, and starts new windows.
 func (l *Ledger) Windows() []Window {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,13 +70,13 @@
 	return out
 }
 
-// Owed counts the slots that were refused to customers within their right.
+// Owed counts the slots that were refused to customers within their quota.
 type Owed struct {
-	// Slots counts all of them, Calls those that were refused to calls.
+	// Slots counts all of these slots, Calls those that were refused to calls.
 	Slots, Calls int
 }
 
-// Owed returns the counts since the last call, and resets them.
+// Owed returns the counts since Owed was last called, and resets them.
 func (l *Ledger) Owed() Owed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	return owed
 }
 
-// Borrows reports whether the customer holds more than its right here.
+// Borrows reports whether the customer holds more than its quota here.
 func (l *Ledger) Borrows(c structs.Customer) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -16,11 +16,11 @@
 	contract structs.Contract
 	right    int
 	demand   decide.Demand
-	// denied counts slots that were refused within the right, deniedCalls those
-	// that were refused to calls.
+	// denied counts slots that were refused to the customer within right, its
+	// quota of slots here; deniedCalls counts those refused to calls.
 	denied, deniedCalls int
-	// useIndex is the index of the customer in Ledger.uses, -1 while it holds
-	// nothing and is expected to need nothing.
+	// useIndex is the index of the customer in Ledger.uses, or -1 while the
+	// customer holds nothing and is expected to need nothing.
 	useIndex int
 }
 
@@ -71,12 +71,12 @@
 }
 
 // borrowOnlyShare stands for a contract that an entry has and this agent has
-// not received yet: the customer gets only slots that no other customer has a
-// right to.
+// not received yet: the customer gets only slots that are in no other
+// customer's quota.
 const borrowOnlyShare = 1e-9
 
-// accountAndContract returns the customer's account and the contract to decide
-// under.
+// accountAndContract returns the customer's account and the contract that
+// applies.
 func (l *Ledger) accountAndContract(c structs.Customer, revision structs.Revision) (*account, structs.Contract) {
 	a := l.account(c)
 	contract := a.contract
@@ -147,10 +147,9 @@
 	}
 }
 
-// refresh updates the expected needs, which fade with time, and removes
-// customers that hold and need nothing, so that an admission examines only the
-// others. It may delete accounts, so an admission calls it before it looks up
-// its account.
+// refresh updates the expected needs, which fade with time. It removes
+// customers that hold and need nothing, so that admissions don't examine them.
+// It may delete accounts, so an admission looks up its account only after it.
 func (l *Ledger) refresh(now time.Time) {
 	if now.Sub(l.refreshed) < refreshInterval {
 		return
--- a/agent/ledger/quota_test.go
+++ b/agent/ledger/quota_test.go
@@ -7,11 +7,11 @@
 	"persimmonrock.example/structs"
 )
 
-// A customer's first calls reach an agent that has not received its contract
-// yet, with a pause between them; then the agent panics when it counts the
-// slots it owes. Cause: after the pause the second admission's refresh deleted
-// the account that the same admission had just looked up, so the customer was
-// in uses without an account.
+// Guards against a panic of the agent when it counts the slots it owes. It
+// comes about when a customer's first calls reach an agent that has not
+// received its contract, with a pause between them: the second admission's
+// refresh deletes the account that this admission has just looked up, and the
+// customer is in uses without an account.
 func TestAccountOfUnknownCustomerSurvivesRefresh(t *testing.T) {
 	l := New(Config{Instance: "i1", Total: structs.Resources{Slots: 8}})
 	now := time.Now()
--- a/agent/ledger/random_test.go
+++ b/agent/ledger/random_test.go
@@ -54,7 +54,7 @@
 }
 
 // simulation is one backend server with a sequence of agents, and all messages
-// under way between them. Messages arrive in any order.
+// in flight between them. Messages arrive in any order.
 type simulation struct {
 	now           time.Time
 	agents        []*Ledger // the last one receives announcements
@@ -177,15 +177,15 @@
 	}
 }
 
-// check fails if the server ever got more calls than it has slots: its guard
-// would have refused one as full.
+// check fails if the server ever got more calls than it has slots; its guard
+// refuses such a call as full.
 func (w *simulation) check(t *rapid.T) {
 	if n := w.refusedFull + w.guard.Counters.Full.Load(); n > 0 {
 		t.Fatalf("the server got more calls than its %d slots, %d times", modelSlots, n)
 	}
 }
 
-// finishAll delivers and ends everything; then no slot may be taken.
+// finishAll delivers and ends all calls; then no slot may be taken.
 func (w *simulation) finishAll(t *rapid.T) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *message) bool { return !m.waiting })
 	for len(w.inFlight) > 0 {
@@ -206,10 +206,10 @@
 	}
 }
 
-// Calls come faster than the server takes them. Callers disconnect, connections
-// are cut, the agent is killed or frozen, the server is restarted, and
-// announcements arrive late, out of order or never. The server must never hold
-// more calls than its slots, and no slot may be lost.
+// Calls come faster than the server can answer them. Callers disconnect,
+// connections are cut, the agent is killed or frozen, the server is restarted,
+// and announcements arrive late, out of order or never. The server must never
+// hold more calls than it has slots, and each slot must be freed in the end.
 func TestRandomFailuresAtOneServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation()
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -9,7 +9,8 @@
 	"persimmonrock.example/structs"
 )
 
-// server is one name under which backend servers announce themselves.
+// server is one name under which successive processes of a backend server
+// announce themselves.
 type server struct {
 	name        string
 	announced   backend.Announcement
@@ -20,7 +21,7 @@
 	// ready: the server has fenced every earlier agent, and the calls that ran
 	// at that moment are in the ledger.
 	ready bool
-	// everReady is set once ready has been set.
+	// everReady says that ready has been set at least once.
 	everReady bool
 	leaving   bool
 	// reserved is the memory reserved for the server.
@@ -48,16 +49,17 @@
 	return Admitted
 }
 
-// medianHalfLife is the time without a call in which the estimate of its
+// medianHalfLife is the time without calls in which the estimate of a call's
 // duration halves.
 const medianHalfLife = 5 * time.Second
 
 // expected returns the estimated duration of a call that starts now.
 //
-// Failure guarded against: a server was slow, so entries refuse all calls whose
-// deadline is below the estimate, and without calls the estimate stays high,
-// however fast the server is again. The guard: without calls the estimate
-// shrinks until a call is tried; running calls keep it as it is.
+// Guards against a server that gets no calls although it is fast again. It
+// comes about when the server was slow: entries refuse all calls whose deadline
+// is below the estimate, and without calls the estimate stays high. So the
+// estimate shrinks without calls until a call is tried; while calls run it
+// stays.
 func (s *server) expected(now time.Time) time.Duration {
 	if s.inUse > 0 {
 		return s.median
@@ -114,13 +116,13 @@
 
 // Announce processes one announcement and returns the answer.
 //
-// Failure guarded against: a list of active requests is made before a request
-// arrives and read after its exchange broke; the request is not in the list,
-// the slot is freed, and then the server reads the request from its socket and
-// runs it. It shows as more requests at the server than it has slots. The guard
-// holds because a broken request is first declared void in an answer; its slot
-// is freed only by a list that the server made after it had carried out that
-// answer, and from then on the server refuses the request.
+// Guards against more requests at the server than it has slots. It comes about
+// when a list of active requests is made before a request arrives, and read
+// after the request's exchange broke: the request is not in the list, the slot
+// is freed, and then the server reads the request from its socket and runs it.
+// Therefore a broken request is first declared void in an answer. Its slot is
+// freed only by a list that the server made after it had carried out that
+// answer; from then on the server refuses the request.
 func (l *Ledger) Announce(name string, a backend.Announcement, now time.Time) (backend.Answer, error) {
 	if err := Check(a); err != nil {
 		return backend.Answer{}, err
@@ -179,19 +181,18 @@
 
 // incarnationCollides reports whether the server has accepted another agent
 // under the incarnation that this agent chose.
-//
-// Failure guarded against: a new agent first receives a late announcement from
-// before its predecessor's time and chooses the predecessor's number; a second
-// late announcement then looks as if the server had accepted the new agent, and
-// its list lacks the calls that run. It shows as more requests at the server
-// than slots. The guard holds because a session is unique to a process.
+// Guards against more requests at the server than slots. It comes about when a
+// new agent first receives a late announcement from before its predecessor's
+// time, and chooses the predecessor's incarnation. A second late announcement
+// then looks as if the server had accepted the new agent, and its list lacks
+// the calls that run. A session is unique to a process.
 func (l *Ledger) incarnationCollides(s *server, a backend.Announcement) bool {
 	return a.AgentIncarnation == s.agent && a.AgentSession != l.session
 }
 
-// recordRestart records a new process under the server's name. The calls of the
-// old process have ended, except where the agent still holds a connection to
-// it.
+// recordRestart records a new process under the server's name and frees the
+// slots of the old process's calls. Calls whose exchange still runs keep their
+// slots.
 func (l *Ledger) recordRestart(s *server, incarnation uint64, now time.Time) {
 	for _, c := range l.calls {
 		if c.server == s && c.phase != exchanging {
@@ -205,8 +206,8 @@
 
 // reconcile compares the calls with the list of active requests of a server
 // that has fenced every other agent. The first such list holds all calls that
-// ran at the time of the fencing: those that are not in the ledger are
-// inherited, before anything is admitted. In later lists an unknown ID is a
+// ran at the time of the fencing. Calls of that list that are not in the ledger
+// are inherited before anything is admitted. In later lists an unknown ID is a
 // call that was answered after the list was made.
 func (l *Ledger) reconcile(s *server, a backend.Announcement, now time.Time) {
 	l.releaseAwaited(s.name, now)
@@ -232,8 +233,8 @@
 	}
 }
 
-// answer declares the server's orphaned calls void. Every answer repeats this
-// until the slot is free, since an answer can be lost.
+// answer declares the server's orphaned calls void. Every answer repeats a call
+// until its slot is free, since an answer can be lost.
 func (l *Ledger) answer(s *server, now time.Time) backend.Answer {
 	s.answers++
 	out := backend.Answer{
@@ -280,8 +281,8 @@
 	return backend.Status{Leaving: s.leaving, InUse: s.inUse, Safe: s.leaving && s.inUse == 0}
 }
 
-// Offer counts the servers and slots of the instance; entries are notified when
-// it changes.
+// Offer counts the servers and slots of the instance; entries are notified of
+// each change.
 type Offer struct {
 	Ready, Leaving, Slots int
 }
