--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease maintains the row of the table service that is the lease for
-// all batch tasks of an agent. See docs/notes/agent-leases.md.
+// Package lease maintains an agent's row in the table service, which is the
+// lease for all of its batch tasks. See docs/notes/agent-leases.md.
 package lease
 
 import (
@@ -29,8 +29,8 @@
 	Renew, Timeout, Retry time.Duration
 }
 
-// Fencer stops all tasks of holders below h, refuses them from then on, and
-// returns once the tasks have stopped; infra.Worker is one.
+// Fencer stops all tasks of holders below incarnation h, refuses them from then
+// on, and returns once the tasks have stopped. infra.Worker is one.
 type Fencer interface {
 	Fence(ctx context.Context, h structs.Incarnation) error
 }
@@ -43,7 +43,7 @@
 // ErrNotHeld is returned when no lease is held.
 var ErrNotHeld = errors.New("lease: not held")
 
-// errLost is returned when another process has taken or fenced the row.
+// errLost is returned when another process has taken over or fenced the row.
 var errLost = errors.New("lease: taken over")
 
 // Keeper takes the row, renews it, and takes it again after its loss.
@@ -56,8 +56,8 @@
 	// OnLost is called after the row was taken over or fenced. It is set before
 	// Run.
 	OnLost func(structs.Incarnation)
-	// HighestUsed, if set, returns an incarnation that the next one taken must
-	// be above, so that loads of the previous agent compare as older.
+	// HighestUsed, if set, returns an incarnation that the next one must
+	// exceed, so that loads of the previous agent compare as older.
 	HighestUsed func() structs.Incarnation
 	// OnTaken is called with each new incarnation, after the worker was fenced.
 	OnTaken func(structs.Incarnation)
@@ -78,8 +78,8 @@
 	return &Keeper{config: c, table: table, worker: worker, id: rand.Text()}
 }
 
-// Held returns the incarnation and the time left; 0 and a negative or zero time
-// when the lease is not held.
+// Held returns the incarnation and the time left. The time is negative or zero
+// when the lease has lapsed; both are 0 when the lease is not held.
 func (k *Keeper) Held(now time.Time) (structs.Incarnation, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,16 +91,16 @@
 
 // Elapsed returns the greater of the monotonic and the wall clock's difference.
 //
-// Failure guarded against: an instance is suspended, its monotonic clock stands
-// still, and on resuming the agent believes that its lease still holds while
-// another agent already runs its tasks. The wall clock is corrected after a
-// pause, so the greater of the two shows the gap. A wall clock that jumps ahead
+// Guards against an agent that believes its lease still holds while another
+// agent already runs its tasks. It comes about when the instance is suspended
+// and its monotonic clock stands still. The wall clock is corrected after a
+// pause, so the greater difference shows the gap. A wall clock that jumps ahead
 // without a pause only ends the lease early.
 func Elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// Run takes and renews the lease until ctx ends. It does not release it.
+// Run takes and renews the lease until ctx ends. It does not release the lease.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := k.config.Renew
@@ -115,7 +115,7 @@
 	return ctx.Err()
 }
 
-// takeOrRenew takes or renews the lease, once.
+// takeOrRenew takes the lease, or renews it if it is held, once.
 func (k *Keeper) takeOrRenew(ctx context.Context) error {
 	k.mu.Lock()
 	held := !k.renewalSent.IsZero()
@@ -147,11 +147,12 @@
 	}
 }
 
-// take reads incarnation n, fences the worker with n+1 and writes n+1.
+// take reads the row, fences the worker with the next incarnation and writes
+// it.
 //
-// Failure guarded against: the previous agent left tasks running; the entry
-// sees a new incarnation, takes it as proof that they have ended and runs them
-// elsewhere as well. The guard holds because the worker has stopped them, and
+// Guards against tasks that run in two places. It comes about when the previous
+// agent left tasks running: the entry takes a new incarnation as proof that
+// they have ended and runs them elsewhere. Therefore the worker stops them, and
 // refuses the previous holder, before the new incarnation can be read.
 func (k *Keeper) take(ctx context.Context) error {
 	key := structs.AgentLeaseKey(k.config.Instance)
@@ -215,9 +216,9 @@
 // renew raises the counter. The lease's length counts from before the first
 // attempt.
 //
-// Failure guarded against: an attempt timed out and takes effect later. It
-// shows as a conflict with a row that an operation of this keeper wrote. The
-// guard: such a row is adopted and the renewal repeated on it; only a row that
+// Guards against a lease given up because an earlier renewal timed out and took
+// effect later. The next renewal then conflicts with a row that this keeper
+// wrote. Such a row is adopted and the renewal repeated on it. Only a row that
 // another process wrote means that the lease is lost.
 func (k *Keeper) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Timeout)
@@ -272,7 +273,7 @@
 }
 
 // Release marks the lease row as released: no task of this incarnation runs any
-// more. The caller has stopped them all and ended Run.
+// more. The caller has stopped all tasks and ended Run.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.mu.Lock()
 	next, version, held := k.row, k.version, !k.renewalSent.IsZero()
