--- a/agent/configuration/configuration.go
+++ b/agent/configuration/configuration.go
@@ -1,10 +1,10 @@
 // Package configuration keeps an agent at the newest accepted configuration.
 //
 // The agent reads the table service's revision row every few seconds, and then
-// what changed. While the table service doesn't answer, the agent asks an
-// entry. It also accepts configurations that entries send with their answers to
-// heartbeats. From every source, the configuration only moves to higher
-// revisions.
+// the changes since the revision in force. While the table service doesn't
+// answer, the agent asks an entry. It also accepts configurations that entries
+// send with their answers to heartbeats. From every source, the configuration
+// only moves to higher revisions.
 package configuration
 
 import (
@@ -20,21 +20,21 @@
 	"persimmonrock.example/wire"
 )
 
-// Timing of the readings. With 1,000 agents they cost the table service 167
-// reads a second; a change is in force within the longest pause, one time-out
-// and two requests to entries: 10 s, if the table service fails at that moment.
+// Timing of the reads. With 1,000 agents they cost the table service 167 reads
+// a second. A change is in force within the longest pause, one timeout and two
+// requests to entries: 10 s, if the table service fails at that moment.
 const (
 	pollInterval = 6 * time.Second
 	// pollJitter is the largest random deviation of a pause from pollInterval.
 	pollJitter = time.Second
-	// wakeJitter bounds the random pause before an agent reads because a call
-	// named a newer revision: all entries receive a change within about a
-	// second, and 1,000 agents would read at once.
+	// wakeJitter bounds the random pause before a read that is caused by a call
+	// with a newer revision. All entries receive a change within about a
+	// second, and without the pause 1,000 agents would read at once.
 	wakeJitter = 2 * time.Second
-	// timeout bounds one reading and one request to an entry.
+	// timeout bounds one read and one request to an entry.
 	timeout = time.Second
 	// entryAttempts is the number of entries that are asked after a failed
-	// reading.
+	// read.
 	entryAttempts = 2
 )
 
@@ -45,8 +45,9 @@
 type Follower struct {
 	table infra.Table
 	ask   Ask
-	// apply puts a configuration into force; it returns false if the
-	// configuration is not newer, which the follower rules out.
+	// apply puts a configuration into force. It returns false if the
+	// configuration is not newer than the one in force; the follower never
+	// passes such a configuration.
 	apply       func(structs.Config) bool
 	onBroken    func(what string)
 	wake        chan struct{}
@@ -57,9 +58,10 @@
 	// known is the highest revision that this process knows to exist.
 	known structs.Revision
 
-	// Reads counts readings, Failed those without an answer, Asked the requests
-	// to entries, Older the configurations that were dropped because they were
-	// not above the one in force, Unfit the changes from another revision.
+	// Reads counts reads, Failed the reads without an answer, Asked the
+	// requests to entries. Older counts configurations that were dropped
+	// because they were not above the one in force, Unfit changes that start at
+	// another revision.
 	Reads, Failed, Asked, Older, Unfit atomic.Int64
 }
 
@@ -88,7 +90,7 @@
 	}
 }
 
-// Wants returns the form of configuration that an entry shall send with its
+// Wants returns the form of configuration that an entry is to send with its
 // answer to a heartbeat.
 func (f *Follower) Wants() wire.ConfigWant {
 	if f.tableFailed.Load() {
@@ -115,7 +117,7 @@
 	}
 }
 
-// Receive applies what an entry sent; either may be nil.
+// Receive applies what an entry sent; whole or change may be nil.
 func (f *Follower) Receive(whole *structs.Config, change *structs.ConfigChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,10 +138,9 @@
 
 // install puts c into force if it is newer.
 //
-// Failure guarded against: a slow reading, or an answer that was overtaken,
-// returns an older configuration after a newer one is in force; it would show
-// as a contract that reverts. The guard: comparison, swap and apply are one
-// step under the lock.
+// Guards against a contract that reverts. It comes about when a slow read or an
+// overtaken answer returns an older configuration after a newer one is in
+// force. Comparison, swap and apply are therefore one step under the lock.
 func (f *Follower) install(c structs.Config) {
 	if c.Revision <= f.current.Revision {
 		f.Older.Add(1)
@@ -158,7 +159,7 @@
 	return f.current
 }
 
-// read reads the table once, and asks entries if it doesn't answer.
+// read reads the table once, and asks entries if the table doesn't answer.
 func (f *Follower) read(ctx context.Context) {
 	f.Reads.Add(1)
 	held := f.inForce()
@@ -182,7 +183,7 @@
 	}
 }
 
-// askEntries asks one entry after the other until one answers.
+// askEntries asks entries one after the other until one answers.
 func (f *Follower) askEntries(ctx context.Context, r structs.Revision) {
 	for range entryAttempts {
 		f.Asked.Add(1)
--- a/agent/configuration/configuration_test.go
+++ b/agent/configuration/configuration_test.go
@@ -94,10 +94,10 @@
 // inForceWithin bounds the time until a change is in force.
 const inForceWithin = 13 * time.Second
 
-// An operator changes a contract while one agent can't reach the table service,
-// and the customer still gets the old share on that instance. The agent asks an
-// entry, which sends the change. Without an answer from an entry, the agent
-// reads the change once the table service answers again.
+// An operator changes a contract while one agent can't reach the table service.
+// The agent asks an entry, which sends the change; otherwise the customer would
+// keep the old share on that instance. If no entry answers, the agent reads the
+// change once the table service answers again.
 func TestAgentCutOffFromTheTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -127,10 +127,10 @@
 	})
 }
 
-// An agent is frozen between its reading of the revision and that of the
-// contract; three versions are accepted before it resumes. It must put the
-// third into force, none in between and no mix. Cause: the row read before the
-// pause is old, and the one read after it is of another revision.
+// An agent is frozen between reading the revision and reading the contract;
+// three versions are accepted before it resumes. The row read before the pause
+// is then old, and the row read after it is of another revision. The agent must
+// put the third version into force, none in between and no mix.
 func TestAgentFrozenThroughThreeVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -182,11 +182,11 @@
 	})
 }
 
-// Two entries answer one agent's heartbeats: the first one's answer was made
-// before a change and arrives after the second one's. Then changes arrive that
-// start at a revision which the agent no longer has or never had. The contracts
-// in force must stay, and the agent must read soon after a newer revision was
-// named.
+// Two entries answer one agent's heartbeats. The answer of the first was made
+// before a change and arrives after that of the second. Then changes arrive
+// that start at a revision which the agent no longer has or never had. The
+// contracts in force must stay. The agent must read soon after a newer revision
+// was named.
 func TestLateAndUnfitChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
