--- a/agent/agent.go
+++ b/agent/agent.go
@@ -84,7 +84,7 @@
 }
 
 // maxRenewInterval bounds the time between renewals, whatever the lease's
-// length: observers count from the last one, and a rare renewal costs little.
+// length: observers count from the last one, and renewals so rare cost little.
 const maxRenewInterval = 30 * time.Second
 
 func renewInterval(c Config) time.Duration { return min(maxRenewInterval, c.Lease/8) }
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -90,7 +90,7 @@
 }
 
 // answerStatus answers with the state of a server. The agent sends no calls to
-// an unknown server, so that one is safe to stop.
+// an unknown server, so an unknown server is safe to stop.
 func answerStatus(w http.ResponseWriter, s backend.Status, known bool) {
 	code := http.StatusOK
 	switch {
--- a/agent/batch_test.go
+++ b/agent/batch_test.go
@@ -51,7 +51,7 @@
 }
 
 // An operator stops an instance: its task is checkpointed and handed over, so
-// that it can resume elsewhere from there, and no new task starts.
+// that it can resume elsewhere from the checkpoint. No new task starts.
 func TestDrainHandsTasksOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -149,8 +149,7 @@
 	})
 }
 
-// Failure guarded against: a task that vanishes with its worker is taken for a
-// stopped one.
+// Guards against a task that vanishes with its worker and counts as stopped.
 func TestTaskOfLostWorkerIsReportedAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -160,7 +159,7 @@
 		if why := grant(a, "j1", 1, ""); why != nil {
 			t.Fatal(why)
 		}
-		// Between two polls of the worker by the agent.
+		// The pause ends between two of the agent's polls of the worker.
 		time.Sleep(2*time.Second + 33*time.Millisecond)
 		if err := errors.Join(r.worker.Stop(t.Context(), "j1", 1), r.worker.Forget(t.Context(), "j1", 1)); err != nil {
 			t.Fatal(err)
--- a/agent/call.go
+++ b/agent/call.go
@@ -20,13 +20,13 @@
 	"persimmonrock.example/wire"
 )
 
-// replyGrace is the time after its budget in which a call is still answered.
+// replyGrace is the time for which a call is still answered after its budget.
 const replyGrace = 50 * time.Millisecond
 
 // callClient returns a client that sends a request once and to one place.
 //
-// Failure guarded against: on a redirect the client sends the request again, to
-// a server that has granted no slot for it.
+// Guards against a redirect that makes the client send the request again, to a
+// server at which the request holds no slot.
 func callClient(c *http.Client) *http.Client {
 	out := http.Client{}
 	if c != nil {
@@ -134,15 +134,15 @@
 
 // readWhole reads to the end of the answer, which net/http checks against
 // Content-Length or the last chunk. It returns at most limit+1 bytes of the
-// body and discards the rest: the server works until it has sent all of it.
+// body and discards the rest: until all of it is sent, the server works.
 func readWhole(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err == nil && resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 {
-		// The only sign of the body's end is the end of the connection, which a
-		// crashed server causes, too.
+		// Only the end of the connection marks the end of the body, and a crash
+		// of the server ends the connection, too.
 		err = errUnframed
 	}
 	return body, eris.Wrap(err, "read the answer")
@@ -203,10 +203,10 @@
 
 // requestHeaders sets the headers of a request to the backend server.
 //
-// Failure guarded against: net/http sends a POST a second time by itself when a
-// kept connection breaks and the request has an Idempotency-Key. The guard:
-// net/http looks for the canonical name, and these two names are sent in lower
-// case, which is the same header to the server.
+// Guards against a request that is sent twice. It comes about when a kept
+// connection breaks: net/http repeats a POST by itself if the request has an
+// Idempotency-Key. net/http looks for the canonical name, so the two such names
+// are sent in lower case, which is the same header to the server.
 func requestHeaders(req *http.Request, r wire.CallRequest, g ledger.Grant) {
 	for _, h := range r.Headers {
 		name := http.CanonicalHeaderKey(h.Name)
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -78,11 +78,11 @@
 	return r, a, s, guard
 }
 
-// A caller gets the whole answer to its own request, or a refusal that claims
-// no more than is known. In each case the connection or the server fails at
-// another point after the request was sent, or the answer is to another
-// request. The request has run once, and the slot is freed after the server has
-// reported that it doesn't run.
+// The connection or the server fails at different points after the request was
+// sent, or the answer is late, too large or to another request. The caller must
+// get the whole answer to its own request, or a refusal that claims no more
+// than is known. The request must run once. Its slot must be free after the
+// server has reported that the request doesn't run.
 func TestAnswersThatFail(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	release := make(chan struct{})
@@ -147,8 +147,8 @@
 }
 
 // A handler sends its whole body, with its length, and continues to work. The
-// slot must stay taken until it returns; otherwise the next call runs beside
-// it.
+// slot must stay taken until the handler returns; otherwise the next call would
+// run beside it.
 func TestSlotIsTakenUntilTheHandlerReturns(t *testing.T) {
 	_, a, s, _ := startServing(t)
 	var working atomic.Bool
@@ -166,8 +166,8 @@
 	}
 }
 
-// In each of these cases a call is refused as not run before the backend server
-// has the request; none of the refused requests may have run.
+// In each of these cases a call is refused as not run. None of the refused
+// requests may have run.
 func TestRefusalsThatProveNotRun(t *testing.T) {
 	r, a, s, guard := startServing(t)
 	gone := make(chan struct{})
@@ -218,8 +218,8 @@
 			return call(a, "fenced", time.Second)
 		}},
 		{"connection refused", structs.RefusedUnreachable, func() wire.CallReply {
-			// The server soon sends its agent the other incarnation, and gets
-			// no calls until it has accepted the agent's next one.
+			// The server soon announces the other agent's incarnation, and gets
+			// no calls until it has accepted a higher one of this agent.
 			served("accepted the agent again")
 			address := r.front.Listener.Addr().String()
 			r.front.Close()
--- a/agent/config.go
+++ b/agent/config.go
@@ -18,8 +18,8 @@
 	Zone     structs.DataCentre
 	// Address is the agent's address for entries.
 	Address string
-	// Seeds are the addresses of the entries that the agent reports to at
-	// first; their answers name the others.
+	// Seeds are the addresses of the entries to which the agent reports at
+	// first; their answers name the other entries.
 	Seeds []string
 	// Total is the instance's capacity.
 	Total structs.Resources
@@ -34,16 +34,15 @@
 	WorkerLease time.Duration
 	// MaxBody bounds the body of a request and of an answer, in bytes.
 	MaxBody int64
-	// AnnounceEvery is the time between announcements of a backend server, and
-	// AnnounceTimeout the age of the last one above which the server gets no
-	// new calls.
+	// AnnounceEvery is the time between a backend server's announcements. When
+	// the last one is older than AnnounceTimeout, the server gets no new calls.
 	AnnounceEvery, AnnounceTimeout time.Duration
 	// Settle is the time after its start in which the agent admits nothing, so
 	// that every backend server can announce what it still runs. The default is
 	// twice AnnounceEvery.
 	Settle time.Duration
-	// Notice bounds the time that a planned stop waits for one entry to
-	// acknowledge it.
+	// Notice bounds the time for which a planned stop waits for the entries to
+	// acknowledge it, and the time for which it tries to release the lease.
 	Notice time.Duration
 	// Timeout bounds one exchange with a worker, a store or an entry.
 	Timeout time.Duration
@@ -60,9 +59,9 @@
 	DefaultAnnounceEvery = time.Second
 	DefaultNotice        = 3 * time.Second
 	DefaultTimeout       = 5 * time.Second
-	// missedAnnouncements is the number of announcements that may be missed.
+	// missedAnnouncements is the number of announcements a server may miss.
 	missedAnnouncements = 4
-	// settleAnnouncements is the number of intervals that a new agent waits.
+	// settleAnnouncements is the number of announcement intervals in Settle.
 	settleAnnouncements = 2
 	// serverRetention is the age of the last announcement above which an idle
 	// server is removed.
@@ -94,8 +93,8 @@
 	}
 }
 
-// minLeases is the least number of worker leases in a lease: two are kept for
-// safety, and the rest is the time of a store outage that tasks can survive.
+// minLeases is the least number of worker leases in a lease: two are reserved
+// for a late renewal, the rest for a store outage that tasks can survive.
 const minLeases = 4
 
 func (c Config) check() error {
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -21,10 +21,10 @@
 // checkpoints and hands over batch tasks, and releases the lease. When it has
 // returned, the process may close its sockets. ctx bounds all of it.
 //
-// Failure guarded against: an entry that has not been notified of the stop
-// sends a call to a socket that has just been closed, and the call is cut off.
-// The guard: the sockets are closed after every entry that answers has
-// acknowledged, and calls that were sent before are refused or finished.
+// Guards against a call that is cut off. It comes about when an entry that has
+// not been notified of the stop sends a call to a socket that has just been
+// closed. Therefore the sockets are closed only after every entry that answers
+// has acknowledged; calls that were sent before are refused or finished.
 func (a *Agent) Drain(ctx context.Context) error {
 	select {
 	case <-a.ready:
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// release retries for the time of Notice: a released row lets the owner of the
-// queue proceed before the lease ends, but a stop doesn't wait for a store that
-// is down.
+// release retries for the time of Notice. A released row lets the owner of the
+// queue proceed before the lease ends, but a stop doesn't wait longer for a
+// store that is down.
 func (a *Agent) release(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, a.config.Notice)
 	defer cancel()
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -21,10 +21,9 @@
 }
 
 // An operator retires a backend server while the store is down and a call is in
-// progress. From then on new calls are refused, the entry is notified, the call
-// gets its answer, and leaving ends only after that. In the second case the
-// agent is killed meanwhile: its successor must not send the server calls
-// either.
+// progress. From then on new calls are refused, the entry is notified, and the
+// call gets its answer. Only then does Leave return. In the second case the
+// agent is killed meanwhile: its successor must send no calls to the server.
 func TestLeavingServerGetsNoNewCalls(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("agent killed %v", killed), func(t *testing.T) {
@@ -65,8 +64,8 @@
 	}
 }
 
-// A backend server is cut off from its agent and announces nothing any more.
-// After AnnounceTimeout it gets no new calls.
+// A backend server is cut off from its agent, which receives no more
+// announcements. After AnnounceTimeout the server gets no new calls.
 func TestUnresponsiveServerGetsNoNewCalls(t *testing.T) {
 	r, a, _, _ := startServing(t)
 	r.setAgent(nil)
@@ -81,12 +80,12 @@
 	}
 }
 
-// Two instances are stopped at once under load. For one the store is down, and
-// a long call is in progress there; the entry is slow to answer the other.
-// Every admitted call is answered, the others are refused as not run, and each
-// stop ends only after the entry has acknowledged it, so that no call is on its
-// way to a closed socket. A failure to release the lease row, for lack of the
-// store, is returned.
+// Two instances are stopped at once under load. At one the store is down and a
+// long call is in progress; the entry is slow to answer the other. Every
+// admitted call must be answered, and the others must be refused as not run.
+// Each stop must end only after the entry has acknowledged it, so that no call
+// is on its way to a closed socket. A failure to release the lease row must be
+// returned.
 func TestPlannedStopsUnderLoadCutNoCalls(t *testing.T) {
 	var wait, stopping sync.WaitGroup
 	var answered atomic.Int64
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -47,7 +47,7 @@
 	// acknowledged is the sequence of the last load that the entry confirmed.
 	acknowledged uint64
 	// kept are the checksums of the heartbeat parts that the entry has kept,
-	// entriesSum is that of the list of entries that it sent last.
+	// entriesSum that of the list of entries that the entry sent last.
 	kept       wire.HelloSums
 	entriesSum uint64
 	// answered is closed and replaced at each answer.
@@ -108,7 +108,7 @@
 	}
 }
 
-// add starts to send heartbeats to entries that were not known.
+// add starts to send heartbeats to those of the entries that are new.
 func (e *entries) add(addresses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,9 +244,9 @@
 	return true
 }
 
-// notify sends a heartbeat to every entry now and waits until each has
+// notify sends a heartbeat to every entry now and waits until each entry has
 // acknowledged a load taken after the call, or ctx ends. It returns the
-// addresses of the entries that have not acknowledged one.
+// addresses of the entries that have not acknowledged such a load.
 func (e *entries) notify(ctx context.Context) []string {
 	from := e.agent.load().Sequence
 	e.wakeAll()
--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -11,9 +11,9 @@
 )
 
 // An agent can't reach the store, and its worker receives each renewal as late
-// as it can without losing the task. The row lapses, the owner fences it at
-// once and runs the job elsewhere. The late renewals must not keep the first
-// run alive beyond that.
+// as is possible without losing the task. The agent's lease lapses; the queue's
+// owner fences the row at once and runs the job elsewhere. The late renewals
+// must not keep the first run alive after the fencing.
 func TestLateRenewalsEndBeforeTheRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwner(t, 2, 1)
@@ -37,7 +37,7 @@
 
 // The agent is frozen after it has checked the lease and before the worker
 // receives a start. It resumes long after its lease has lapsed and another
-// instance has done the job. The start must not run.
+// instance has started the job. The late start must not run.
 func TestStartOfAFrozenAgentNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwner(t, 2, 0)
@@ -68,8 +68,8 @@
 
 // An agent is killed while its tasks still run, and the worker can't be
 // reached. The entry takes a higher incarnation as proof that the tasks have
-// ended, so the new agent must not write one before the worker has confirmed
-// the fence.
+// ended. So the new agent must not write its incarnation before the worker has
+// confirmed the fence.
 func TestIncarnationIsWrittenAfterTheFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwner(t, 1, 1)
@@ -87,7 +87,8 @@
 }
 
 // The store applies a renewal, and its answer reaches the agent 15 s later. An
-// observer counts from the write, so the agent must not count from the answer.
+// observer counts the lease from the write, so the agent must not count it from
+// the answer.
 func TestLeaseCountsFromBeforeTheRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -113,8 +114,8 @@
 }
 
 // A customer cancels a job while its start is in flight. The start arrives
-// after the cancellation, twice, and must not run; nor may a start that is
-// repeated after the task's end, or that was refused before.
+// after the cancellation, twice, and must not run. A start that is repeated
+// after the task's end, or after its refusal, must not run either.
 func TestStartsThatMustNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
@@ -145,10 +146,10 @@
 	})
 }
 
-// An operator evicts a long task while worker and object store take a second
-// for each answer. During each of the steps the agent is killed, or frozen and
-// resumed beside its successor, or the object store fails. The job must resume
-// once, from a checkpoint that exists, and never run twice.
+// An operator evicts a long task while the worker and the object store take a
+// second for each answer. At each step of the eviction the agent is killed, or
+// frozen and resumed beside its successor, or the object store fails. The job
+// must resume once, from a checkpoint that exists, and never run twice.
 func TestKillAtEveryStepOfAnEviction(t *testing.T) {
 	for halfSeconds := range 12 {
 		for _, fail := range []string{[]string{"kill", "zombie"}[halfSeconds%2], "objects"} {
--- a/agent/outage_test.go
+++ b/agent/outage_test.go
@@ -13,8 +13,8 @@
 
 const outageTasks = 5
 
-// lostInOutage runs tasks through an outage of the store and returns how many
-// of them lapsed and how many renewals were written per hour before it.
+// lostInOutage runs tasks through an outage of the store. It returns how many
+// of them lapsed, and the renewals per hour before the outage.
 func lostInOutage(t *testing.T, lease, outage time.Duration) (lost int, renewals int64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
--- a/agent/race_test.go
+++ b/agent/race_test.go
@@ -4,13 +4,14 @@
 
 import "runtime"
 
-// init runs tests in fake time on one processor under the race detector.
+// init makes the tests run on one processor under the race detector.
 //
-// Failure guarded against: the Go runtime runs due channel timers of a synctest
-// bubble on whichever thread polls them, all with the bubble's one race
-// context, without a lock. Two at once leave that context's stack of frames one
-// too short, and the next goroutine that a timer starts makes the detector read
-// outside the stack: SIGSEGV in StackDepotBase::Put, with a size of 0xffffffff.
-// One processor runs one timer at a time. The detector needs no parallel
-// threads to find unordered accesses.
+// Guards against a crash of the detector in tests with fake time. The Go
+// runtime runs due channel timers of a synctest bubble on whichever thread
+// polls them, all with the bubble's one race context, without a lock. Two
+// timers at once leave that context's stack of frames one too short. The next
+// goroutine that a timer starts then makes the detector read outside the stack:
+// SIGSEGV in StackDepotBase::Put, with a size of 0xffffffff. On one processor
+// one timer runs at a time. The detector needs no parallel threads to find
+// unordered accesses.
 func init() { runtime.GOMAXPROCS(1) }
--- a/agent/refusals.go
+++ b/agent/refusals.go
@@ -15,9 +15,9 @@
 	retryDrain = 2 * time.Second
 )
 
-// refusalText is the refusal for a Reason of the ledger. Only a duplicate is
-// not proof that the request did not run: the first request with that ID may
-// run.
+// refusalText is the refusal for a Reason of the ledger. Every Reason but
+// Duplicate proves that the request did not run: after Duplicate, the first
+// request with that ID may run.
 type refusalText struct {
 	kind    structs.RefusalType
 	outcome structs.Outcome
--- a/agent/rig_test.go
+++ b/agent/rig_test.go
@@ -113,8 +113,8 @@
 	store   *memory.Table
 	table   *fault.Control
 	objects *fault.Control
-	// process controls the calls of the present agent to its worker, table and
-	// objects those to the stores. host.freeze freezes all three.
+	// process controls faults of the present agent's calls to its worker, table
+	// and objects those of calls to the stores. host.freeze freezes all.
 	process *fault.Control
 	bodies  *memory.Objects
 	worker  *memory.Worker
@@ -183,7 +183,7 @@
 	return a, func() { wires.cut(true); cancel(); <-done }
 }
 
-// connections are those of one agent; they are closed when it is killed.
+// connections are one agent's open connections; killing the agent closes them.
 type connections struct {
 	mu     sync.Mutex
 	open   map[net.Conn]bool
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Cancel implements wire.AgentAPI. It frees nothing: the backend server may
-// work on, and reports the end of the call itself.
+// Cancel implements wire.AgentAPI. It frees no slot: the backend server may
+// continue to work on the call, and reports the call's end itself.
 func (s rpcServer) Cancel(wire.CancelRequest, *wire.Empty) error {
 	s.a.counters.cancels.Add(1)
 	return nil
--- a/agent/samples.go
+++ b/agent/samples.go
@@ -5,10 +5,10 @@
 	"persimmonrock.example/wire"
 )
 
-// sampleEvery is the number of heartbeats to an entry of which one carries a
-// measurement. A measurement of a service that runs beside eight kinds takes
-// about 200 bytes; in every second heartbeat that adds a fifth to the bytes
-// that a thousand agents send an entry.
+// sampleEvery is the number of heartbeats to an entry of which one carries
+// measurements. The measurement of a service that runs beside eight kinds of
+// tasks takes about 200 bytes. In every second heartbeat it adds a fifth to the
+// bytes that a thousand agents send to an entry.
 const sampleEvery = 2
 
 // sampling records the measurements that were sent to one entry. Only the
@@ -20,10 +20,10 @@
 
 // next returns the measurements for the next heartbeat.
 //
-// Failure guarded against: a heartbeat arrives and its answer is lost; if its
-// measurements were sent again they would count twice, and the entry would be
-// more certain than it should be. They count as sent before the exchange, so
-// each is sent at most once; a later window replaces a lost one.
+// Guards against measurements that count twice and make the entry more certain
+// than it should be. It comes about when a heartbeat's answer is lost and its
+// measurements are sent again. Therefore measurements count as sent before the
+// exchange, and each is sent at most once; a later window replaces a lost one.
 func (s *sampling) next(r *relief.Controller) []wire.Sample {
 	s.heartbeats++
 	if s.heartbeats%sampleEvery != 0 {
--- a/agent/twoplaces_test.go
+++ b/agent/twoplaces_test.go
@@ -54,7 +54,7 @@
 	leaseRowSince time.Time
 }
 
-// owner stands for the entry that owns the queue: it claims, grants, applies
+// owner stands for the entry that owns the queue. It claims, grants, applies
 // reports and requeues by the rules of docs/ARCHITECTURE.md and no others.
 type owner struct {
 	hosts     []*host
@@ -113,7 +113,7 @@
 	return o
 }
 
-// applyReport applies a report; it ignores one of another epoch.
+// applyReport applies a report; it ignores reports of other epochs.
 func (o *owner) applyReport(r wire.TaskReport) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -138,7 +138,7 @@
 	return true
 }
 
-// resumeFrom checks that the checkpoint exists and is not behind the last one.
+// resumeFrom records a checkpoint that exists and is not behind the last one.
 func (o *owner) resumeFrom(j *job, key string) {
 	if key == "" {
 		return
@@ -152,8 +152,8 @@
 	j.checkpoint, j.progress = key, at
 }
 
-// step reads the lease rows, requeues the jobs whose runs have provably
-// stopped, and grants.
+// step reads the lease rows, requeues the jobs whose runs are known to have
+// stopped, and claims and grants queued jobs.
 func (o *owner) step() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -273,8 +273,8 @@
 
 // replace kills the agent and starts another. A zombie is frozen instead of
 // killed, and the returned function resumes it for a moment before it ends. The
-// functions in before run after the new agent's links exist and before it
-// starts.
+// functions in before run after the new agent's fault controls exist and before
+// the new agent starts.
 func (h *host) replace(zombie bool, before ...func()) func() {
 	old, frozen := h.kill, []*fault.Control{h.process, h.table, h.objects}
 	if zombie {
@@ -305,7 +305,7 @@
 	After time.Duration
 	Host  int
 	What  string
-	// Wake resumes the oldest zombie first.
+	// Wake resumes the oldest zombie afterwards.
 	Wake bool
 }
 
@@ -360,9 +360,9 @@
 }
 
 // Long jobs run while agents are killed, frozen past their lease and resumed,
-// cut off from the store, from the entries and from both, and asked to evict. A
-// job must never run in two places at once, must resume from its last
-// checkpoint, and must be done once.
+// asked to evict, and cut off from the store, the entries or both. A job must
+// never run in two places at once, must resume from its last checkpoint, and
+// must be done once.
 func TestRandomFailuresOfTasks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		disruptions := drawDisruptions(rt)
