--- a/agent/runner/answers.go
+++ b/agent/runner/answers.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxFirstTimeout and minTimeout bound the timeout of the first tries of a
-	// call, which is added to the call's own wait. Each later try doubles the
-	// timeout, up to maxTimeout. Starts and listings can be repeated safely.
+	// maxFirstTimeout and minTimeout bound the timeout of a call's first tries;
+	// a listing's own wait is added to it. Each later try doubles the timeout,
+	// up to maxTimeout. Starts and listings can be repeated safely.
 	maxFirstTimeout = 150 * time.Millisecond
 	minTimeout      = 50 * time.Millisecond
 	maxTimeout      = 500 * time.Millisecond
@@ -23,7 +23,7 @@
 //
 // A healthy worker answers within a few milliseconds; a worker on a slow
 // machine needs longer. With a timeout that fits the worker, a lost answer is
-// detected sooner, and the next answer brings its ends sooner.
+// detected sooner, and the ends in it arrive sooner with the next answer.
 type answerTimes struct{ rtt.Estimator }
 
 // timeout returns the time that the given try of a call waits for its answer.
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -14,8 +14,8 @@
 	// provenAfter is the time after which a run on a worker that answers is no
 	// longer suspected as the cause of a crash.
 	provenAfter = time.Second
-	// promptCrashTime is the longest time from the start of a run that crashes its
-	// worker at once to the first failed call.
+	// promptCrashTime is the longest time from a run's start to the first
+	// failed call if the run crashes its worker at once.
 	promptCrashTime = 250 * time.Millisecond
 	// promptDownTime is the longest time from a worker's last answer to the
 	// first refused call after a crash: a listing and the pause after it.
@@ -34,7 +34,7 @@
 }
 
 // freshRuns lists the runs that may have crashed the worker: they may have
-// begun, and had been there for less than provenAfter at its last answer. A
+// begun, and at its last answer had been on it for less than provenAfter. A
 // worker that announced its shutdown has not crashed. The caller holds mu.
 func (inc *incarnation) freshRuns() []dispatch.FreshRun {
 	if inc.leaving {
@@ -112,7 +112,6 @@
 	return ids, freshRuns
 }
 
-// loggedRuns returns the runs to name in a log line.
 func loggedRuns(runs []dispatch.FreshRun) []fmt.Stringer {
 	list := make([]fmt.Stringer, 0, maxLoggedRuns)
 	for _, r := range runs[:min(len(runs), maxLoggedRuns)] {
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// holdWait bounds a listing's wait for an end, and so the age of the lease
-	// and of the rough figures, which cover half a second.
+	// holdWait bounds a listing's wait for a run to end, and so the age of the
+	// lease and of the rough figures, which cover half a second.
 	holdWait = 500 * time.Millisecond
 	// lossyWait replaces holdWait for lossyPeriod after an unanswered listing.
 	lossyWait   = 100 * time.Millisecond
@@ -89,7 +89,6 @@
 	r.applyListing(r.incarnation, listing, sent)
 }
 
-// recordAnswer records that the worker has answered a call.
 func (r *Runner) recordAnswer(inc *incarnation) {
 	inc.answeredAt, inc.failedAt, inc.downAt = r.deps.Now(), 0, 0
 	failures := inc.failures
@@ -157,10 +156,10 @@
 // time between two samples, so that a sample can show early that filling work
 // presses on a serving task.
 //
-// Guards against late ends while some of the worker's answers are lost. A
-// listing without an answer times out only after its whole wait, which delays
-// the ends in the lost answer. A step of tens of tasks nearly always has such
-// an end. While answers are lost, listings therefore wait less.
+// Guards against late reports of ends while some of the worker's answers are
+// lost. A listing without an answer times out only after its whole wait, which
+// delays the ends in the lost answer. A step of tens of tasks nearly always has
+// such an end. While answers are lost, listings therefore wait less.
 func (r *Runner) listingWait(inc *incarnation) time.Duration {
 	longest := holdWait
 	if inc.unansweredAt > 0 && r.deps.Now()-inc.unansweredAt < lossyPeriod {
--- a/agent/runner/orders.go
+++ b/agent/runner/orders.go
@@ -196,7 +196,6 @@
 	return r.capacityRefusal(inc)
 }
 
-// observeAnswer records the time that an answer took.
 func (r *Runner) observeAnswer(inc *incarnation, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,8 +297,8 @@
 	go r.stop(ctx, inc, x)
 }
 
-// stop repeats a stop until it is answered. The next listing shows the run's
-// end, or that the run was never there.
+// stop repeats a stop order until the worker answers. The next listing shows
+// the run's end, or that the run was never there.
 func (r *Runner) stop(ctx context.Context, inc *incarnation, x *run) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// planPaces returns the orders that bring all filling work to its pace.
+// planPaces plans the paces of all filling work and returns the pace orders.
 func (r *Runner) planPaces(inc *incarnation) []paceOrder {
 	servingJobs := r.servingJobs(inc)
 	fillingWork := inc.fillingWork()
@@ -167,7 +167,8 @@
 	return list
 }
 
-// meanRate averages the inverse of tails, which is linear in the load.
+// meanRate averages inverse tails, since a tail's inverse is linear in the
+// load.
 type meanRate struct {
 	sum float64
 	n   int
@@ -271,8 +272,8 @@
 	return x.pace != pace || r.deps.Now()-x.pacedAt > paceRepeat
 }
 
-// hasUnknownPair reports whether filling work runs beside a serving task while
-// it is not known whether this work presses on it.
+// hasUnknownPair reports whether filling work runs beside a serving task and
+// its pressure on that task is unknown.
 func (r *Runner) hasUnknownPair(inc *incarnation) bool {
 	for _, s := range inc.runs {
 		if !s.serves() {
@@ -287,7 +288,6 @@
 	return false
 }
 
-// currentSampleInterval returns the present time between two samples.
 func (r *Runner) currentSampleInterval(inc *incarnation) time.Duration {
 	if r.unknownInterval < r.sampleInterval && r.hasUnknownPair(inc) {
 		return r.unknownInterval
@@ -295,7 +295,8 @@
 	return r.sampleInterval
 }
 
-// takeSample records tails and the filling work, for the scheduler's learning.
+// takeSample records tails and the filling work. The scheduler learns from
+// them.
 func (r *Runner) takeSample(inc *incarnation) {
 	now := r.deps.Now()
 	if interval := r.currentSampleInterval(inc); interval <= 0 || now-r.sampledAt < interval {
--- a/agent/runner/register.go
+++ b/agent/runner/register.go
@@ -13,10 +13,9 @@
 )
 
 const (
-	// registerRetryPause is the pause before a registration is repeated.
 	registerRetryPause = 150 * time.Millisecond
-	// recordTimeout bounds the time for which the record of a found worker is
-	// tried. The record only saves the next process a second of search.
+	// recordTimeout bounds the attempts to record a found worker. The record
+	// only saves the next process a second of search.
 	recordTimeout = 5 * time.Second
 )
 
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -174,7 +174,7 @@
 	presentAt time.Duration
 	// inherited says that the run is of an earlier process of this agent.
 	inherited bool
-	// provenReported says that the run was reported as proven not to crash.
+	// provenReported says that the run was reported as proven (see proven).
 	provenReported bool
 	// calling says that an order of the run is in flight, uncertain that an
 	// order got no answer.
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -184,7 +184,6 @@
 	}
 }
 
-// paceOrder sets the pace of one run.
 type paceOrder struct {
 	run  workload.RunID
 	pace int
