--- a/agent/tasks/outbox.go
+++ b/agent/tasks/outbox.go
@@ -77,8 +77,8 @@
 	return len(m.outbox.pending) > 0
 }
 
-// reportRound sends each pending end to the shard's last known owner, or to
-// every entry if none is known, and returns the number of settled ends.
+// reportRound sends each pending end to the last known owner of its shard, or
+// to every entry if none is known. It returns the number of settled ends.
 func (m *Manager) reportRound(ctx context.Context) int {
 	total := 0
 	entries := m.deps.Entries()
--- a/agent/tasks/states.go
+++ b/agent/tasks/states.go
@@ -108,7 +108,6 @@
 	t.progress.done = s.Progress
 }
 
-// recordUsage records a usage report.
 func (t *task) recordUsage(u infra.Usage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -12,7 +12,7 @@
 	"persimmonrock.example/wire"
 )
 
-// task is one claim that was admitted. One goroutine takes its steps in order.
+// task is one claim that was admitted. One goroutine runs it from start to end.
 type task struct {
 	m     *Manager
 	grant wire.TaskGrant
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -1,6 +1,7 @@
-// Package tasks runs the batch tasks that were granted to an agent: it starts
+// Package tasks runs the batch tasks that were granted to an agent. It starts
 // them on the worker, lets the worker's leases end before the agent's own,
-// stops tasks on request, and reports their ends until these are settled.
+// stops tasks on request, and reports each end until an entry confirms it as
+// settled.
 package tasks
 
 import (
