--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -4,9 +4,10 @@
 // other process has only an estimate.
 //
 // A call's slot is freed by exactly one of: the whole answer, a proof that the
-// call did not run, a new incarnation of the backend server, or the server's
-// statement that the call does not run, made after it has declared the request
-// void. A caller that disconnects frees nothing.
+// call did not run, a new incarnation of the backend server, or a list of the
+// server's requests without the call. The list counts only if the server made
+// it after it had carried out the agent's declaration that the request is void.
+// A caller that disconnects frees nothing.
 package ledger
 
 import (
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// newLedger returns a ledger of 8 slots with contracts of one half, one half
-// and the whole.
+// newLedger returns a ledger of 8 slots with contracts for shares of one half,
+// one half and the whole.
 func newLedger(t interface{ Errorf(string, ...any) }) *Ledger {
 	l := New(Config{
 		Instance: "i1", AnnounceTimeout: time.Minute, Retention: time.Hour,
@@ -131,11 +131,11 @@
 }
 
 // An agent is killed while two backend servers of its instance work. Its
-// successor receives the announcement of one of them. It may admit no calls or
-// batch tasks to slots that the other server may be using until it knows what
-// that server runs. This also holds if the other server has announced itself
-// and the answer was lost: that server has not accepted the new agent and has
-// sent no list of its calls.
+// successor receives the announcement of one of them. The successor may admit
+// no calls or batch tasks to slots that the other server may be using until it
+// knows what that server runs. This also holds if the other server has
+// announced itself and the answer was lost: that server has not accepted the
+// new agent and has sent no list of its calls.
 func TestNewAgentReservesSlotsOfUnreportedServers(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		testReservedSlots(t, lost)
--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -149,7 +149,7 @@
 
 // refresh updates the expected needs, which fade with time. It removes
 // customers that hold and need nothing, so that admissions don't examine them.
-// It may delete accounts, so an admission looks up its account only after it.
+// It may delete accounts, so admissions call it before they look up an account.
 func (l *Ledger) refresh(now time.Time) {
 	if now.Sub(l.refreshed) < refreshInterval {
 		return
--- a/agent/ledger/random_test.go
+++ b/agent/ledger/random_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// killAgent ends the agent with its connections; its requests stay in flight. A
-// zombie is frozen instead, and continues to admit calls when it wakes.
+// killAgent ends the agent with its connections; its requests stay in flight.
+// As a zombie, the agent is only frozen, and admits calls again when it wakes.
 func (w *simulation) killAgent(zombie bool) {
 	if !zombie {
 		for _, m := range slices.Concat(w.inFlight, w.running) {
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -86,7 +86,7 @@
 
 // StaleError is returned for an announcement that is older than a known one.
 type StaleError struct {
-	// Incarnation is the highest that was announced under the name.
+	// Incarnation is the highest one announced under the server's name.
 	Incarnation uint64
 }
 
@@ -181,6 +181,7 @@
 
 // incarnationCollides reports whether the server has accepted another agent
 // under the incarnation that this agent chose.
+//
 // Guards against more requests at the server than slots. It comes about when a
 // new agent first receives a late announcement from before its predecessor's
 // time, and chooses the predecessor's incarnation. A second late announcement
