--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -147,8 +147,7 @@
 	}
 }
 
-// take reads the row, fences the worker with the next incarnation and writes
-// it.
+// take reads the row, fences the worker and writes the next incarnation.
 //
 // Guards against tasks that run in two places. It comes about when the previous
 // agent left tasks running: the entry takes a new incarnation as proof that
@@ -213,8 +212,8 @@
 	return versions[0], nil
 }
 
-// renew raises the counter. The lease's length counts from before the first
-// attempt.
+// renew raises the row's counter. The lease's length counts from before the
+// first attempt.
 //
 // Guards against a lease given up because an earlier renewal timed out and took
 // effect later. The next renewal then conflicts with a row that this keeper
