--- a/agent/call.go
+++ b/agent/call.go
@@ -45,8 +45,8 @@
 }
 
 // call admits, forwards and answers one urgent call. If the caller's budget
-// ends before the backend server answers, it returns a refusal; the slot stays
-// taken until the exchange ends.
+// ends before the backend server answers, call returns a refusal; the slot
+// stays taken until the exchange ends.
 func (a *Agent) call(r wire.CallRequest) wire.CallReply {
 	grant, refused := a.admit(r)
 	if refused != nil {
@@ -134,7 +134,7 @@
 
 // readWhole reads to the end of the answer, which net/http checks against
 // Content-Length or the last chunk. It returns at most limit+1 bytes of the
-// body and discards the rest: until all of it is sent, the server works.
+// body and discards the rest: the server works until all of it is sent.
 func readWhole(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil {
@@ -205,8 +205,8 @@
 //
 // Guards against a request that is sent twice. It comes about when a kept
 // connection breaks: net/http repeats a POST by itself if the request has an
-// Idempotency-Key. net/http looks for the canonical name, so the two such names
-// are sent in lower case, which is the same header to the server.
+// Idempotency-Key or X-Idempotency-Key. net/http looks for the canonical names,
+// so both are sent in lower case, which is the same header to the server.
 func requestHeaders(req *http.Request, r wire.CallRequest, g ledger.Grant) {
 	for _, h := range r.Headers {
 		name := http.CanonicalHeaderKey(h.Name)
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -95,7 +95,6 @@
 	a.entries.wakeAll()
 }
 
-// awaitCalls returns when no call is in progress.
 func (a *Agent) awaitCalls(ctx context.Context) error {
 	for a.ledger.Exchanging() > 0 || a.counters.serving.Load() > 0 {
 		select {
