--- a/entry/intake/clock.go
+++ b/entry/intake/clock.go
@@ -16,7 +16,7 @@
 	local time.Duration
 }
 
-// NewStoreClock returns a clock that reads the local one through now.
+// NewStoreClock returns a StoreClock; now reads the local clock.
 func NewStoreClock(now func() time.Duration) *StoreClock { return &StoreClock{now: now} }
 
 // Set records the store's clock from an answer that has just arrived.
--- a/entry/intake/clock_test.go
+++ b/entry/intake/clock_test.go
@@ -15,10 +15,10 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Guards against a job stamped with the entry's own clock. An entry that has
-// not written to the store yet has no store time. If its machine has been up
-// for less time, the scheduler takes its first job for hours old, and a long
-// job then waits behind all others.
+// Guards against a first job that is stamped with the entry's own clock. It
+// came about when an entry had not written to the store yet and so had no store
+// time. If the entry's machine starts after the store, the scheduler takes the
+// job for hours old, and a long job then waits behind all others.
 func TestFirstJobIsStampedWithTheStoresTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -17,17 +17,19 @@
 )
 
 const (
-	// configWait bounds how long the store holds the feed back, and so how long
-	// a silent connection goes unnoticed. A change must be in force within 2 s.
+	// configWait bounds the time for which the store holds a feed back, and so
+	// the time until a silent connection is noticed. A change must be in force
+	// within 2 s.
 	configWait = 500 * time.Millisecond
 	// feedIdleTimeout ends a feed that receives nothing for this long beyond
-	// its wait. The rows themselves are listed then: a feed brings each change
-	// of the meantime, a list only the latest.
+	// its wait. The rows are then listed instead: a feed would deliver every
+	// change made meanwhile, a list only the latest state.
 	feedIdleTimeout = 400 * time.Millisecond
 	// configLateAfter is the duration of a read after which the feed is logged
-	// as lost and the answer no longer sets the store's clock.
+	// as lost. The answer of a longer read does not set the store's clock,
+	// unless there is no configuration yet.
 	configLateAfter = 1300 * time.Millisecond
-	// configTimeout bounds a read, which is then started anew.
+	// configTimeout bounds a read; a new read follows.
 	configTimeout = 20 * time.Second
 	// configRetry is the pause after a read that failed.
 	configRetry = 100 * time.Millisecond
@@ -36,12 +38,12 @@
 // ConfigSource locates the operator's rows and parses them.
 type ConfigSource struct {
 	// Key is the row of the configuration. The drains are rows of the same
-	// part of the same table.
+	// partition of the same table.
 	Key   rowstore.Key
 	Parse func([]byte) (*workload.Config, error)
-	// Drained returns the data centre that is drained while the row exists. ok
-	// is false for a row of another kind, and err is set for the row of a drain
-	// that names no data centre. Drained is nil if there are no such rows.
+	// Drained returns the data centre that a row drains. ok is false for a row
+	// of another kind, and err is set for the row of a drain that names no data
+	// centre. Drained is nil if there are no such rows.
 	Drained func(rowstore.Key) (dataCentre string, ok bool, err error)
 }
 
@@ -53,8 +55,8 @@
 	log     zerolog.Logger
 	current atomic.Pointer[workload.Config]
 	drains  atomic.Pointer[workload.Drains]
-	// lastAnswer is the time of the store's last answer, confirmed the time as
-	// of which the rows are known. Both are on now's clock.
+	// lastAnswer is the time of the store's last answer. confirmed is the time
+	// at which the rows were last known to be current. Both are on now's clock.
 	lastAnswer, confirmed atomic.Int64
 	// lost is set once the loss of the feed has been logged.
 	lost  atomic.Bool
@@ -68,7 +70,7 @@
 // and the bytes of the configurations.
 type FollowerCounters struct {
 	Reads, Failed, Bytes atomic.Int64
-	// ReadTime is the duration of a successful read with the feed's wait.
+	// ReadTime is the duration of a successful read, including the feed's wait.
 	ReadTime histogram.Latency
 }
 
@@ -86,13 +88,14 @@
 }
 
 // NewFollower returns a follower without a configuration. It sets clock from
-// each answer.
+// each answer that arrives in time, and from any answer while it has no
+// configuration.
 //
 // Failure guarded against: an entry that has written no job yet has no store
 // time and stamps its first job with its own machine's clock, hours off. The
 // job then counts as overdue and waits behind all others, or counts as in time
-// for ever. No job is accepted without a configuration, so the answer that
-// brought the configuration has already set the clock.
+// for ever. No job is accepted before a configuration has arrived, and the
+// answer that brings the configuration sets the clock.
 func NewFollower(store rowstore.Reader, source ConfigSource, log zerolog.Logger, clock *StoreClock) *Follower {
 	f := &Follower{store: store, source: source, log: log, now: clock.now, clock: clock}
 	f.drains.Store(&workload.Drains{})
@@ -105,7 +108,8 @@
 // Drains returns the drained data centres and the time since the store last
 // confirmed them.
 func (f *Follower) Drains() (workload.Drains, time.Duration) {
-	// The age is read first, so that it is not the age of a later answer.
+	// The age is read before the drains: read afterwards, it could be the age
+	// of a later answer.
 	age := f.now() - time.Duration(f.confirmed.Load())
 	return *f.drains.Load(), age
 }
@@ -123,8 +127,8 @@
 			f.reportLost(ctx, err)
 			f.Counters.Failed.Add(1)
 			f.log.Info().Err(err).Bool("feed", listed).Dur("took", f.now()-asked).Msg("configuration not read")
-			// After any fault of the feed the rows themselves are listed:
-			// changes may have been made while the feed was silent.
+			// After these faults the rows are listed again: changes may have
+			// been made while the feed was silent.
 			listed = listed && !errors.Is(err, rowstore.ErrCompacted) && !errors.Is(err, rowstore.ErrUnknown)
 			wait.For(ctx, configRetry)
 			continue
@@ -183,9 +187,9 @@
 	f.confirmed.Store(int64(asked))
 }
 
-// applyDrains applies the changes of the drains, or replaces all drains by a
-// list. A list counts as newer even if it changes nothing here: agents may have
-// received a drain, ended since, from another process.
+// applyDrains applies changes of drains, or replaces all drains by a list. A
+// list counts as newer even if it changes nothing here: from another process,
+// agents may have received a drain that has ended since.
 func (f *Follower) applyDrains(rows []rowstore.Row, at rowstore.Stamp, changes bool) {
 	if f.source.Drained == nil {
 		return
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -27,17 +27,17 @@
 	// the client's refusal must come at once.
 	refusedRetryTime = 250 * time.Millisecond
 	// retryAfter is the time after which a refused client may retry. Outages of
-	// the store last seconds, and a client waits three.
+	// the store last seconds, and a client waits for three seconds.
 	retryAfter = time.Second
 	// peerTimeout bounds a request to the scheduler.
 	peerTimeout = 300 * time.Millisecond
-	// noteTimeout bounds the notification of the scheduler of a stored job; the
-	// scheduler finds jobs whose notification was lost in the store's feed.
+	// noteTimeout bounds the notification of the scheduler of a stored job. If
+	// a notification is lost, the scheduler finds the job in the store's feed.
 	noteTimeout = 500 * time.Millisecond
-	// unavailableAfter is the time since an answer of the store, direct or
+	// unavailableAfter is the time without an answer of the store, direct or
 	// through another entry, after which the store counts as unavailable. The
-	// configuration feed answers every half second, and within 0.9 s from a
-	// slow store.
+	// configuration feed answers every half second, or within 0.9 s if the
+	// store is slow.
 	unavailableAfter = 1400 * time.Millisecond
 	// unavailableCheckInterval is the time between two checks of the store's
 	// availability during a call.
@@ -47,8 +47,8 @@
 // Counters count an entry's calls.
 type Counters struct {
 	Accepted, Repeated, Refused, Undecided, States, StateReads, Cancels atomic.Int64
-	// Submission is the time from a job's arrival to the answer, State that of
-	// a request for a state.
+	// Submission is the time from a job's arrival to the answer. State is the
+	// same time for a request for a job's state.
 	Submission, State histogram.Latency
 }
 
@@ -89,7 +89,7 @@
 }
 
 // storeUnavailable reports whether the store has not answered for so long that
-// a write would only keep its caller waiting.
+// a write would only make its caller wait.
 func (s *Service) storeUnavailable() bool { return s.config.AnswerAge() > unavailableAfter }
 
 // Queue finds the queue of a call, the rest of the path and the body limit.
@@ -105,12 +105,12 @@
 	return q, rest, c.MaxBody, nil
 }
 
-// Submit stores j and returns nil once the store has it. Repeated submissions
-// of an identifier, at any entry, are one job.
+// Submit stores j and returns nil once the store has it. All submissions of one
+// identifier, at any entry, are one job.
 func (s *Service) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	begun := time.Now()
 	if s.storeUnavailable() {
-		// Nothing is written, so the refusal is certain, and the client may try
+		// Nothing is written, so the refusal is certain. The client may try
 		// another entry at once instead of waiting here for an unknown outcome.
 		s.Counters.Refused.Add(1)
 		s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Dur("heard", s.config.AnswerAge()).Msg("job refused: the store is away")
@@ -149,9 +149,10 @@
 	return 0
 }
 
-// write applies a write whose condition is the absence of its row, and repeats
-// it until its outcome is known: a write without an answer may take effect
-// seconds later, and only a repeat under the same condition settles it.
+// write applies a write whose condition is the absence of its row. It repeats
+// the write until the outcome is known, ctx ends or the store counts as
+// unavailable: a write without an answer may take effect seconds later, and
+// only a repeat under the same condition shows its outcome.
 func (s *Service) write(ctx context.Context, t rowstore.Txn) outcome {
 	begun := time.Now()
 	uncertain := false
@@ -185,7 +186,7 @@
 		s.clock.Set(stamp)
 		return stored, nil
 	case errors.As(err, &conflict):
-		// The row exists: an earlier attempt wrote it, or another entry.
+		// The row exists: an earlier attempt or another entry wrote it.
 		s.Counters.Repeated.Add(1)
 		return stored, nil
 	}
@@ -197,8 +198,8 @@
 //
 // Failure guarded against: the store stops answering, and calls accepted just
 // before keep their clients waiting until their deadlines, while later calls
-// are refused at once. When the store counts as unavailable, they end, too, and
-// their clients can retry.
+// are refused at once. With this context the earlier calls end, too, and their
+// clients can retry.
 func (s *Service) untilStoreUnavailable(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -228,7 +229,7 @@
 	}()
 }
 
-// State returns a job's state, from the scheduler or else from the store.
+// State returns a job's state from the scheduler, or else from the store.
 func (s *Service) State(ctx context.Context, _ workload.Queue, id workload.JobID) (workload.State, error) {
 	s.Counters.States.Add(1)
 	defer func(begun time.Time) { s.Counters.State.Observe(time.Since(begun)) }(time.Now())
@@ -310,14 +311,14 @@
 	}
 }
 
-// pauseRetry pauses before a repeated read and reports whether ctx still runs.
+// pauseRetry pauses before a repeated read and reports whether ctx is still
+// valid.
 func (s *Service) pauseRetry(ctx context.Context) bool {
 	wait.For(ctx, writePause)
 	return ctx.Err() == nil
 }
 
-// Cancel stores the cancellation of a job and returns nil once the store has
-// it.
+// Cancel stores a job's cancellation and returns nil once it is stored.
 func (s *Service) Cancel(ctx context.Context, q workload.Queue, id workload.JobID) error {
 	if !workload.ValidJobID(string(id)) {
 		return workload.ErrNoJob
@@ -377,10 +378,10 @@
 type outcome uint8
 
 const (
-	// notStored: not written, and never will be.
+	// notStored: the row was not written and never will be.
 	notStored outcome = iota
 	stored
-	// undecided: may have been written, or may be later.
+	// undecided: the row may have been written or may still be written.
 	undecided
 )
 
