--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -15,7 +15,7 @@
 	// hedgeDelay is the time without any sign of an answer after which another
 	// attempt is started in parallel.
 	hedgeDelay = 600 * time.Millisecond
-	// checkEvery is the number of hedge delays per check of the direct path.
+	// checkEvery is the number of idle periods per check of the direct path.
 	checkEvery = 4
 	// maxAttempts bounds the pending attempts of one read.
 	maxAttempts = 3
@@ -27,12 +27,12 @@
 // plan describes the attempts of a read.
 type plan struct {
 	// answerTimeout is the time without a sign of an answer until the second
-	// attempt; further ones follow after hedgeDelay each.
+	// attempt. Each further attempt follows after hedgeDelay.
 	answerTimeout time.Duration
 	// feed marks a read that waits for changes.
 	feed bool
-	// directFirst reads through other entries only if the direct path fails or
-	// does not answer while theirs does.
+	// directFirst reads through other entries only if the direct path fails, or
+	// if another entry gets an answer and the direct path does not.
 	directFirst bool
 	// direct reads from the store directly, viaPeer through another entry.
 	direct  func(context.Context) answer
@@ -55,7 +55,7 @@
 	peersOnly chan struct{}
 	// indirect is set if the latest attempt was made through another entry.
 	indirect bool
-	// lastPeer is the entry that was asked last.
+	// lastPeer is the entry used by the latest indirect attempt.
 	lastPeer *peer
 	// failure is the answer to return if all attempts fail.
 	failure answer
@@ -107,9 +107,9 @@
 	}
 }
 
-// hedge starts another attempt after a period without a sign of an answer. For
-// feeds and directFirst reads it checks the direct path in each checkEvery-th
-// period. A feed's first period only leads to the check.
+// hedge starts another attempt after a period without a sign of an answer,
+// except after a feed's first. For feeds and directFirst reads it also checks
+// the direct path in every checkEvery-th period, from the first on.
 func (r *race) hedge(ctx context.Context) {
 	if (r.plan.feed || r.plan.directFirst) && r.idlePeriods%checkEvery == 0 {
 		go r.checkDirect(context.WithoutCancel(ctx))
@@ -120,7 +120,8 @@
 	r.idlePeriods++
 }
 
-// checkDirect checks whether the store fails to answer this machine only.
+// checkDirect checks whether this machine is the only one that the store does
+// not answer.
 func (r *race) checkDirect(ctx context.Context) {
 	found := r.relay.compare(ctx)
 	if found != directAnswers {
@@ -135,8 +136,8 @@
 	}
 }
 
-// handleResult records the result of an attempt and reports whether it is
-// usable. If the first attempt fails, it starts another one at once.
+// handleResult records the result of an attempt and reports whether the result
+// is usable. If the first attempt fails, handleResult starts another at once.
 func (r *race) handleResult(ctx context.Context, a attemptResult) bool {
 	i := slices.Index(r.open, a.attempt)
 	if i < 0 {
@@ -155,8 +156,8 @@
 	return false
 }
 
-// cancelOthers cancels all attempts except a, whose answer is arriving: they
-// would only use a part of the link. It reports whether a is pending.
+// cancelOthers cancels all attempts but a, so that a's arriving answer has the
+// whole link. It reports whether a is pending.
 func (r *race) cancelOthers(a *attempt) bool {
 	if !slices.Contains(r.open, a) {
 		return false
@@ -170,8 +171,8 @@
 	return true
 }
 
-// startAttempt starts another attempt. If too many are pending, it cancels the
-// youngest: a slow store answers the oldest one next.
+// startAttempt starts another attempt. If maxAttempts are pending, it cancels
+// the youngest first: a slow store answers the oldest next.
 func (r *race) startAttempt(ctx context.Context, indirect bool) {
 	if len(r.open) == maxAttempts {
 		r.open[maxAttempts-1].cancel()
@@ -198,8 +199,8 @@
 	}()
 }
 
-// path returns a direct call, or one through another entry if indirect is set
-// and an entry is available.
+// path returns a call through another entry if indirect is set and an entry is
+// available, or else a direct call.
 func (r *race) path(ctx context.Context, indirect bool) func() answer {
 	r.indirect = indirect
 	if indirect {
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -9,8 +9,8 @@
 )
 
 // Reader reads the store by the path that answers first. An attempt without a
-// sign of an answer is not cancelled; another one, by another path, is started
-// in parallel. The first sign of an answer ends the others.
+// sign of an answer continues while another is started in parallel, usually by
+// another path. The first sign of an answer ends the other attempts.
 //
 // A time-out for the whole read would let no read complete while the store is
 // slow or the answer large for the link.
@@ -25,8 +25,9 @@
 var _ rowstore.Reader = (*Reader)(nil)
 
 // Reader returns a reader with the given direct path, which may have longer
-// time-outs. Its answers are large, so other entries are asked only if the
-// direct path fails or does not answer while theirs does.
+// time-outs. Its answers are large, so other entries are used only if the
+// direct path fails, or if another entry gets an answer and the direct path
+// does not.
 func (s *Store) Reader(direct rowstore.Reader) *Reader {
 	return &Reader{relay: s, direct: direct, directFirst: true}
 }
@@ -54,8 +55,9 @@
 // Feed implements rowstore.Reader. All attempts together wait for changes no
 // longer than a single one.
 //
-// A feed answers after its wait at the latest, and one is always pending, so it
-// is the first call to time out when the store stops answering this machine.
+// A feed answers after its wait at the latest, and one feed is always pending.
+// So when the store stops answering this machine, a feed is the first call to
+// time out.
 func (r *Reader) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
 	end := time.Now().Add(wait)
 	remaining := func() time.Duration { return max(0, time.Until(end)) }
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay calls the store through another entry when the store refuses
-// this machine or does not answer it: the store may still serve others.
+// this machine or does not answer it: other machines may still be served.
 package relay
 
 import (
@@ -18,18 +18,18 @@
 )
 
 const (
-	// callTimeout bounds a transaction through another entry, and readTimeout a
-	// read beyond its own wait: another path is tried in parallel before that.
+	// callTimeout bounds a transaction through another entry, readTimeout a
+	// read beyond its own wait. Another path is tried in parallel sooner.
 	callTimeout = 900 * time.Millisecond
 	readTimeout = 3 * time.Second
 	// minAnswerTimeout and maxAnswerTimeout bound a feed's time-out beyond its
 	// wait. The time-out is estimated from earlier reads. The slowest store
-	// that the users describe takes 0.3 s for a read.
+	// that users describe takes 0.3 s for a read.
 	minAnswerTimeout = 100 * time.Millisecond
 	maxAnswerTimeout = 800 * time.Millisecond
 	// probeInterval is the time between two probes of the direct path while it
-	// is lost. They run beside the calls: a machine that is cut off from the
-	// store detects it only by a time-out, which would delay calls.
+	// is lost. Probes run beside the calls: if a call had to probe a path that
+	// is cut off, it would be delayed by the time-out.
 	probeInterval = 300 * time.Millisecond
 	// avoidTime is how long an entry that could not help is avoided; it doubles
 	// with each consecutive failure, up to maxAvoidTime.
@@ -37,15 +37,15 @@
 	maxAvoidTime = 8 * time.Second
 	// listInterval is the time between two reads of the list of entries. The
 	// first reads follow sooner: entries that start together miss each other in
-	// their first lists, and one that is cut off from the store then could ask
-	// no other.
+	// their first lists, and an entry that is then cut off from the store would
+	// have no other entry to use.
 	listInterval      = 5 * time.Second
 	firstListInterval = 500 * time.Millisecond
 	// listRetry is the pause after a read of the list that failed.
 	listRetry = 500 * time.Millisecond
 )
 
-// Table and part of the list of entries.
+// Table and partition of the list of entries.
 const (
 	entriesTable = "entries"
 	entriesPart  = "e"
@@ -65,12 +65,12 @@
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// lost is closed when the direct path has failed, and nil until a probe
-	// succeeds.
+	// lost is closed when the direct path fails, and is nil from then until a
+	// probe succeeds.
 	lost chan struct{}
 	// reads estimates the duration of reads by the direct path.
 	reads rtt.Estimator
-	// lastHelpful is the entry whose latest call succeeded last.
+	// lastHelpful is the entry that made the latest successful call.
 	lastHelpful *peer
 
 	// wake starts the probes of the direct path.
@@ -81,7 +81,8 @@
 
 type peer struct {
 	link *dispatch.Link
-	// avoidUntil ends the avoidance; failures counts failures in a row.
+	// avoidUntil is the end of the avoidance; failures counts consecutive
+	// failures.
 	avoidUntil time.Time
 	failures   int
 }
@@ -168,7 +169,7 @@
 	err  error
 }
 
-// peerAnswer converts the reply to a call through another entry.
+// peerAnswer converts the reply to a relayed call.
 func peerAnswer(reply *dispatch.RowsReply, err error) answer {
 	if err != nil {
 		return answer{err: callError(err)}
--- a/entry/relay/service.go
+++ b/entry/relay/service.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Service makes calls for other entries, only by the direct path.
+// Service makes calls to the store for other entries, only by the direct path.
 type Service struct{ store rowstore.Store }
 
 // Service returns the RPC service for other entries.
--- a/entry/relay/ways.go
+++ b/entry/relay/ways.go
@@ -17,14 +17,14 @@
 const (
 	// directAnswers: the direct path answers about as soon as another entry.
 	directAnswers comparison = iota
-	// onlyPeerAnswered: another entry got an answer and this one did not.
+	// onlyPeerAnswered: another entry got an answer; this entry got none.
 	onlyPeerAnswered
-	// noneAnswers: neither got one; the store may be unavailable or slow.
+	// noneAnswers: neither entry got an answer; the store may be down or slow.
 	noneAnswers
 )
 
-// compare asks the store directly and through another entry: a store that is
-// slow for all is not lost, and making calls twice would only add to its load.
+// compare calls the store directly and through another entry. A store that is
+// slow for all is not lost: relayed calls would only add to its load.
 func (s *Store) compare(ctx context.Context) comparison {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -91,8 +91,8 @@
 	})
 }
 
-// callError distinguishes a call that was never sent, ErrUnavailable, from one
-// that may have been carried out, ErrUnknown.
+// callError returns ErrUnavailable for a call that was never sent, and
+// ErrUnknown for a call that may have been carried out.
 func callError(err error) error {
 	if errors.Is(err, dispatch.ErrNotSent) {
 		return rowstore.ErrUnavailable
@@ -100,16 +100,17 @@
 	return rowstore.ErrUnknown
 }
 
-// storeUnavailable reports whether err means that the store could not be used,
-// in contrast to an answer of the store.
+// storeUnavailable reports whether err means that the store could not be used;
+// other errors are answers of the store.
 func storeUnavailable(err error) bool {
 	return errors.Is(err, rowstore.ErrUnavailable) || errors.Is(err, rowstore.ErrUnknown)
 }
 
 // applyWithFallback makes a transaction directly and then through another
-// entry; while the direct path is lost, through two other entries. A
-// transaction that is tried twice carries conditions, so that at most one
-// attempt takes effect and the other returns a conflict.
+// entry, or, while the direct path is lost, through one entry and then a second
+// one (directly if there is none). A transaction that is tried twice carries
+// conditions, so that at most one attempt takes effect and the other returns a
+// conflict.
 func (s *Store) applyWithFallback(ctx context.Context, direct func() answer, peerCall func(*dispatch.Link) answer) answer {
 	callDirect := func() answer { return s.callDirect(ctx, direct) }
 	p := s.choosePeer(nil)
@@ -128,7 +129,7 @@
 	return tryNext(ctx, viaPeer(), second)
 }
 
-// tryNext makes the second call if the first one got no answer of the store.
+// tryNext makes the second call if the first got no answer of the store.
 func tryNext(ctx context.Context, first answer, second func() answer) answer {
 	if !storeUnavailable(first.err) || ctx.Err() != nil {
 		return first
@@ -136,8 +137,8 @@
 	return combine(first, second())
 }
 
-// combine returns the answer of two attempts of which the first failed. If both
-// failed and the first may still take effect, the outcome is unknown.
+// combine returns the answer of two attempts, of which the first failed. If
+// both failed and the first may still take effect, the outcome is unknown.
 func combine(first, second answer) answer {
 	if storeUnavailable(second.err) && errors.Is(first.err, rowstore.ErrUnknown) {
 		return first
@@ -145,8 +146,8 @@
 	return second
 }
 
-// directUntilLost calls the store directly, and through another entry in
-// parallel as soon as the direct path is lost.
+// directUntilLost calls the store directly. As soon as the direct path is lost,
+// it also calls through another entry in parallel.
 //
 // Failure guarded against: the store stops answering this machine. A pending
 // call would wait for its whole time-out, 1.5 s, before it takes another path;
@@ -219,15 +220,16 @@
 	}
 }
 
-// lostSignal is closed when the direct path is lost, and nil while it is.
+// lostSignal returns a channel that is closed when the direct path is lost, or
+// nil while it is lost.
 func (s *Store) lostSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lost
 }
 
-// callPeer makes a call through another entry. A call ended by ctx is no
-// failure of that entry.
+// callPeer makes a call through another entry. A call that ctx ends does not
+// count as a failure of that entry.
 func (s *Store) callPeer(ctx context.Context, p *peer, call func(*dispatch.Link) answer) answer {
 	s.relayed.Add(1)
 	a := call(p.link)
@@ -246,9 +248,9 @@
 	return a
 }
 
-// chooseAnyPeer is choosePeer, but if all entries are avoided, it returns the
-// one whose avoidance ends first: in a slow store all calls fail, and the store
-// may be fast again.
+// chooseAnyPeer returns choosePeer's choice. If all entries are avoided, it
+// returns the entry whose avoidance ends first: while the store is slow, calls
+// through any entry fail, and the store may be fast again.
 func (s *Store) chooseAnyPeer(except *peer) *peer {
 	if p := s.choosePeer(except); p != nil {
 		return p
@@ -264,7 +266,7 @@
 	return first
 }
 
-// choosePeer returns an entry that is not avoided, by preference the one that
+// choosePeer returns an entry that is not avoided, preferably the one that
 // helped last, or nil.
 func (s *Store) choosePeer(except *peer) *peer {
 	s.mu.Lock()
