--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory holds an entry's state of agents and other entries.
+// Package directory holds what one entry knows of agents and other entries.
 //
 // Agents register by heartbeats; there is no list of backend servers anywhere.
-// The directory is an estimate: the agent's own ledger decides, and may refuse.
+// The directory is an estimate: the agent's own ledger decides on admission.
 package directory
 
 import (
@@ -23,13 +23,13 @@
 	// MaxHeartbeat bounds the age of an idle agent's load.
 	MaxHeartbeat = 3 * time.Minute
 	// overdueHeartbeats is the number of missed heartbeats after which an agent
-	// is excluded while others are available: it may be paused, and a call to
-	// it would wait for its deadline without an answer.
+	// is excluded while others are available: the agent may be paused, and a
+	// call to it would wait for its deadline without an answer.
 	overdueHeartbeats = 2
 	// missedHeartbeats is the number of missed heartbeats until removal.
 	missedHeartbeats = 3
 	// suspectTime is how long an agent that could not be reached is excluded,
-	// unless a message of it arrives sooner.
+	// unless its heartbeat arrives sooner.
 	suspectTime = 2 * time.Second
 	// serviceRetention is how long a service stays known without agents.
 	serviceRetention = time.Hour
@@ -54,8 +54,8 @@
 	Age time.Duration
 	// Outstanding counts calls of this entry that the agent has not answered.
 	Outstanding int
-	// Suspect agents could not be reached recently or are unresponsive; Overdue
-	// ones have missed heartbeats.
+	// Suspect agents could not be reached recently or are unresponsive. Overdue
+	// agents have missed heartbeats.
 	Suspect, Overdue bool
 }
 
@@ -63,8 +63,8 @@
 type record struct {
 	mu    sync.Mutex
 	agent Agent
-	// lastHello is the last heartbeat, which completes the next one where that
-	// omits parts. Answers may have brought newer loads since.
+	// lastHello is the last heartbeat. It supplies the parts that the next one
+	// omits. Answers may have brought newer loads since.
 	lastHello    wire.HelloRequest
 	lastContact  time.Time
 	interval     time.Duration
@@ -92,8 +92,8 @@
 	seeds     []string
 	entries   map[string]bool
 
-	// Stale counts loads that were dropped as out of order, Lost the agents
-	// removed for lack of contact, HeartbeatCount the heartbeats.
+	// Stale counts loads that Update dropped, Lost the agents removed for lack
+	// of contact, HeartbeatCount the heartbeats.
 	Stale          atomic.Int64
 	Lost           atomic.Int64
 	HeartbeatCount atomic.Int64
@@ -114,8 +114,8 @@
 	return d
 }
 
-// SetPace sets the heartbeat interval for few agents. It is called before the
-// first heartbeat.
+// SetPace sets the interval of heartbeats while agents are few. It must precede
+// the first heartbeat.
 func (d *Directory) SetPace(minInterval time.Duration) { d.minInterval = minInterval }
 
 // Hello records an agent's complete heartbeat and returns the time until the
@@ -135,7 +135,7 @@
 	rec.suspectUntil = time.Time{}
 	rec.unresponsive = false
 	if r.Load.Process != rec.agent.Load.Process {
-		// A heartbeat is the process's own: a new process restarts the count.
+		// Sequence numbers are per process; those of a new process start anew.
 		rec.agent.Load.Process = r.Load.Process
 		rec.agent.Load.Sequence = 0
 	}
@@ -162,9 +162,9 @@
 	return rec
 }
 
-// Update records a load, which may have arrived with an answer. A load that is
-// not newer than the recorded one, or that comes from another process than the
-// last heartbeat, is dropped, so that an overtaken answer can't restore an old
+// Update records a load, which may have arrived with an answer. A load is
+// dropped if it is not newer than the recorded one or comes from another
+// process than the last heartbeat. So a delayed answer can't restore an old
 // state.
 func (d *Directory) Update(l wire.Load) {
 	if l.Instance == "" {
@@ -300,7 +300,7 @@
 	return a
 }
 
-// Begin counts a call in flight to id; the returned function ends it.
+// Begin counts a call in flight to id; the returned function ends the count.
 func (d *Directory) Begin(id structs.InstanceID) (end func()) {
 	rec := d.recordOf(id)
 	rec.addOutstanding(1)
@@ -313,7 +313,7 @@
 	r.agent.Outstanding += n
 }
 
-// Suspect excludes an agent that could not be reached, for suspectTime.
+// Suspect excludes for suspectTime an agent that could not be reached.
 func (d *Directory) Suspect(id structs.InstanceID) {
 	rec := d.recordOf(id)
 	rec.mu.Lock()
@@ -327,8 +327,9 @@
 	return a.Age, known
 }
 
-// SetSilent excludes an agent that does not answer, until a message of it
-// arrives or unresponsive is false. It does not restore a removed agent.
+// SetSilent excludes an agent that does not answer until the agent sends a
+// message, or, if unresponsive is false, includes it again. It does not restore
+// a removed agent.
 func (d *Directory) SetSilent(id structs.InstanceID, unresponsive bool) {
 	d.mu.RLock()
 	rec := d.agents[id]
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -33,9 +33,9 @@
 	return wire.HelloRequest{Address: "10.1.2.3:7002", Zone: "north-1", Load: load, Revision: 9, Lease: 3}
 }
 
-// Answers of an agent may overtake each other, and one of an ended process may
-// arrive after its successor's first heartbeat. The entry must keep the newest
-// state; otherwise it sends calls to slots that no longer exist.
+// Guards against calls to slots that no longer exist. It came about when an
+// agent's answers overtook each other, or an answer of an ended process arrived
+// after its successor's first heartbeat. The entry must keep the newest state.
 func TestLoadThatWasOvertakenIsDropped(t *testing.T) {
 	d := newDirectory()
 	d.Hello(heartbeat("i1", "first", 1))
@@ -66,9 +66,9 @@
 	return a
 }
 
-// An agent that sends nothing for more than three heartbeats is removed and
-// counted once, unless a call to it is in flight. Its services get no more
-// calls, and the next heartbeat adds it again.
+// An agent that sends nothing for more than three heartbeat intervals is
+// removed and counted once, unless a call to it is in flight. Its services get
+// no more calls, and the agent's next heartbeat adds it again.
 func TestUnresponsiveAgentIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory()
@@ -130,7 +130,7 @@
 	withMeasurement
 )
 
-// omitKept omits from r what the entry has kept of the heartbeat before.
+// omitKept omits from r what the entry has kept of the previous heartbeat.
 func omitKept(r wire.HelloRequest, omitted omission) wire.HelloRequest {
 	kept := r.Sums()
 	if omitted < withoutAll {
@@ -193,8 +193,8 @@
 // nodeBudget bounds the control traffic of a node, in bytes per second.
 const nodeBudget = 4000
 
-// The more agents there are, the less often each reports, so that the traffic
-// of an entry stays within a node's budget.
+// The more agents there are, the less often each sends a heartbeat, so that an
+// entry's traffic stays within a node's budget.
 func TestHeartbeatsStayWithinTheBudget(t *testing.T) {
 	for _, omitted := range []omission{withoutEntries, withoutBatch, withoutBatchAndServices, withoutAll, withMeasurement} {
 		size, estimated := bytesPerHeartbeat(t, omitted), estimatedBytes(omitKept(heartbeat("i1", "p", 8), omitted))
@@ -231,9 +231,9 @@
 	}
 }
 
-// Callers that are sent to a paused agent with open connections wait for their
-// deadlines in vain. After two missed heartbeats the agent must be excluded;
-// one answer includes it again.
+// Guards against callers that wait for their deadlines in vain. It came about
+// when they were sent to a paused agent with open connections. The agent must
+// be excluded after two missed heartbeats and included again after one answer.
 func TestOverdueAgentIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New("e:1", nil, nil, structs.NoEvents{}, zerolog.Nop())
@@ -251,10 +251,10 @@
 	})
 }
 
-// An agent omits from its heartbeats what the entry has kept. If the entry has
-// restarted, or an answer has changed the tasks meanwhile, the entry must
-// request a part whose contents it does not hold, and must not use an old list
-// of tasks.
+// An agent omits from its heartbeats the parts that the entry has kept. If the
+// entry has restarted, or an answer has changed the tasks meanwhile, the entry
+// must request a part whose contents it does not hold and must not use an old
+// list of tasks.
 func TestOmittedPartsAreRestoredOnlyFromSameContents(t *testing.T) {
 	d := newDirectory()
 	first := heartbeat("i1", "p", 8)
@@ -287,7 +287,7 @@
 	running(3)
 	hello(d, other, true)
 	running(5)
-	// A new process's heartbeat is never completed from its predecessor's.
+	// A new process's heartbeat is never completed from the predecessor's.
 	hello(d, omitKept(heartbeat("i1", "successor", 8), withoutAll), false)
 	hello(newDirectory(), omitKept(other, withoutBatchAndServices), false)
 }
--- a/entry/directory/entries.go
+++ b/entry/directory/entries.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// NewerConfig requests a configuration above held from all other entries in
-// parallel and returns the newest that arrives within ctx, or nil.
+// NewerConfig requests a configuration newer than held from all other entries
+// in parallel and returns the newest that arrives before ctx ends, or nil.
 func (d *Directory) NewerConfig(ctx context.Context, held structs.Config) *structs.Config {
 	var (
 		mu     sync.Mutex
@@ -85,8 +85,9 @@
 	return newest
 }
 
-// Announce notifies all other entries that revision r has been accepted, so
-// that they need not wait for their next poll, which makes errors harmless.
+// Announce notifies all other entries that revision r has been accepted. It
+// ignores errors: an entry that is not notified finds the revision at its next
+// poll.
 func (d *Directory) Announce(ctx context.Context, r structs.Revision) {
 	var wait sync.WaitGroup
 	for _, address := range d.others() {
@@ -119,7 +120,7 @@
 	return out
 }
 
-// EventsFrom collects the time lines of all known processes; missing names
+// EventsFrom collects the time lines of all known processes; missing lists
 // those that can't be reached.
 func (d *Directory) EventsFrom(ctx context.Context, r wire.EventsRequest) (lines [][]structs.Event, missing []string) {
 	var (
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -16,29 +16,30 @@
 	"persimmonrock.example/structs"
 )
 
-// Renewal of an entry's own row. With five entries it costs one write and one
-// read a second in all.
+// Renewal of an entry's own row. Five entries together cost one write and one
+// read a second.
 const (
 	memberPrefix        = "entry/"
 	memberRenewInterval = 5 * time.Second
 	memberTimeout       = 2 * time.Second
-	// memberExpiry is how long a row must stay unchanged, as read by this
-	// process, until its entry no longer counts as alive.
+	// memberExpiry is how long a row must stay unchanged, as this process reads
+	// it, before its entry no longer counts as alive.
 	memberExpiry   = 4 * memberRenewInterval
 	memberPageSize = 200
-	// memberDeleteAfter is the number of expiry periods until deletion.
+	// memberDeleteAfter is the number of expiry periods until a row's deletion.
 	memberDeleteAfter = 30
 )
 
 // memberRow is the row of one entry. It is only a hint for spreading shards and
-// for finding addresses; it grants no rights.
+// finding addresses; it grants no rights.
 type memberRow struct {
 	Entry   structs.EntryID `json:"entry"`
 	Address string          `json:"address"`
 	Counter uint64          `json:"counter"`
 }
 
-// observedRow is the latest version of a row and the time of its first read.
+// observedRow is a row's latest version and the time of that version's first
+// read.
 type observedRow struct {
 	row     memberRow
 	version uint64
@@ -92,7 +93,7 @@
 		return eris.Wrap(err, "members: encode row")
 	}
 	m.Writes.Add(1)
-	// The put is unconditional: only this entry writes its own row.
+	// Unconditional: only this entry writes its own row.
 	_, err = m.table.Commit(ctx, infra.Txn{Op: rand.Text(), Puts: []infra.Put{{Key: memberPrefix + string(row.Entry), Value: value}}})
 	if err != nil {
 		return eris.Wrap(err, "members: write own row to table")
@@ -133,7 +134,7 @@
 }
 
 // deleteExpired deletes rows that have not changed for long. The delete is
-// conditional, so an entry that was only slow is never deleted.
+// conditional on the row's version, so a row renewed meanwhile stays.
 func (m *Members) deleteExpired(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	var expired []infra.Cond
@@ -149,7 +150,7 @@
 	}
 }
 
-// Alive returns the entries that count as alive, this one included, in order.
+// Alive returns the entries that count as alive, this entry included, in order.
 func (m *Members) Alive() []structs.EntryID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/directory/pace.go
+++ b/entry/directory/pace.go
@@ -12,26 +12,27 @@
 const (
 	// HeartbeatBytes is the size of one complete heartbeat and its answer on
 	// the wire, with tasks of eight customers and five entries
-	// (TestHeartbeatsStayWithinTheBudget checks it). It is the estimate before
-	// the first heartbeat.
+	// (TestHeartbeatsStayWithinTheBudget checks it). It is the assumed size
+	// before the first heartbeat.
 	HeartbeatBytes = 560
 	// HeartbeatBudget bounds an entry's heartbeat traffic in bytes per second,
-	// out of a node's 4,000; the table service uses the rest.
+	// as a part of a node's 4,000. The table service uses the rest.
 	HeartbeatBudget = 850
-	// baseBytes is the size of a heartbeat that omits all it can, senderBytes
-	// that of the sender's data. A service adds its name and serviceBytes, a
-	// pair of customer and kind their names and pairBytes.
+	// baseBytes is the size of a heartbeat that omits all it can, and
+	// senderBytes that of the sender's data. A service adds the length of its
+	// name and serviceBytes; a pair of customer and kind adds those of their
+	// names and pairBytes.
 	baseBytes, senderBytes, serviceBytes, pairBytes = 140, 60, 12, 8
-	// A measurement adds its service's name and sampleBytes, each of its kinds
-	// the name and kindBytes.
+	// A measurement adds the length of its service's name and sampleBytes; each
+	// of its kinds adds that of the kind's name and kindBytes.
 	sampleBytes, kindBytes = 30, 6
 	// entryListBytes is the size of the list of five entries in an answer.
 	entryListBytes = 60
-	// sizeWeight is the weight of a new size in the mean.
+	// sizeWeight is the weight of the newest size in the moving mean.
 	sizeWeight = 1.0 / 8
 )
 
-// sizes holds the moving mean of the size of heartbeats.
+// sizes holds the moving mean of heartbeat sizes.
 type sizes struct {
 	mu   sync.Mutex
 	mean float64
@@ -80,8 +81,8 @@
 }
 
 // heartbeatInterval returns an interval that grows with the number of agents
-// and the size of their heartbeats, so that the traffic of an entry stays
-// within HeartbeatBudget.
+// and the size of their heartbeats, so that an entry's traffic stays within
+// HeartbeatBudget. The interval is at most MaxHeartbeat.
 func (d *Directory) heartbeatInterval() time.Duration {
 	d.mu.RLock()
 	n := len(d.agents)
@@ -93,17 +94,17 @@
 	return min(max(jittered(interval), d.minInterval), MaxHeartbeat)
 }
 
-// jittered returns a random duration within a quarter of d.
+// jittered returns a random duration from 3/4 to 5/4 of d.
 //
-// Failure guarded against: an entry is restarted, all agents connect within a
-// few seconds, and from then on their heartbeats arrive all at once, minutes
-// apart; the entry's processor and link are idle and overloaded by turns.
+// Failure guarded against: an entry is restarted, and all agents connect within
+// a few seconds. From then on their heartbeats arrive all at once, minutes
+// apart, and the entry's processor and link are idle and overloaded by turns.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
 
-// Restore completes a heartbeat that omits what this entry has kept; ok is
-// false if the entry does not hold it.
+// Restore completes a heartbeat that omits parts that this entry has kept. ok
+// is false if the entry does not hold them.
 func (d *Directory) Restore(r wire.HelloRequest) (whole wire.HelloRequest, ok bool) {
 	d.sizes.add(estimatedBytes(r))
 	if r.Omitted == (wire.HelloSums{}) {
