--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -15,10 +15,11 @@
 	"persimmonrock.example/structs"
 )
 
-// AnyRevision as Change.IfMatch makes a change unconditional.
+// AnyRevision is the Change.IfMatch of an unconditional change.
 const AnyRevision structs.Revision = 0
 
-// NoContract as Change.IfMatch requires that the customer has no contract.
+// NoContract is the Change.IfMatch that requires that the customer has no
+// contract.
 const NoContract = ^structs.Revision(0)
 
 // Change is one operator's change of one customer's contract.
@@ -28,19 +29,19 @@
 	Contract *structs.Contract
 	// IfMatch is the revision of the contract on which the change is based.
 	IfMatch structs.Revision
-	// Operation identifies the intended change; a repeat has the same one. It
-	// must not be empty, and two changes must not share one.
+	// Operation identifies the intended change and must not be empty. A repeat
+	// has the same Operation; two different changes must not share one.
 	Operation string
 }
 
-// errRaced reports that another change came in between and that the same change
-// may be retried on the current state.
+// errRaced reports that another change was accepted in between. The change may
+// be retried on the current state.
 var errRaced = errors.New("contracts: raced with another change")
 
-// Apply makes the change and returns the revision that accepted it. Of two
-// operators that change one contract from the same revision, one succeeds and
-// the other gets a precondition refusal. A repeated operation returns the
-// revision of its first acceptance and changes nothing.
+// Apply makes the change and returns the revision that accepted it. If two
+// operators change one contract from the same revision, one succeeds and the
+// other gets a precondition refusal. A repeated operation returns the revision
+// of its first acceptance and changes nothing.
 func (s *Store) Apply(ctx context.Context, c Change) (structs.Revision, *structs.Refusal) {
 	for {
 		revision, err := s.apply(ctx, c)
@@ -108,8 +109,8 @@
 	var conflict *infra.ConflictError
 	var superseded *infra.SupersededError
 	if errors.As(err, &conflict) || errors.As(err, &superseded) {
-		// A superseded change is decided: the recent operations show whether it
-		// took effect before the change that superseded it.
+		// The retry reads the recent operations, which show whether a
+		// superseded change took effect first.
 		return 0, errRaced
 	}
 	if err != nil {
@@ -121,9 +122,9 @@
 // checkKeys refuses a contract with another customer's key.
 //
 // Failure guarded against: two operators assign one key to two customers
-// through two entries at once; its holder would be either customer, by chance.
-// The contracts compared are those of the revision that the change is
-// conditional on, so no other change can come in between.
+// through two entries at once, and the key's holder is taken for either
+// customer, by chance. checkKeys compares the contracts of the revision on
+// which the change is conditional, so no other change can come in between.
 func (s *Store) checkKeys(ctx context.Context, c Change, at structs.Revision) error {
 	if c.Contract == nil || len(c.Contract.KeyHashes) == 0 {
 		return nil
@@ -153,8 +154,8 @@
 	return slices.ContainsFunc(a, func(h string) bool { return slices.Contains(b, h) })
 }
 
-// asUnavailable converts an unknown outcome of a read: a failed read has
-// changed nothing.
+// asUnavailable converts a read's error from unknown outcome to unavailable: a
+// failed read has changed nothing.
 func asUnavailable(err error) error {
 	if errors.Is(err, infra.ErrUnknown) || errors.Is(err, context.DeadlineExceeded) {
 		return infra.ErrUnavailable
@@ -162,8 +163,8 @@
 	return err
 }
 
-// precondition compares revisions, which never repeat, and not row versions,
-// which restart when a deleted contract is recreated.
+// precondition compares revisions, which never repeat. Row versions would not
+// do: they restart when a deleted contract is recreated.
 func precondition(c Change, current structs.Contract, version uint64) *structs.Refusal {
 	exists := version != 0
 	switch {
--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -42,9 +42,9 @@
 	return r
 }
 
-// Two operators read the same contract and each sends a change. One must be
-// accepted, and the other refused with the contract's new revision, as both are
-// conditional on the revision that was read.
+// Two operators read the same contract, and each sends a change conditional on
+// the revision that was read. One change must be accepted and the other refused
+// with the contract's new revision.
 func TestTwoOperatorsRace(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -60,10 +60,9 @@
 	}
 }
 
-// A change is accepted, its answer is lost, and the operator repeats it through
-// another entry after a third operator's change. The repeat must return the
-// first result and change nothing: the write took effect although its caller
-// saw a time-out.
+// A change is accepted, but its answer is lost. The operator repeats the change
+// through another entry, after a third operator's change. The repeat must
+// return the first result and change nothing.
 func TestRepeatAfterLostAnswerHasOneResult(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -84,11 +83,11 @@
 	}
 }
 
-// A change takes effect, its answer is lost, and before the entry repeats it
-// another operator's change is accepted at another entry. The first operator
-// must get the revision of the change, and the second change must stay in
-// force. It has rewritten rows of the first, so the write alone can't show its
-// outcome.
+// A change takes effect, but its answer is lost. Before the entry repeats the
+// write, another entry accepts a second change, which rewrites rows of the
+// first. The write's rows then no longer show its outcome. The first operator
+// must still get the revision of the first change, and the second change must
+// stay in force.
 func TestSupersededChangeIsDecided(t *testing.T) {
 	for name, customer := range map[string]string{"same customer": "kowhai", "another customer": "granite-notch"} {
 		t.Run(name, func(t *testing.T) {
@@ -118,9 +117,9 @@
 	}
 }
 
-// Two operators assign one key to two customers through two entries, the second
-// of which has not received the first contract. The second must be refused with
-// nothing changed, even if its entry's own view is older.
+// Two operators assign one key to two customers through two entries. The second
+// entry has not received the first contract yet. It must still refuse the
+// second contract and change nothing.
 func TestKeyBelongsToOneCustomer(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
@@ -136,7 +135,7 @@
 }
 
 // A process is paused for a minute while three changes are accepted. Its first
-// request afterwards, ahead of the next poll, must see the third change.
+// request afterwards must see the third change, even before the next poll.
 func TestPausedProcessConfirmsBeforeItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
@@ -166,9 +165,9 @@
 	return nil
 }
 
-// An entry is started while the table service is down. It must refuse callers
-// with proof that nothing ran until another entry sends its configuration, and
-// so must a process that is known to be behind.
+// An entry starts while the table service is down. Until another entry sends
+// its configuration, the started entry must refuse callers with proof that
+// nothing ran. A process that is known to be behind must do the same.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
@@ -192,10 +191,11 @@
 	})
 }
 
-// A message with an older configuration arrives after a newer one is in force,
-// or a recreated contract is changed by an operator who read it before the
-// deletion. Neither may revert what was accepted. Messages overtake each other,
-// and row versions restart after a delete.
+// Guards against reverting an accepted change. It came about when a message
+// with an older configuration arrived after a newer one was in force, or when
+// an operator changed a recreated contract that they had read before its
+// deletion. Messages overtake each other, and row versions restart after a
+// delete.
 func TestOlderConfigurationIsRefused(t *testing.T) {
 	n := newNode(memory.NewTable(), nil, 1)
 	old := mustApply(t, n, change("kowhai", 0.1, NoContract, "0"))
@@ -210,9 +210,10 @@
 	}
 }
 
-// With several entries and operators and all faults of the store at once, no
-// view's revision may decrease, every acknowledged change must be in every
-// view's history, and all views must agree within seconds once the faults end.
+// Several entries and operators make changes under all faults of the store at
+// once. No view's revision may decrease, and every acknowledged change must be
+// in every view's history. All views must agree within seconds after the faults
+// end.
 func TestRandomisedChangesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) { runRandomised(t, rt) })
--- a/entry/contracts/operations.go
+++ b/entry/contracts/operations.go
@@ -14,8 +14,9 @@
 	"persimmonrock.example/structs"
 )
 
-// recentOperations is the number of accepted operations that the table keeps:
-// at 3,200 changes a day an operator has about half an hour to repeat one.
+// recentOperations is the number of accepted operations that the table keeps.
+// At 3,200 changes a day, an operator can repeat a change for about half an
+// hour.
 const recentOperations = 64
 
 // operationsRow is the value of structs.OperationsKey. Only changes read it, so
@@ -26,8 +27,8 @@
 	Recent []configtable.Operation `json:"recent"`
 }
 
-// readOperations returns the accepted operations, with those that an earlier
-// release keeps in the revision row, and the version of their row.
+// readOperations returns the accepted operations and the version of their row.
+// It adds the operations that an earlier release keeps in the revision row.
 func (s *Store) readOperations(ctx context.Context, revision configtable.RevisionRow) (operationsRow, uint64, error) {
 	row, err := s.table.Get(ctx, structs.OperationsKey)
 	if errors.Is(err, infra.ErrNotFound) {
--- a/entry/contracts/reader_test.go
+++ b/entry/contracts/reader_test.go
@@ -34,9 +34,9 @@
 }
 
 // Contracts are created, changed, deleted and recreated between any two reads
-// of another process. It must then hold exactly the configuration accepted at
-// its revision, and never a lower one, although the revision and the rows are
-// read one after the other.
+// of another process, which reads the revision and the rows one after the
+// other. The process must hold exactly the configuration accepted at its
+// revision, and never go back to a lower revision.
 func TestReaderNeverMixesRevisions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		writer := newNode(memory.NewTable(), nil, 1)
@@ -80,9 +80,9 @@
 	})
 }
 
-// A process that is a few changes behind reads only the changed contracts; one
-// that is further behind reads all. Otherwise each change would cost 1,000
-// agents the whole configuration.
+// A process that is a few changes behind reads only the changed contracts. A
+// process that is further behind reads all. Otherwise each change would make
+// 1,000 agents read the whole configuration.
 func TestReaderReadsOnlyChangedContracts(t *testing.T) {
 	writer := newNode(memory.NewTable(), nil, 1)
 	for i := range 20 {
@@ -110,9 +110,8 @@
 }
 
 // During an upgrade an entry must read the revision row of the earlier release,
-// which holds the operations itself. An operation in it must still have one
-// result, also after an entry of the earlier release has written the row once
-// more.
+// which also holds the operations. Each operation in the row must keep its one
+// result, even after an entry of the earlier release has written the row again.
 func TestRowOfTheEarlierReleaseIsRead(t *testing.T) {
 	table := memory.NewTable()
 	earlier := func(r structs.Revision, id string) {
--- a/entry/contracts/since.go
+++ b/entry/contracts/since.go
@@ -7,7 +7,8 @@
 )
 
 // maxRevisions is the number of recent revisions from which a view can compute
-// a change; a holder of another one gets the whole configuration.
+// a change. A process that holds any other revision gets the whole
+// configuration.
 const maxRevisions = 64
 
 // installedRevision is one revision that a view had in force.
@@ -20,7 +21,7 @@
 // revisions are the last revisions that a view had in force, latest last.
 type revisions []installedRevision
 
-// with appends next, which replaces before.
+// with appends next, which replaces the configuration before.
 func (p revisions) with(before, next structs.Config) revisions {
 	step := installedRevision{revision: next.Revision}
 	for customer := range before.Contracts {
@@ -38,9 +39,9 @@
 // nil if there is none or it can't be computed.
 //
 // Failure guarded against: a contract was created at r and removed again
-// between two reads of this process, which never saw it; a change from r would
-// not name it, and its holder would keep it for good. So only revisions that
-// were in force here are accepted: their contracts are known.
+// between two reads of this process. This process never saw the contract, so a
+// change from r would not name it, and a process at r would keep it for good.
+// So r must have been in force here: then its contracts are known.
 func (v *View) Since(r structs.Revision) *structs.ConfigChange {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/entry/contracts/since_test.go
+++ b/entry/contracts/since_test.go
@@ -14,9 +14,9 @@
 
 // An entry sends a process the change from the revision that the process holds.
 // From any revision that the entry has had in force, the change must lead
-// exactly to the configuration in force, even if the entry had only some
-// revisions in force and a contract was created and removed between two of
-// them.
+// exactly to the configuration in force. This must hold even if the entry
+// skipped some revisions, and a contract was created and removed between two
+// that it had.
 func TestChangeSinceAnyRevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := memory.NewTable()
--- a/entry/contracts/store.go
+++ b/entry/contracts/store.go
@@ -37,7 +37,7 @@
 	// Poll is the pause between two reads of the revision row.
 	Poll time.Duration
 	// Stale is how long after the end of the last confirmation the view may
-	// still be served. It is above Poll plus the time-out of one attempt, so
+	// still be served. Stale is above Poll plus the time-out of one attempt, so
 	// that only a paused process exceeds it.
 	Stale time.Duration
 }
@@ -55,9 +55,9 @@
 	confirming chan struct{}
 	wake       chan struct{}
 
-	// Reads counts confirmations sent to the table service, Failed those
-	// without an answer, Held the requests refused because the view could not
-	// be confirmed after a pause.
+	// Reads counts the reads sent to the table service, Failed those without an
+	// answer. Held counts the requests refused because the view could not be
+	// confirmed after a pause.
 	Reads  atomic.Int64
 	Failed atomic.Int64
 	Held   atomic.Int64
@@ -100,12 +100,12 @@
 
 // Serve returns nil if requests may be decided under the view now.
 //
-// Failure guarded against: the process is paused while newer configurations are
+// Failure guarded against: a process is paused while newer configurations are
 // accepted, resumes, and decides its next request under the old one. After a
 // pause no confirmation has ended within Stale, so the request waits for one. A
-// confirmation that fails because the store is down still counts: no change can
-// be accepted through the store then, and other entries have been asked. A view
-// known to be behind is not served at all.
+// confirmation that fails because the store is down still counts: meanwhile the
+// store can accept no change, and other entries have been asked. A view known
+// to be behind is not served at all.
 func (s *Store) Serve(ctx context.Context) *structs.Refusal {
 	attempted, _, behind := s.state()
 	if s.Config().Revision != 0 && !behind && time.Since(attempted) <= s.opts.Stale {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Confirm updates the view to the table service's revision, or to that of
-// another entry if the store does not answer.
+// Confirm updates the view to the table service's revision. If the service does
+// not answer, it asks the other entries.
 func (s *Store) Confirm(ctx context.Context) {
 	started := time.Now()
 	select {
--- a/entry/contracts/view.go
+++ b/entry/contracts/view.go
@@ -22,10 +22,11 @@
 	mu sync.Mutex
 	// highestKnown is the highest revision known to this process.
 	highestKnown structs.Revision
-	// attempted is the end of the last confirmation, successful or not.
+	// attempted is the end of the last confirmation, whether it succeeded or
+	// not.
 	attempted time.Time
 	// confirmed is the time at which the table service last confirmed that
-	// current is newest.
+	// current is the newest.
 	confirmed time.Time
 	revisions revisions
 
@@ -69,12 +70,12 @@
 	return contract, keys.Match(contract.KeyHashes, key)
 }
 
-// Install adopts c if its revision is above the current one and reports whether
-// it did.
+// Install adopts c if its revision is above the current one, and reports
+// whether it has.
 //
 // Failure guarded against: a late message or a slow read brings an older
-// configuration after a newer one is in force; a contract would then revert.
-// The comparison and the swap are one step under the lock.
+// configuration after a newer one is in force, and a contract reverts. The
+// comparison and the swap are one step under the lock.
 func (v *View) Install(c structs.Config) bool {
 	next := &snapshot{config: c, byKey: make(map[string]structs.Customer)}
 	for customer, contract := range c.Contracts {
@@ -114,7 +115,8 @@
 	}
 }
 
-// state returns the values by which Serve decides whether the view is current.
+// state returns the values by which Serve decides whether it may serve the
+// view.
 func (v *View) state() (attempted, confirmed time.Time, behind bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
