--- a/entry/model/model.go
+++ b/entry/model/model.go
@@ -13,7 +13,7 @@
 type Shared struct {
 	mu sync.RWMutex
 	m  *decide.Interference
-	// reports holds the last heartbeat of each instance; rejected counts
+	// reports holds the last heartbeat of each instance. rejected counts
 	// measurements that were dropped before the learner received them.
 	reports    decide.Reports
 	rejected   uint64
--- a/entry/model/samples.go
+++ b/entry/model/samples.go
@@ -11,16 +11,16 @@
 const (
 	// maxKinds bounds the kinds of one measurement.
 	maxKinds = 256
-	// forgetAfter is the age at which an instance's last heartbeat is deleted;
-	// by then its agent has sent newer ones or no longer exists.
+	// forgetAfter is the age at which an instance's last heartbeat is deleted.
+	// By then the instance's agent has sent newer ones or no longer exists.
 	forgetAfter    = time.Hour
 	forgetInterval = time.Minute
 )
 
 // Counters count what was learnt from heartbeats.
 type Counters struct {
-	// Taken and Dropped count measurements, RegimeChanges the changes of regime
-	// that were detected (see decide.InterferenceCounters).
+	// Taken and Dropped count measurements. RegimeChanges counts the detected
+	// changes of regime (see decide.InterferenceCounters).
 	Taken, Dropped, RegimeChanges uint64
 }
 
@@ -34,12 +34,13 @@
 
 // Hello learns from the measurements of a heartbeat that arrived at time now.
 //
-// Failure guarded against: a heartbeat is delivered twice, is overtaken by a
-// later one, or comes from an agent process that was replaced or counts wrong;
-// calls and tasks would be placed by false measurements. It shows as an
-// increasing count of dropped measurements. Only a heartbeat newer than all
-// earlier ones of its instance is used, and only its measurements of services
-// that it lists, each once and with plausible values.
+// Failure guarded against: calls and tasks are placed by false measurements. It
+// came about when a heartbeat was delivered twice, was overtaken by a later
+// one, or came from an agent process that had been replaced or counted wrongly.
+// Hello uses only a heartbeat newer than all earlier ones of its instance. Of
+// this heartbeat it uses only measurements of services that the heartbeat
+// lists, each service once and with plausible values. The count of dropped
+// measurements shows the failure.
 func (s *Shared) Hello(now time.Duration, r *wire.HelloRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +83,8 @@
 	return false
 }
 
-// valid reports whether a sample has at most maxKinds kinds, each once; the
-// learner checks the values.
+// valid reports whether a sample has at most maxKinds kinds, each only once.
+// The learner checks the values.
 func valid(sample *wire.Sample) bool {
 	if len(sample.Together) > maxKinds {
 		return false
--- a/entry/model/samples_test.go
+++ b/entry/model/samples_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// A heartbeat is delivered twice or out of order, a paused agent resumes after
-// it was replaced, or an agent counts wrong. Each such measurement must be
-// counted and change no prediction; otherwise tasks are kept off instances for
-// interference that was never measured.
+// Guards against keeping tasks off instances for interference that was never
+// measured. It came about when a heartbeat was delivered twice or out of order,
+// a paused agent resumed after it had been replaced, or an agent counted
+// wrongly. Each such measurement must be counted and change no prediction.
 func TestBadMeasurementsChangeNoPrediction(t *testing.T) {
 	alter := func(f func(*wire.HelloRequest)) wire.HelloRequest {
 		r := heartbeat(4, 11)
