--- a/entry/admin.go
+++ b/entry/admin.go
@@ -185,7 +185,7 @@
 	return e.drainInstance(w, r, wire.DrainRequest{Service: structs.Service(r.PathValue("service"))})
 }
 
-// drainInstance sends an operator's request to the agent and returns the
+// drainInstance sends an operator's drain request to the agent and returns the
 // agent's state.
 func (e *Entry) drainInstance(w http.ResponseWriter, r *http.Request, q wire.DrainRequest) *structs.Refusal {
 	id := structs.InstanceID(r.PathValue("instance"))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -39,12 +39,12 @@
 	OperatorKeyHashes []string
 	// MaxBody is the largest request body in bytes.
 	MaxBody int64
-	// ConfigPoll is the pause between two reads of the revision.
+	// ConfigPoll is the pause between two reads of the revision row.
 	ConfigPoll time.Duration
 	// ShardLease is the length of a queue shard's lease.
 	ShardLease time.Duration
-	// Heartbeat is the shortest time between two reports of one agent; 0 means
-	// directory.MinHeartbeat.
+	// Heartbeat is the shortest time between two heartbeats of one agent; 0
+	// means directory.MinHeartbeat.
 	Heartbeat time.Duration
 	// AgentScan is the time between two scans of the agents' lease rows.
 	AgentScan time.Duration
@@ -187,13 +187,14 @@
 // sockets may be closed.
 //
 // Failure guarded against: a caller sends its next request on a connection that
-// was kept open, just as the server closes it; the caller sees a reset. During
-// refusalPeriod each such request gets a refusal that closes the connection in
-// order, and the balancer sees that the entry is not ready.
+// was kept open, just as the server closes the connection; the caller sees a
+// reset. During refusalPeriod each such request gets a refusal, after which the
+// connection is closed cleanly, and the balancer sees that the entry is not
+// ready.
 const refusalPeriod = time.Second
 
-// Drain carries out a planned stop: it refuses new requests with proof that
-// they did not run, waits for those in progress, writes pending records and
+// Drain carries out a planned stop. It refuses new requests with proof that
+// they did not run, waits for requests in progress, writes pending records and
 // hands its queue shards over. Run must still be running.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.requests.close()
@@ -210,7 +211,7 @@
 }
 
 // handOver waits for requests in progress and hands over what this entry owns.
-// An error of one part does not prevent the others.
+// An error in one step does not prevent the others.
 func (e *Entry) handOver(ctx context.Context) error {
 	return errors.Join(
 		eris.Wrap(e.requests.wait(ctx), "wait for requests in progress"),
--- a/entry/http.go
+++ b/entry/http.go
@@ -77,7 +77,7 @@
 
 type operatorHandler func(w http.ResponseWriter, r *http.Request) *structs.Refusal
 
-// asCustomer checks the entry's state and the caller's key before h.
+// asCustomer checks the entry's state and the caller's key before it calls h.
 func (e *Entry) asCustomer(h customerHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		end, refused := e.begin()
@@ -105,8 +105,8 @@
 	})
 }
 
-// asOperator checks the operator's key before h. Operators are served during a
-// planned stop, too, so that they can follow it.
+// asOperator checks the operator's key before it calls h. Operators are served
+// during a planned stop, too, so that they can follow it.
 func (e *Entry) asOperator(h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := keys.Bearer(r)
@@ -129,7 +129,7 @@
 	})
 }
 
-// checkPath refuses paths with names that can't be part of a row's key.
+// checkPath refuses paths with names that can't be used in a row's key.
 func checkPath(r *http.Request) *structs.Refusal {
 	if !isText(r.URL.Path) {
 		return badRequest("http.path", "the path is not UTF-8 text")
@@ -137,11 +137,11 @@
 	return nil
 }
 
-// isText reports whether s may be part of a row's key or operation ID.
+// isText reports whether s may be used in a row's key or operation ID.
 //
 // Failure guarded against: the table service always refuses a key that is not
-// UTF-8, and a caller who is told that the service does not respond would retry
-// forever. The refusal must state that the request is invalid.
+// UTF-8. A caller who is told that the service does not respond would retry
+// forever, so the refusal must state that the request is invalid.
 func isText(s string) bool {
 	return utf8.ValidString(s) && !strings.Contains(s, "\x00")
 }
@@ -203,15 +203,15 @@
 	if err := decoder.Decode(v); err != nil {
 		return badRequest("http.decode", "the body is not the JSON that is wanted here: %v", err)
 	}
-	// More would overlook a surplus closing bracket.
+	// decoder.More would overlook a surplus closing bracket.
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return badRequest("http.decode", "the body holds more than one JSON value")
 	}
 	return nil
 }
 
-// withDeadline sets the request's deadline: Request-Timeout, or the contract's
-// latency target.
+// withDeadline sets the request's deadline from Request-Timeout or, without it,
+// from the contract's latency target.
 func withDeadline(r *http.Request, c structs.Contract) (context.Context, context.CancelFunc, *structs.Refusal) {
 	timeout := c.LatencyTarget.Std()
 	if given := r.Header.Get(headerTimeout); given != "" {
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -96,8 +96,8 @@
 	return "/v1/jobs/" + string(job.ID)
 }
 
-// rows returns the whole table, but only the keys of rows that are renewed all
-// the time.
+// rows returns the whole table. Of rows that are renewed all the time it
+// returns only the keys.
 func (s *testEntry) rows() map[string]infra.Row {
 	all := make(map[string]infra.Row)
 	list, err := s.table.Scan(s.t.Context(), "", "", 10_000)
@@ -248,8 +248,8 @@
 }
 
 // Each request is wrong in one way. The answer must be a problem document that
-// names the cause and proves that nothing ran, and no row may change by the
-// request, at once or in the seconds after it.
+// names the cause and proves that nothing ran. The request may change no row,
+// at once or in the seconds afterwards.
 func TestBadInputIsRefusedAndChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -8,8 +8,8 @@
 // inflight counts requests in progress and can be closed to new ones.
 //
 // Failure guarded against: a request that arrives between the decision to stop
-// and the wait for those in progress would be cut off. Counting and closing are
-// steps under one lock, so a request is either waited for or refused.
+// and the wait for requests in progress would be cut off. Counting and closing
+// are steps under one lock, so each request is either waited for or refused.
 type inflight struct {
 	mu     sync.Mutex
 	n      int
@@ -17,7 +17,7 @@
 	idle   chan struct{}
 }
 
-// begin counts a new request, or returns false once closed.
+// begin counts a new request, or returns false if inflight is closed.
 func (f *inflight) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// close refuses new requests; wait may be called afterwards. close may be
-// called only once.
+// close refuses new requests. It may be called only once, and wait only after
+// it.
 func (f *inflight) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -16,8 +16,8 @@
 )
 
 // Bounds of a job request: the length of the kind's name, memory in bytes, and
-// each other amount. They are far above any instance and prevent overflow of
-// sums over a full queue.
+// each other amount. They are far above any instance's capacity and prevent
+// overflow of sums over a full queue.
 const (
 	maxKind   = 100
 	maxMemory = 1 << 42
@@ -27,9 +27,9 @@
 // jobTimeout bounds the handling of a job request without a Request-Timeout.
 const jobTimeout = 10 * time.Second
 
-// serveSubmit accepts a job. The job's ID is chosen here, before the first
-// write, so that every internal retry names the same job; with an
-// Idempotency-Key it follows from the key, so that the caller's retries do too.
+// serveSubmit accepts a job. It chooses the job's ID before the first write, so
+// that every internal retry names the same job. With an Idempotency-Key the ID
+// is derived from the key, so that the caller's retries name the same job, too.
 func (e *Entry) serveSubmit(w http.ResponseWriter, r *http.Request, c structs.Contract) *structs.Refusal {
 	key, refused := idempotencyKey(r)
 	if refused != nil {
@@ -149,9 +149,9 @@
 // listPage is the number of job rows that a listing reads per scan.
 const listPage = 200
 
-// serveList lists the customer's own jobs from the table service, in key order
-// after the job ID in ?after=. It reads pages until it has at least listPage
-// jobs or the shard ends.
+// serveList lists the customer's own jobs from the table service in key order,
+// starting after the job ID in ?after=. It reads pages until it has at least
+// listPage jobs or the shard ends.
 func (e *Entry) serveList(w http.ResponseWriter, r *http.Request, c structs.Contract) *structs.Refusal {
 	ctx, cancel, refused := jobDeadline(r)
 	if refused != nil {
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -12,7 +12,7 @@
 )
 
 // placer connects the decisions of package decide to the queue shards. One lock
-// serves all shards of this entry, since they place on the same instances.
+// covers all shards of this entry, since they place on the same instances.
 type placer struct {
 	model     *model.Shared
 	contracts batch.Contracts
@@ -48,8 +48,8 @@
 		need, _ := p.sizes.Estimate(j.Customer, j.Spec.Kind, j.Spec.Declared, j.Spec.Runtime.Std())
 		w := decide.Waiting{Job: j.ID, Customer: j.Customer, Kind: j.Spec.Kind, Need: need, Order: j.Submitted}
 		if j.Failures > 0 {
-			// The last run failed there; a run elsewhere shows whether the
-			// worker or the job is at fault.
+			// The last run failed on this instance. A run on another one shows
+			// whether the worker or the job is at fault.
 			w.Avoid = j.Instance
 		}
 		view.Queue = append(view.Queue, w)
@@ -67,7 +67,7 @@
 	return out
 }
 
-// recordProbe records a placement on an instance in quarantine as its probe.
+// recordProbe records a placement as a probe if its instance is in quarantine.
 func (p *placer) recordProbe(now time.Duration, placement decide.Placement) {
 	if quarantined, _, _ := p.health.Worker(now, placement.Instance); quarantined {
 		p.health.Probing(now, placement.Instance)
@@ -87,14 +87,15 @@
 	return out
 }
 
-// probe reports whether the instance is in quarantine and may be sent a probe.
+// probe reports whether the instance is in quarantine and whether it may be
+// sent a probe.
 //
 // Failure guarded against: a probe runs for longer than the pause between
 // probes, and a worker that fails what it starts is sent a second job and a
 // third, each of which loses a run. So the last probe's end must be reported
-// first. An end that is never reported, because the claim failed or another
-// entry recorded it, counts as reported once the pause is over and the agent
-// runs no batch task.
+// first. An end may never be reported, because the claim failed or another
+// entry recorded the end. The probe then counts as ended once the pause is over
+// and the agent runs no batch task.
 func (p *placer) probe(now time.Duration, a batch.AgentView) (quarantined, probe bool) {
 	quarantined, due, _ := p.health.Worker(now, a.Instance)
 	pending := p.probes[a.Instance] != ""
@@ -121,16 +122,17 @@
 	case wire.EndDone:
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, true)
 	case wire.EndFailed, wire.EndLost:
-		// A kind that crashes its workers never ends with EndFailed.
+		// EndLost counts, too: a kind that crashes its workers never ends with
+		// EndFailed.
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, false)
 	}
 	p.learnSize(e)
 }
 
 // learnSize learns from the end of a run. A run that was stopped early shows
-// only its use until then, which counts if it is above the expected use. A run
-// that resumed from a checkpoint did a part of the job, so its run time is not
-// that of the whole.
+// only its memory use until then, which counts if it is above the expected use.
+// A run that resumed from a checkpoint did only the rest of the job, so its run
+// time is not counted.
 func (p *placer) learnSize(e batch.End) {
 	customer, spec := e.Job.Customer, e.Job.Spec
 	if e.End == wire.EndDone {
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -74,8 +74,8 @@
 	return sent
 }
 
-// Jobs fail on a worker with a full disk, which is in quarantine. When its
-// probe is due, the worker must get one job, and no second one while a long
+// Jobs fail on a worker with a full disk, and the worker is in quarantine. When
+// a probe is due, the worker must get one job, and no second one while a long
 // probe still runs: each would cost the customer a run.
 func TestWorkerInQuarantineGetsOneTaskAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -106,8 +106,8 @@
 	})
 }
 
-// If the claim of a probe failed, its end is never reported. The probe must
-// then be repeated; otherwise a repaired worker stays idle for ever.
+// If a probe's claim failed, the probe's end is never reported. Another probe
+// must then be sent; otherwise a repaired worker stays idle for ever.
 func TestProbeWithoutReportedEndIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := quarantinedPlacer(t)
@@ -125,7 +125,8 @@
 }
 
 // Run times are learnt from complete runs and replace the declared ones.
-// Partial runs must not be counted, as they make run times and sizes too small.
+// Partial runs must not be counted: they would make run times and sizes too
+// small.
 func TestSizesAreLearntFromCompleteRuns(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	end := func(e wire.TaskEnd, checkpoint string, ran time.Duration, memory int64) {
@@ -161,7 +162,8 @@
 	}
 }
 
-// Guards against starting a kind of job that crashes its workers for ever.
+// Guards against starting, over and over, a kind of job that crashes its
+// workers.
 func TestKindThatCrashesWorkersIsParked(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	for i := range 4 {
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -29,7 +29,8 @@
 }
 
 // newerConfig returns the configuration in force, in the requested form, if it
-// is above revision r, and records r if r is above it.
+// is newer than r. If r is newer, newerConfig records r and has the view
+// confirmed.
 func (e *Entry) newerConfig(r structs.Revision, want wire.ConfigWant) (*structs.Config, *structs.ConfigChange) {
 	if e.contracts.RecordRevision(r) {
 		e.contracts.ConfirmSoon()
