--- a/wire/agent.go
+++ b/wire/agent.go
@@ -20,9 +20,9 @@
 	Service  structs.Service
 	Headers  []Header
 	Body     []byte
-	// Budget is the time for which the caller will still wait.
+	// Budget is how much longer the caller will wait.
 	Budget time.Duration
-	// Revision is the configuration under which the entry decided.
+	// Revision is the configuration revision under which the entry decided.
 	Revision structs.Revision
 }
 
@@ -38,7 +38,7 @@
 	Load Load
 }
 
-// Load is an agent's report on its instance, exact when it was taken.
+// Load is an agent's report on its instance, exact at the time of the report.
 type Load struct {
 	Instance structs.InstanceID
 	// Process is a random name that the agent process chose at its start.
@@ -73,7 +73,7 @@
 }
 
 // CancelRequest notifies an agent that the caller of an urgent call no longer
-// waits. It never frees the slot: only the backend server's answer does.
+// waits. Only the backend server's answer frees the slot.
 type CancelRequest struct {
 	Request structs.RequestID
 }
@@ -86,23 +86,23 @@
 	Tasks []TaskGrant
 }
 
-// TaskGrant is one claimed task: the job row already records that Incarnation
-// of this instance runs it at Epoch.
+// TaskGrant is one claimed task. Its job row already records that Incarnation
+// of this instance runs the task at Epoch.
 type TaskGrant struct {
 	Job         structs.JobID
 	Shard       structs.ShardID
 	Epoch       structs.Epoch
 	Incarnation structs.Incarnation
 	// Instance is the instance that the claim names. An agent of another
-	// instance, to which the address may have been reassigned since, refuses
-	// the grant; an empty Instance is not checked.
+	// instance refuses the grant: the address may have been reassigned since
+	// the claim. An empty Instance is not checked.
 	Instance   structs.InstanceID
 	Customer   structs.Customer
 	Spec       structs.JobSpec
 	Checkpoint string
 }
 
-// StartReply has one entry for each task, nil where it was admitted.
+// StartReply has one entry in Refused for each task, nil if it was admitted.
 type StartReply struct {
 	Refused Refusals
 	Load    Load
@@ -120,13 +120,13 @@
 // TaskRef names one claim of a task.
 type TaskRef struct {
 	Job structs.JobID
-	// Shard routes the report of a claim that the agent doesn't know.
+	// Shard is used to route the report of a claim that the agent doesn't know.
 	Shard structs.ShardID
 	Epoch structs.Epoch
 }
 
-// StopRequest asks an agent to stop tasks. The end of each is reported by a
-// TaskReport, never by this call's reply.
+// StopRequest asks an agent to stop tasks. The end of each task is reported by
+// a TaskReport, never by this call's reply.
 type StopRequest struct {
 	Tasks  []TaskRef
 	Reason StopReason
@@ -144,7 +144,7 @@
 type EventsRequest struct {
 	Request structs.RequestID
 	Job     structs.JobID
-	// After skips events up to this logical time.
+	// After skips events up to and including this logical time.
 	After uint64
 }
 
--- a/wire/client.go
+++ b/wire/client.go
@@ -87,10 +87,10 @@
 
 // connect returns the link's open client, dialling if there is none.
 //
-// Failure guarded against: a peer that hangs still accepts connections, since
-// its kernel does, but never answers. Every caller would wait for the
-// handshake's time-out, whatever its own deadline. So the attempt runs
-// separately, once for all callers, and each waits no longer than its context.
+// Failure guarded against: a peer hangs and never answers, but its kernel still
+// accepts connections. Every caller would wait for the handshake's time-out,
+// whatever the caller's own deadline. So one attempt runs separately for all
+// callers, and each caller waits no longer than its context.
 func (l *link) connect(ctx context.Context) (*rpc.Client, error) {
 	l.mu.Lock()
 	if l.rpc != nil {
@@ -152,9 +152,9 @@
 	return conn, nil
 }
 
-// drop removes a failed client from the link. It closes the connection and
-// never calls rpc.Client.Close: that would end calls in flight with
-// ErrShutdown, which must remain proof that a call was not sent.
+// drop removes a failed client from the link. It closes the connection but
+// never calls rpc.Client.Close, which would end calls in flight with
+// ErrShutdown: that error must remain proof that a call was not sent.
 func (l *link) drop(failed *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,9 +177,9 @@
 	l.dialAttempt = nil
 }
 
-// call runs one RPC. The caller may read reply only if the error is nil, since
-// a late answer may still be written into it; args must not be changed
-// afterwards, since they may not have been sent yet.
+// call runs one RPC. The caller may read reply only if the error is nil: a late
+// answer may still be written into reply. args must not be changed after the
+// call, since they may not have been sent yet.
 func (l *link) call(ctx context.Context, method string, args, reply any) error {
 	for attempt := 0; ; attempt++ {
 		c, err := l.connect(ctx)
@@ -190,8 +190,8 @@
 			return &PeerError{Step: method, Peer: l.address, Err: err}
 		}
 		done := make(chan *rpc.Call, 1)
-		// Go itself writes the request, and a peer that no longer reads blocks
-		// the write beyond the caller's deadline.
+		// Go writes the request itself, and if the peer no longer reads, the
+		// write blocks beyond the caller's deadline.
 		go c.Go(method, args, reply, done)
 		select {
 		case <-ctx.Done():
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -8,7 +8,7 @@
 )
 
 // Clock is a process's logical clock, which orders its events among those of
-// other processes; *events.Ring is one.
+// other processes. *events.Ring implements Clock.
 type Clock interface {
 	// Now returns the logical time of the latest event.
 	Now() uint64
@@ -23,8 +23,8 @@
 func (noClock) Observe(uint64) {}
 
 // requestHeader and responseHeader are net/rpc's headers plus the sender's
-// logical time, so that every message between two processes, whatever its
-// content, orders their events.
+// logical time. So every message between two processes orders their events,
+// whatever its content.
 type requestHeader struct {
 	ServiceMethod string
 	Seq           uint64
@@ -70,7 +70,7 @@
 }
 
 // write sends one message. After a failure the state of the stream is unknown,
-// so write closes the connection, and the other side does not wait for an
+// so write closes the connection. The other side then does not wait for an
 // answer that can't come.
 func (c *codec) write(header, body any) error {
 	err := c.out.Encode(header)
--- a/wire/cut_test.go
+++ b/wire/cut_test.go
@@ -68,9 +68,10 @@
 	}
 }
 
-// The connection to the agent is cut before, during and after the sending of a
-// call, at any byte. If a call that reached the agent failed as "not sent", an
-// entry would retry it at a second agent, and a submission would run twice.
+// Guards against running a submission twice. It came about when the connection
+// to an agent was cut before, during or after the sending of a call, at any
+// byte. If a call that arrived fails as "not sent", the entry retries it at
+// another agent.
 func TestNotSentCallsNeverRan(t *testing.T) {
 	size := int64(len(validFrame(t)))
 	var notSent, sent, answered int
@@ -112,7 +113,8 @@
 }
 
 // An agent was restarted while the connection to it was idle. The next call
-// must go out on a new connection, once, and not fail as if it might have run.
+// must be sent once, on a new connection, and must not fail as if it might have
+// run.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	a := &countingAgent{}
 	s, l := startAgent(t, a)
@@ -141,8 +143,8 @@
 
 // An agent's machine hangs: its kernel accepts connections, but the agent
 // neither handshakes nor reads. Each caller with 50 ms left must be refused in
-// time as not sent, instead of waiting for the handshake's time-out of seconds,
-// one after the other.
+// time as not sent. Otherwise the callers wait one after the other for the
+// handshake's time-out, which is seconds.
 func TestHungPeerDoesNotDelayCallersBeyondDeadline(t *testing.T) {
 	hung := listenLocal(t)
 	c := NewClient([]byte(testSecret), nil, nil)
@@ -169,8 +171,8 @@
 	}
 }
 
-// As above, but the connection exists before the agent hangs, and the bodies
-// fill the sockets' buffers, so that writing blocks, too.
+// As in the test before, but the connection was made before the agent hangs.
+// The bodies fill the sockets' buffers, so that writing blocks, too.
 func TestNonReadingPeerDoesNotDelayCallers(t *testing.T) {
 	l := listenLocal(t)
 	go func() {
@@ -199,7 +201,7 @@
 }
 
 // The peer hangs permanently while a message is written to it. The write must
-// fail within a bound and close the connection; else later messages wait
+// fail within a bound and close the connection. Otherwise later messages wait
 // forever.
 func TestStalledWriteClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -217,9 +219,9 @@
 	})
 }
 
-// Shutdown is called while the server sends its part of a handshake, whose end
-// removes the deadlines from the connection. Shutdown must not wait for this
-// idle connection until its bound and then close others.
+// Shutdown is called while the server sends its part of a handshake. After it
+// the server removes the connection's deadlines. Shutdown must not wait for
+// this idle connection until the context ends and then close others.
 func TestShutdownDuringAHandshake(t *testing.T) {
 	s, _ := startAgent(t, &countingAgent{})
 	client, server := net.Pipe()
@@ -279,7 +281,7 @@
 func (c *steppingClock) Observe(logical uint64) { c.now.Store(max(logical, c.now.Load())) }
 
 // Two processes record events of one call. The time line must show the agent's
-// events between the entry's, so request and reply carry the clocks.
+// events between the entry's events, so request and reply carry the clocks.
 func TestMessagesCarryLogicalClocks(t *testing.T) {
 	entry, agent := &steppingClock{}, &steppingClock{}
 	entry.now.Store(40)
--- a/wire/entry.go
+++ b/wire/entry.go
@@ -12,15 +12,15 @@
 	Zone    structs.DataCentre
 	Load    Load
 	// Omitted identifies the parts that are left out of this message because
-	// the entry has kept them from an earlier one.
+	// the entry has kept them from an earlier message.
 	Omitted HelloSums
-	// Entries is the EntriesSum of the list that this entry sent last.
+	// Entries is the EntriesSum of the list that the receiving entry sent last.
 	Entries uint64
-	// Revision is the configuration that the agent holds.
+	// Revision is the revision of the configuration that the agent holds.
 	Revision structs.Revision
 	// Want is the form in which the agent wants a newer configuration.
 	Want ConfigWant
-	// Lease is the incarnation of the agent's batch lease, 0 without one.
+	// Lease is the incarnation of the agent's batch lease, 0 without a lease.
 	Lease structs.Incarnation
 	// Samples are measurements since the last heartbeat to this entry, at most
 	// one for each service.
@@ -48,16 +48,16 @@
 	// Next is the time until the agent's next heartbeat. The entry increases it
 	// with the number of agents, to stay within its traffic budget.
 	Next time.Duration
-	// Entries are the addresses of all entries that this entry knows; empty if
-	// the agent already has this list from it.
+	// Entries are the addresses of all entries that this entry knows. Entries
+	// is empty if this entry has already sent the list to the agent.
 	Entries []string
-	// Kept says that the entry has stored the load and that its parts may be
-	// omitted from the next heartbeats. Without it, the agent sends a heartbeat
-	// that omitted a part again as a whole: the entry lacks the part or is of
-	// an earlier release, which never sets Kept.
+	// Kept says that the entry has stored the load, and that its parts may be
+	// omitted from the next heartbeats. Without Kept, the agent repeats in full
+	// a heartbeat that omitted a part: the entry lacks the part, or is of an
+	// earlier release, which never sets Kept.
 	Kept bool
-	// Config or Change is set, as the agent's Want selects, when the agent's
-	// configuration is older.
+	// Config or Change is set if the agent's configuration is older; the
+	// agent's Want selects which.
 	Config *structs.Config
 	Change *structs.ConfigChange
 }
@@ -65,31 +65,31 @@
 // ConfigWant is the form in which a process wants a newer configuration.
 type ConfigWant uint8
 
-// The forms. A process of an earlier release sends none of them and receives
-// the whole configuration.
+// The forms. A process of an earlier release sends no form and receives the
+// whole configuration.
 const (
 	// WantWhole: the whole configuration.
 	WantWhole ConfigWant = iota
 	// WantChange: the change from the revision held, or the whole configuration
 	// if the answering entry can't determine the change.
 	WantChange
-	// WantOnlyChange: the change or nothing; the process reads the table
-	// service itself.
+	// WantOnlyChange: the change or nothing; without a change, the process
+	// reads the table service itself.
 	WantOnlyChange
 )
 
 // TaskEnd is the way in which a claim of a task ended.
 type TaskEnd string
 
-// The ends of a claim. All but Done put the job back in the queue, unless it
-// was cancelled or has failed too often.
+// The ends of a claim. All but EndDone put the job back in the queue, unless
+// the job was cancelled or has failed too often.
 const (
 	EndDone       TaskEnd = "done"
 	EndFailed     TaskEnd = "failed"
 	EndEvicted    TaskEnd = "evicted"
 	EndCancelled  TaskEnd = "cancelled"
 	EndNotStarted TaskEnd = "not_started"
-	// EndLost: the worker no longer has the task, which may have crashed it.
+	// EndLost: the worker no longer has the task; the task may have crashed it.
 	EndLost TaskEnd = "lost"
 )
 
@@ -103,24 +103,24 @@
 	Result     string
 	Checkpoint string
 	Error      string
-	// Used is the peak measured use of the task, for learning sizes.
+	// Used is the peak measured use of the task, for learning task sizes.
 	Used structs.Resources
 	// Ran is the run time of this claim, for learning run times; 0 if unknown.
 	Ran time.Duration
 }
 
-// ReportRequest carries the ends that have not been acknowledged to the agent.
-// The agent repeats each until it is acknowledged.
+// ReportRequest carries the ends of claims that have not been acknowledged yet.
+// The agent repeats each end until it is acknowledged.
 type ReportRequest struct {
 	Instance structs.InstanceID
 	Reports  []TaskReport
-	// Load is taken after the tasks' slots were freed, so that the next claim
-	// need not wait for a heartbeat.
+	// Load is measured after the tasks' slots were freed, so that the next
+	// claim need not wait for a heartbeat.
 	Load Load
 }
 
-// ReportReply acknowledges, by index, each report that is in the table service
-// or is void by its epoch, but none of other entries' shards.
+// ReportReply acknowledges reports by index: each that is in the table service
+// or void because of its epoch, but none of another entry's shard.
 type ReportReply struct {
 	Settled []bool
 }
@@ -143,7 +143,7 @@
 	Jobs     []structs.JobID
 }
 
-// CancelJobsReply has one entry for each job.
+// CancelJobsReply has one entry in each slice for each job.
 type CancelJobsReply struct {
 	Jobs    []structs.Job
 	Refused Refusals
--- a/wire/handshake.go
+++ b/wire/handshake.go
@@ -21,8 +21,8 @@
 // ErrPeerSecret says that the other side does not know the shared secret.
 var ErrPeerSecret = errors.New("wire: the peer does not know the shared secret")
 
-// proof is the HMAC-SHA-256 of both nonces under the shared secret. It covers
-// the role, so that a proof can't be reflected to its sender.
+// proof is the HMAC-SHA-256 of the role and both nonces under the shared
+// secret. With the role, a proof can't be reflected to its sender.
 func proof(secret []byte, role string, server, client []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte(role))
@@ -32,7 +32,7 @@
 }
 
 // serverHandshake runs the server's side: it sends a nonce, checks the client's
-// proof and answers with its own, under the secret that the client used.
+// proof and sends the server's proof under the secret that the client used.
 func serverHandshake(c net.Conn, secrets [][]byte) error {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
--- a/wire/intruder_test.go
+++ b/wire/intruder_test.go
@@ -93,7 +93,8 @@
 }
 
 // 10,000 connections send malformed frames, half of them after a valid
-// handshake. The process must continue to serve, and its memory must not grow.
+// handshake. The process must continue to serve, and its heap must not grow
+// beyond heapBound.
 func TestMalformedFramesLeakNothing(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
 	random := mathrand.New(mathrand.NewPCG(3, 4))
@@ -148,8 +149,8 @@
 }
 
 // A faulty peer that knows the secret announces huge messages and sends no
-// more. Each may allocate one step of encoding/gob's reader in advance, 10 MiB,
-// but not the announced length.
+// more. For each message encoding/gob's reader may allocate one step in
+// advance, 10 MiB, but not the announced length.
 func TestHugeLengthsDoNotExhaustMemory(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
 	before := heapBytes()
@@ -167,7 +168,7 @@
 	}
 }
 
-// failingListener reports at the first Accept that no file descriptor is left.
+// failingListener fails the first Accept for lack of file descriptors.
 type failingListener struct {
 	net.Listener
 	failed bool
@@ -181,8 +182,8 @@
 	return l.Listener.Accept()
 }
 
-// Unauthenticated hosts exhaust the file descriptors for a moment, and then
-// open connections without sending. Peers must be served again afterwards, and
+// Unauthenticated hosts exhaust the file descriptors for a moment and then open
+// connections without sending. Peers must be served again afterwards, and
 // connections beyond the limit must be closed at once.
 func TestConnectionFloodDoesNotEndServing(t *testing.T) {
 	s := NewServer([]byte(testSecret), nil)
@@ -211,7 +212,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// validFrame returns a client's bytes for one call after its handshake.
+// validFrame returns the bytes of a client's call after its handshake.
 func validFrame(t testing.TB) []byte {
 	t.Helper()
 	var sent bytes.Buffer
@@ -223,7 +224,7 @@
 	request := CallRequest{Request: "r", Headers: []Header{{"a", "b"}}, Body: []byte("body"), Budget: time.Second}
 	<-c.Go("Agent.Call", request, &CallReply{}, nil).Done
 	if sent.Len() == 0 {
-		// The client detected the end of its empty answer first.
+		// The client read the end of its empty input before it sent the call.
 		return validFrame(t)
 	}
 	return sent.Bytes()
--- a/wire/omit.go
+++ b/wire/omit.go
@@ -72,7 +72,8 @@
 	return 0
 }
 
-// writeText writes the length of s and s, so that no two lists write the same.
+// writeText writes the length of s and then s, so that different lists never
+// write the same bytes.
 func writeText(w io.Writer, s string) {
 	writeNumbers(w, uint64(len(s)))
 	_, _ = io.WriteString(w, s)
@@ -107,10 +108,10 @@
 // Restore fills in the omitted parts of r from a kept heartbeat.
 //
 // Failure guarded against: an entry that was restarted, or has received another
-// heartbeat meanwhile, uses an outdated or empty part as the current one and
-// places work on capacity that is no longer free. A part is identified by its
-// contents, not by its time of sending, so a kept part either is the omitted
-// one or does not match; then ok is false, and the agent sends the whole.
+// heartbeat meanwhile, uses an outdated or empty part as the current one. It
+// places work on capacity that is no longer free. So a part is identified by
+// its contents, not by its time of sending. If a kept part does not match the
+// omitted one, ok is false, and the agent sends the whole heartbeat.
 func (r HelloRequest) Restore(kept HelloRequest) (whole HelloRequest, ok bool) {
 	sums := kept.Sums()
 	if r.Omitted.Sender != 0 {
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -6,7 +6,7 @@
 )
 
 // AgentPeer is the remote interface of an agent. Every method returns a
-// *PeerError when the exchange itself failed; a refusal by the agent is a field
+// *PeerError if the exchange itself failed. A refusal by the agent is a field
 // of the reply.
 type AgentPeer interface {
 	Call(ctx context.Context, r CallRequest) (CallReply, error)
@@ -30,8 +30,8 @@
 	Events(ctx context.Context, r EventsRequest) (EventsReply, error)
 }
 
-// Dialer returns peers by address ("ip:port"). It never blocks; a peer connects
-// at its first call and again after a failure.
+// Dialer returns peers by address ("ip:port"). Its methods never block: a peer
+// connects at its first call and again after a failure.
 type Dialer interface {
 	Agent(address string) AgentPeer
 	Entry(address string) EntryPeer
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -102,7 +102,7 @@
 func TestMain(m *testing.M) {
 	// net/rpc logs each malformed frame.
 	log.SetOutput(io.Discard)
-	// The same cases in every run; -rapid.seed=0 draws others.
+	// Every run draws the same cases; -rapid.seed=0 draws others.
 	flag.Set("rapid.seed", "1")
 	m.Run()
 }
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -7,13 +7,13 @@
 	"persimmonrock.example/structs"
 )
 
-// Refusals has one entry for each item of a request, nil where the item was
+// Refusals has one entry for each item of a request, nil if the item was
 // accepted.
 //
 // Failure guarded against: gob can't encode a nil element of a slice of
-// pointers. net/rpc then closes the connection instead of answering; the caller
+// pointers. net/rpc then closes the connection instead of answering. The caller
 // takes the request for sent and lost, and every other call on the connection
-// fails. So the entries are sent as values, an empty one for nil.
+// fails. So the entries are sent as values, and an empty value stands for nil.
 type Refusals []*structs.Refusal
 
 // GobEncode implements gob.GobEncoder.
--- a/wire/server.go
+++ b/wire/server.go
@@ -25,7 +25,7 @@
 type countedConn struct {
 	net.Conn
 	count *ByteCount
-	// deadlineMoved is the time of the last deadline change, in nanoseconds.
+	// deadlineMoved is the Unix time of the last deadline change, in ns.
 	deadlineMoved atomic.Int64
 }
 
@@ -35,14 +35,14 @@
 	return n, err
 }
 
-// Write fails when the peer has not accepted p within stallTimeout, or up to
-// twice as long, since not every write moves the deadline.
+// Write fails when the peer has not accepted p within stallTimeout to twice
+// stallTimeout. The time varies because not every write moves the deadline.
 //
-// Failure guarded against: a peer that hangs no longer reads, and the first
-// write that fills the sockets' buffers would block forever, with the
-// connection's lock held and every later message behind it. A failed write
-// closes the connection, so that the reading side notices and the next call
-// uses a new connection.
+// Failure guarded against: a peer that hangs no longer reads. The first write
+// that fills the sockets' buffers would block forever while holding the
+// connection's lock, and every later message would wait behind it. A failed
+// write closes the connection, so that the reading side notices and the next
+// call uses a new connection.
 func (c *countedConn) Write(p []byte) (int, error) {
 	now := time.Now()
 	if now.UnixNano()-c.deadlineMoved.Load() > int64(stallTimeout) {
@@ -58,9 +58,9 @@
 }
 
 const (
-	// maxHandshakes bounds the unauthenticated connections, which may last
-	// until the handshake's time-out. All agents reconnecting at once stay well
-	// below.
+	// maxHandshakes bounds the unauthenticated connections, each of which may
+	// last until the handshake's time-out. Even if all agents reconnect at
+	// once, their connections stay well below the limit.
 	maxHandshakes = 2048
 	// acceptRetryDelay is the delay after a temporary failure to accept.
 	acceptRetryDelay = 10 * time.Millisecond
@@ -84,8 +84,8 @@
 	// handshakes is the number of connections in their handshake.
 	handshakes atomic.Int64
 
-	// Rejected counts connections that failed the handshake or arrived while
-	// too many were in it, AcceptFailed temporary failures to accept.
+	// Rejected counts connections that failed the handshake or exceeded
+	// maxHandshakes, AcceptFailed temporary failures to accept.
 	Rejected, AcceptFailed atomic.Int64
 }
 
@@ -104,8 +104,8 @@
 	return s
 }
 
-// AlsoAccept admits peers that prove a second secret, while the secret is being
-// changed. It is called before Serve and returns s; nil changes nothing.
+// AlsoAccept admits peers that prove a second secret, during a change of the
+// secret. It is called before Serve and returns s; nil changes nothing.
 func (s *Server) AlsoAccept(secret []byte) *Server {
 	if secret != nil {
 		s.secrets = append(s.secrets, secret)
@@ -114,7 +114,7 @@
 }
 
 // agentService and entryService expose only the declared API to net/rpc, which
-// would log a complaint about other methods of a receiver.
+// would log other methods of a receiver as unsuitable.
 type agentService struct{ AgentAPI }
 type entryService struct{ EntryAPI }
 
@@ -127,8 +127,8 @@
 // transient reports whether a later accept may succeed.
 //
 // Failure guarded against: somebody opens so many connections that the process
-// temporarily has no file descriptor left. Treated as the end of the listener,
-// this would leave the process unreachable for its peers until it is restarted.
+// temporarily has no file descriptor left. If this error ended the listener,
+// the process would be unreachable for its peers until it is restarted.
 func transient(err error) bool {
 	for _, temporary := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, temporary) {
@@ -194,11 +194,12 @@
 	s.rpc.ServeCodec(newCodec(counted, s.clock))
 }
 
-// expireIfClosing repeats for c what Shutdown does to each connection.
+// expireIfClosing does for c what Shutdown does to each connection.
 //
-// Failure guarded against: Shutdown is called during a handshake, whose end
-// removes the read deadline again. Shutdown would wait for this idle connection
-// until its context ends, and then close the connections of running calls.
+// Failure guarded against: Shutdown is called during a handshake, and the end
+// of the handshake removes the read deadline again. Shutdown would wait for
+// this idle connection until its context ends, and then close the connections
+// of running calls.
 func (s *Server) expireIfClosing(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,9 +214,9 @@
 	delete(s.conns, c)
 }
 
-// Shutdown stops reading requests, lets running handlers write their replies,
-// and returns when all have finished, or with ctx's error. The caller first
-// ensures that peers were notified to send no more requests.
+// Shutdown stops reading requests and lets running handlers write their
+// replies. It returns when all have finished, or with ctx's error. The caller
+// must first have notified the peers to send no more requests.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
