--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -18,8 +18,7 @@
 // AnyRevision is the Change.IfMatch of an unconditional change.
 const AnyRevision structs.Revision = 0
 
-// NoContract is the Change.IfMatch that requires that the customer has no
-// contract.
+// NoContract is the Change.IfMatch that requires that no contract exists.
 const NoContract = ^structs.Revision(0)
 
 // Change is one operator's change of one customer's contract.
--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -191,11 +191,10 @@
 	})
 }
 
-// Guards against reverting an accepted change. It came about when a message
-// with an older configuration arrived after a newer one was in force, or when
-// an operator changed a recreated contract that they had read before its
-// deletion. Messages overtake each other, and row versions restart after a
-// delete.
+// Guards against reverting an accepted change. It came about when an older
+// configuration arrived after a newer one was in force, or an operator changed
+// a recreated contract that they had read before its deletion. Messages
+// overtake each other, and row versions restart after a delete.
 func TestOlderConfigurationIsRefused(t *testing.T) {
 	n := newNode(memory.NewTable(), nil, 1)
 	old := mustApply(t, n, change("kowhai", 0.1, NoContract, "0"))
@@ -211,9 +210,9 @@
 }
 
 // Several entries and operators make changes under all faults of the store at
-// once. No view's revision may decrease, and every acknowledged change must be
-// in every view's history. All views must agree within seconds after the faults
-// end.
+// once. No view's revision may decrease, every acknowledged change must be in
+// every view's history, and all views must agree within seconds after the
+// faults end.
 func TestRandomisedChangesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) { runRandomised(t, rt) })
--- a/entry/contracts/operations.go
+++ b/entry/contracts/operations.go
@@ -15,8 +15,7 @@
 )
 
 // recentOperations is the number of accepted operations that the table keeps.
-// At 3,200 changes a day, an operator can repeat a change for about half an
-// hour.
+// At 3,200 changes a day, a change can be repeated for about half an hour.
 const recentOperations = 64
 
 // operationsRow is the value of structs.OperationsKey. Only changes read it, so
--- a/entry/contracts/view.go
+++ b/entry/contracts/view.go
@@ -22,7 +22,7 @@
 	mu sync.Mutex
 	// highestKnown is the highest revision known to this process.
 	highestKnown structs.Revision
-	// attempted is the end of the last confirmation, whether it succeeded or
+	// attempted is the end of the last attempt at a confirmation, failed or
 	// not.
 	attempted time.Time
 	// confirmed is the time at which the table service last confirmed that
@@ -115,8 +115,7 @@
 	}
 }
 
-// state returns the values by which Serve decides whether it may serve the
-// view.
+// state returns the values by which Serve decides whether to serve.
 func (v *View) state() (attempted, confirmed time.Time, behind bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/entry/directory/entries.go
+++ b/entry/directory/entries.go
@@ -85,9 +85,8 @@
 	return newest
 }
 
-// Announce notifies all other entries that revision r has been accepted. It
-// ignores errors: an entry that is not notified finds the revision at its next
-// poll.
+// Announce notifies all other entries that revision r has been accepted. Errors
+// are ignored: an entry that is not reached polls the revision later.
 func (d *Directory) Announce(ctx context.Context, r structs.Revision) {
 	var wait sync.WaitGroup
 	for _, address := range d.others() {
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -38,8 +38,7 @@
 	Counter uint64          `json:"counter"`
 }
 
-// observedRow is a row's latest version and the time of that version's first
-// read.
+// observedRow holds a row's latest version, which was first read at changed.
 type observedRow struct {
 	row     memberRow
 	version uint64
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -188,9 +188,8 @@
 //
 // Failure guarded against: a caller sends its next request on a connection that
 // was kept open, just as the server closes the connection; the caller sees a
-// reset. During refusalPeriod each such request gets a refusal, after which the
-// connection is closed cleanly, and the balancer sees that the entry is not
-// ready.
+// reset. During refusalPeriod each such request gets a refusal before the
+// connection is closed, and the balancer sees that the entry is not ready.
 const refusalPeriod = time.Second
 
 // Drain carries out a planned stop. It refuses new requests with proof that
--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -17,9 +17,8 @@
 )
 
 const (
-	// configWait bounds the time for which the store holds a feed back, and so
-	// the time until a silent connection is noticed. A change must be in force
-	// within 2 s.
+	// configWait bounds how long the store holds a feed back, and so when a
+	// silent connection is noticed. A change must be in force within 2 s.
 	configWait = 500 * time.Millisecond
 	// feedIdleTimeout ends a feed that receives nothing for this long beyond
 	// its wait. The rows are then listed instead: a feed would deliver every
@@ -108,8 +107,7 @@
 // Drains returns the drained data centres and the time since the store last
 // confirmed them.
 func (f *Follower) Drains() (workload.Drains, time.Duration) {
-	// The age is read before the drains: read afterwards, it could be the age
-	// of a later answer.
+	// The age is read first; later it could belong to a newer answer.
 	age := f.now() - time.Duration(f.confirmed.Load())
 	return *f.drains.Load(), age
 }
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -311,8 +311,7 @@
 	}
 }
 
-// pauseRetry pauses before a repeated read and reports whether ctx is still
-// valid.
+// pauseRetry pauses before a repeated read and reports whether ctx is valid.
 func (s *Service) pauseRetry(ctx context.Context) bool {
 	wait.For(ctx, writePause)
 	return ctx.Err() == nil
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -87,8 +87,7 @@
 	return out
 }
 
-// probe reports whether the instance is in quarantine and whether it may be
-// sent a probe.
+// probe reports whether the instance is in quarantine and whether to probe it.
 //
 // Failure guarded against: a probe runs for longer than the pause between
 // probes, and a worker that fails what it starts is sent a second job and a
@@ -122,8 +121,7 @@
 	case wire.EndDone:
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, true)
 	case wire.EndFailed, wire.EndLost:
-		// EndLost counts, too: a kind that crashes its workers never ends with
-		// EndFailed.
+		// A job that crashes its worker ends with EndLost, never EndFailed.
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, false)
 	}
 	p.learnSize(e)
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -125,8 +125,7 @@
 }
 
 // Run times are learnt from complete runs and replace the declared ones.
-// Partial runs must not be counted: they would make run times and sizes too
-// small.
+// Partial runs must not count: they would lower run times and sizes.
 func TestSizesAreLearntFromCompleteRuns(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	end := func(e wire.TaskEnd, checkpoint string, ran time.Duration, memory int64) {
@@ -162,8 +161,7 @@
 	}
 }
 
-// Guards against starting, over and over, a kind of job that crashes its
-// workers.
+// Guards against endless restarts of a kind of job that crashes its workers.
 func TestKindThatCrashesWorkersIsParked(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	for i := range 4 {
--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -120,8 +120,7 @@
 	r.idlePeriods++
 }
 
-// checkDirect checks whether this machine is the only one that the store does
-// not answer.
+// checkDirect checks whether the store answers other entries but not this one.
 func (r *race) checkDirect(ctx context.Context) {
 	found := r.relay.compare(ctx)
 	if found != directAnswers {
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -26,8 +26,7 @@
 
 // Reader returns a reader with the given direct path, which may have longer
 // time-outs. Its answers are large, so other entries are used only if the
-// direct path fails, or if another entry gets an answer and the direct path
-// does not.
+// direct path fails or gets no answer while another entry does.
 func (s *Store) Reader(direct rowstore.Reader) *Reader {
 	return &Reader{relay: s, direct: direct, directFirst: true}
 }
@@ -56,8 +55,8 @@
 // longer than a single one.
 //
 // A feed answers after its wait at the latest, and one feed is always pending.
-// So when the store stops answering this machine, a feed is the first call to
-// time out.
+// So a feed is the first call to time out when the store stops answering this
+// machine.
 func (r *Reader) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]rowstore.Row, rowstore.Stamp, error) {
 	end := time.Now().Add(wait)
 	remaining := func() time.Duration { return max(0, time.Until(end)) }
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -81,8 +81,7 @@
 
 type peer struct {
 	link *dispatch.Link
-	// avoidUntil is the end of the avoidance; failures counts consecutive
-	// failures.
+	// avoidUntil ends the avoidance; failures counts consecutive failures.
 	avoidUntil time.Time
 	failures   int
 }
--- a/entry/relay/ways.go
+++ b/entry/relay/ways.go
@@ -107,10 +107,9 @@
 }
 
 // applyWithFallback makes a transaction directly and then through another
-// entry, or, while the direct path is lost, through one entry and then a second
-// one (directly if there is none). A transaction that is tried twice carries
-// conditions, so that at most one attempt takes effect and the other returns a
-// conflict.
+// entry. While the direct path is lost, it uses two other entries, or one and
+// then the direct path. A transaction that is tried twice carries conditions,
+// so that at most one attempt takes effect and the other returns a conflict.
 func (s *Store) applyWithFallback(ctx context.Context, direct func() answer, peerCall func(*dispatch.Link) answer) answer {
 	callDirect := func() answer { return s.callDirect(ctx, direct) }
 	p := s.choosePeer(nil)
@@ -220,8 +219,8 @@
 	}
 }
 
-// lostSignal returns a channel that is closed when the direct path is lost, or
-// nil while it is lost.
+// lostSignal returns a channel that is closed on the loss of the direct path,
+// or nil while the path is lost.
 func (s *Store) lostSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -29,8 +29,7 @@
 }
 
 // newerConfig returns the configuration in force, in the requested form, if it
-// is newer than r. If r is newer, newerConfig records r and has the view
-// confirmed.
+// is newer than r. If r is newer, r is recorded and a confirmation starts.
 func (e *Entry) newerConfig(r structs.Revision, want wire.ConfigWant) (*structs.Config, *structs.ConfigChange) {
 	if e.contracts.RecordRevision(r) {
 		e.contracts.ConfirmSoon()
