--- a/wire/dispatch/agentrow.go
+++ b/wire/dispatch/agentrow.go
@@ -10,21 +10,22 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// AgentsTable holds one row per agent. The version of the row that a process
-// writes at its start is its fencing token, higher than that of earlier
-// processes.
+// AgentsTable holds one row per agent. Each agent process writes the row at its
+// start. The written version is the process's fencing token, higher than those
+// of earlier processes.
 const AgentsTable = "agents"
 
-// agentParts is the number of parts that hold the agents' rows. After a power
-// loss all agents write theirs at once, and none accepts orders before its row
-// is written: with one part the last of 240 waits for two seconds.
+// agentParts is the number of partitions that hold the agents' rows. After a
+// power loss all agents write their rows at once, and none accepts orders
+// before its row is written. With one partition the last of 240 waits for two
+// seconds.
 const agentParts = 32
 
-// agentPart names a part of the agents' rows. The letter separates it from the
-// parts of other tables, whose transactions would delay it.
+// agentPart names a partition of the agents' rows. The letter separates it from
+// the partitions of other tables, whose transactions would delay it.
 func agentPart(n int) string { return "a" + strconv.Itoa(n) }
 
-// AgentParts returns the parts of AgentsTable.
+// AgentParts returns the partitions of AgentsTable.
 func AgentParts() []string {
 	parts := make([]string, agentParts)
 	for n := range parts {
@@ -42,7 +43,7 @@
 type AgentRow struct {
 	Address string `json:"a"`
 	// Worker is the incarnation of the worker that the agent last found. The
-	// agent's next process contacts it without waiting for its report.
+	// agent's next process contacts this worker without waiting for its report.
 	Worker workload.Worker `json:"w,omitzero"`
 }
 
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -17,19 +17,20 @@
 	dialTimeout = 600 * time.Millisecond
 	// keepAlive is the interval of probes for dead peers on idle connections.
 	keepAlive = time.Second
-	// redialDelay is the time for which later calls get a failed dial's error.
+	// redialDelay is the time after a failed dial in which calls get its error.
 	redialDelay = 60 * time.Millisecond
 )
 
 // ErrTimeout says that a call was not answered in time; the peer may have run
-// it.
+// the call.
 var ErrTimeout = errors.New("no answer in time")
 
-// ErrNotSent says that there was no connection to send the call on.
+// ErrNotSent says that there was no connection on which to send the call.
 var ErrNotSent = errors.New("not sent")
 
 // Link is a connection to one peer that is replaced when it breaks. A call that
-// times out closes it: a connection may stay unresponsive while new ones work.
+// times out closes the connection: it may stay unresponsive while new ones
+// work.
 type Link struct {
 	address string
 	dial    func(ctx context.Context) (net.Conn, error)
@@ -40,8 +41,8 @@
 }
 
 // attempt is one dial, shared by all calls that need a connection during it. A
-// call waits for it no longer than for its own answer: calls to an unreachable
-// peer would otherwise queue up behind one another's dials.
+// call waits for the dial no longer than for its own answer. Otherwise calls to
+// an unreachable peer would queue up behind one another's dials.
 type attempt struct {
 	done   chan struct{}
 	client *rpc.Client
@@ -65,7 +66,7 @@
 // Address returns the peer's address.
 func (l *Link) Address() string { return l.address }
 
-// Close closes the connection; a later call dials anew.
+// Close closes the connection; a later call dials again.
 func (l *Link) Close() { l.drop(nil) }
 
 // Call makes one call and waits up to timeout for its answer.
@@ -142,7 +143,7 @@
 	l.attempt = nil
 }
 
-// drop closes client if the link still uses it; nil closes any client.
+// drop closes client if the link still uses it. A nil client stands for any.
 func (l *Link) drop(client *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/wire/dispatch/link_test.go
+++ b/wire/dispatch/link_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// The scheduler's machine is permanently unreachable. If each state request of
-// the entries dialled by itself behind the others, the entries' watch of the
-// scheduler, which uses the same link, would take longer and longer, and no
-// entry would take over.
+// Guards against a permanently unreachable scheduler that no entry replaces. It
+// came about when each state request dialled by itself, behind the others: the
+// entries' watch of the scheduler uses the same link and took longer and
+// longer.
 func TestCallsToUnreachablePeerDoNotQueueUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLink("peer")
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -8,20 +8,20 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Claim identifies the scheduler's term in its calls to an agent.
+// Claim identifies the scheduler's term in the scheduler's calls to an agent.
 type Claim struct {
 	// Epoch identifies the term; agents obey the highest epoch received.
 	Epoch uint64
 	// Process is the agent process that last answered the scheduler.
 	Process uint64
-	// Echo is that process's clock in its latest answer. The agent counts the
-	// grant from there, so that a delayed call extends nothing.
+	// Echo is that process's clock in its latest answer. The agent counts Grant
+	// from this time, so that a delayed call extends nothing.
 	Echo time.Duration
 	// Grant is the time after Echo for which the worker's lease may last.
 	Grant time.Duration
 	// Drained says that nothing may start on the agent's worker, since its data
-	// centre is drained, as of DrainsVersion. The agent keeps the value of the
-	// highest version; version 0 carries no value.
+	// centre is drained as of DrainsVersion. The agent keeps the value of the
+	// highest DrainsVersion; version 0 carries no value.
 	Drained       bool
 	DrainsVersion uint64
 }
@@ -40,13 +40,13 @@
 	TailTarget time.Duration
 	Checkpoint string
 	Ticket     string
-	// Gang says that the run works only together with others.
+	// Gang says that the run works only together with the gang's other runs.
 	Gang bool
-	// Watched requests a report when the run is proven, since a worker has
-	// crashed under an earlier run of its task.
+	// Watched requests a report when the run is proven not to crash its worker:
+	// an earlier run of its task was on a worker that crashed.
 	Watched bool
-	// Estimate is the client's estimate of the run time of a task that ends by
-	// itself and works at its own pace; 0 for all others.
+	// Estimate is the client's estimate of the run time, for a task that ends
+	// by itself and works at its own pace; 0 for all other tasks.
 	Estimate time.Duration
 }
 
@@ -62,8 +62,8 @@
 	Stops    []workload.RunID
 }
 
-// OrderReply says whether the agent accepted the orders. Watch reports the
-// result of each.
+// OrderReply says whether the agent accepted the orders. The result of each
+// order follows in a WatchReply.
 type OrderReply struct {
 	Refused Refusal
 }
@@ -77,37 +77,37 @@
 	RefusedEpoch Refusal = "newer scheduler"
 	// RefusedProcess: the orders are meant for another process of the agent.
 	RefusedProcess Refusal = "another process"
-	// RefusedWorker: the worker is a new incarnation.
+	// RefusedWorker: the worker is another incarnation, or none is known.
 	RefusedWorker Refusal = "another life of the worker"
-	// RefusedGrant: the grant of the orders has expired.
+	// RefusedGrant: the grant has expired, or the orders are too old.
 	RefusedGrant Refusal = "grant has run out"
 )
 
 // WatchArgs requests the changes at an agent.
 type WatchArgs struct {
 	Claim
-	// Since is the version of that process's last answer; 0 requests all.
+	// Since is the version of Process's last answer; 0 requests all changes.
 	Since uint64
-	// Seen is the End.Number up to which Worker's ends are stored.
+	// Worker is the incarnation to which Seen refers; see OrderArgs.
 	Worker workload.WorkerID
 	Seen   uint64
-	// Wait is the maximum time for which the answer may wait for a change.
+	// Wait bounds the time for which the answer may wait for a change.
 	Wait time.Duration
 	// SampleEvery is the time between samples of tail latency; 0 disables them.
 	SampleEvery time.Duration
 	// SampleUnknown is the interval while it is unknown whether a filling task
-	// presses on a serving task beside it.
+	// slows a serving task beside it.
 	SampleUnknown time.Duration
-	// Pressure holds the learnt weights of the worker's images, if changed.
+	// Pressure holds the learnt PairWeights of the worker's images, if changed.
 	Pressure []PairWeight
 	// Base is the lowest observed tail latency by serving image, in ms.
 	Base map[string]float64
-	// Order lists the jobs with filling runs on the worker in the order in
-	// which they are worked on, if it has changed.
+	// Order lists the jobs with filling runs on the worker, in the order in
+	// which they are worked on, if the order has changed.
 	Order []workload.JobID
 }
 
-// PairWeight is the degree to which a filling image presses on a serving one.
+// PairWeight is how strongly a filling image slows a serving one.
 type PairWeight struct {
 	Serving string
 	Filling string
@@ -129,7 +129,7 @@
 	Tail float64
 }
 
-// FillingSample is the share of the worker that an image used.
+// FillingSample is the share of the worker that a filling image used.
 type FillingSample struct {
 	Image string
 	Used  float64
@@ -142,17 +142,17 @@
 	// At is the agent's clock when it sent the answer.
 	At      time.Duration
 	Version uint64
-	// Worker is the current worker; its ID is empty while none is known.
+	// Worker is the current worker; its ID is empty while no worker is known.
 	Worker workload.Worker
-	// Listed says that the worker's lists were read and that it answers.
+	// Listed says that the worker answers and that its lists were read.
 	Listed bool
 	// Lapsed says that the worker was unresponsive until its last lease
-	// expired: nothing runs there.
+	// expired, so that nothing runs there.
 	Lapsed bool
 	// Former lists earlier incarnations that are known to have ended.
 	Former []workload.WorkerID
-	// Fresh lists the runs that may have crashed one of these incarnations, or
-	// the worker that has lapsed. They are repeated until read.
+	// Fresh lists the runs that may have crashed an incarnation in Former, or
+	// the lapsed worker. The list is repeated until it is read.
 	Fresh []FreshRun
 	Runs  []RunReport
 	Ends  []workload.End
@@ -160,9 +160,10 @@
 	Sample *TailSample
 }
 
-// FreshRun is a run that may have crashed its worker. Begun says that it was
-// certainly there, and not for long; else its order may have arrived too late.
-// Soon says that the worker stopped answering shortly after the run's start.
+// FreshRun is a run that may have crashed its worker. Begun says that the run
+// was certainly on the worker, and not for long; else its order may have come
+// too late. Soon says that the worker stopped answering shortly after the run's
+// start.
 type FreshRun struct {
 	Run   workload.RunID
 	Begun bool
@@ -174,11 +175,11 @@
 
 // The states of a run at its agent.
 const (
-	// RunPending: ordered, and the worker has not confirmed it.
+	// RunPending: the run is ordered, and the worker has not confirmed it.
 	RunPending RunState = iota
-	// RunPresent: on the worker.
+	// RunPresent: the run is on the worker.
 	RunPresent
-	// RunVoid: not on the worker, and never will be.
+	// RunVoid: the run is not on the worker and never will be.
 	RunVoid
 )
 
@@ -207,9 +208,9 @@
 // StateArgs requests a job's state.
 type StateArgs struct{ ID workload.JobID }
 
-// StateReply is the state known to the process. Leading is false if the process
-// is not the scheduler; Known is false if it has no such job, which does not
-// prove that there is none.
+// StateReply is the state known to the answering process. Leading is false if
+// that process is not the scheduler. Known is false if the process has no such
+// job, which does not prove that none exists.
 type StateReply struct {
 	// Process is the answering process.
 	Process string
@@ -221,7 +222,7 @@
 // YieldArgs asks the scheduler to release its lease to an entry on a stronger
 // machine.
 type YieldArgs struct {
-	// Process is the scheduler that the request is for.
+	// Process is the scheduler process to which the request is addressed.
 	Process string
 	// Heir is the node of the requesting entry.
 	Heir string
@@ -230,7 +231,7 @@
 // YieldReply says whether the lease is about to be released.
 type YieldReply struct{ Agreed bool }
 
-// WaitingArgs requests the number of a queue's jobs that have not started.
+// WaitingArgs requests the number of a queue's jobs that have no started task.
 type WaitingArgs struct{ Queue string }
 
 // WaitingReply is the number of these jobs.
--- a/wire/dispatch/relay.go
+++ b/wire/dispatch/relay.go
@@ -7,14 +7,14 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// ApplyArgs asks an entry to apply a transaction for another entry that the
-// store does not serve.
+// ApplyArgs asks an entry to apply a transaction for an entry that the store
+// does not serve.
 type ApplyArgs struct{ Txn rowstore.Txn }
 
-// ListArgs asks an entry to read rows for another.
+// ListArgs asks an entry to read rows for another entry.
 type ListArgs struct{ Table, Part, From, To string }
 
-// FeedArgs asks an entry to wait for changes for another.
+// FeedArgs asks an entry to wait for changes for another entry.
 type FeedArgs struct {
 	Table string
 	After uint64
