--- a/structs/configchange.go
+++ b/structs/configchange.go
@@ -16,9 +16,9 @@
 // not c's revision or d.Revision is not above it.
 //
 // Failure guarded against: a change made for another revision, or superseded
-// meanwhile, is applied, and a contract is missing or reverted although the
-// revision number says otherwise. So each change names the revision it applies
-// to.
+// meanwhile, is applied. A contract is then missing or reverted, although the
+// revision number says otherwise. So each change names the revision to which it
+// applies.
 func (c Config) With(d ConfigChange) (next Config, ok bool) {
 	if d.From != c.Revision || d.Revision <= c.Revision {
 		return c, false
--- a/structs/contract.go
+++ b/structs/contract.go
@@ -15,8 +15,8 @@
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a quoted Go duration string; a bare number is refused
-// because its unit is ambiguous.
+// UnmarshalJSON reads a quoted Go duration string. A bare number is refused,
+// since its unit is ambiguous.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -38,14 +38,14 @@
 type Contract struct {
 	Customer Customer `json:"customer"`
 	// LatencyTarget is the time within which the customer's urgent calls must
-	// be answered, and the deadline of a call that sets none.
+	// be answered. It is also the deadline of a call that sets no deadline.
 	LatencyTarget Duration `json:"latency_target"`
-	// BatchQueue is the maximum number of unfinished batch jobs.
+	// BatchQueue is the maximum number of the customer's unfinished batch jobs.
 	BatchQueue int `json:"batch_queue"`
 	// Share is the fraction of all slots that the customer may hold, in (0, 1].
 	Share float64 `json:"share"`
-	// KeyHashes are the hex SHA-256 hashes of the currently valid keys. Two at
-	// a time allow a key rotation without interruption.
+	// KeyHashes are the hex SHA-256 hashes of the currently valid keys. Two
+	// keys at a time allow a key rotation without interruption.
 	KeyHashes []string `json:"key_hashes"`
 	// Revision is the configuration revision that accepted this contract; it
 	// is set by the system and ignored on input.
@@ -95,7 +95,7 @@
 }
 
 // Config is one accepted configuration: all contracts at one revision. A
-// process never replaces its configuration by one of a lower revision.
+// process never replaces its configuration by one with a lower revision.
 type Config struct {
 	Revision  Revision              `json:"revision"`
 	Contracts map[Customer]Contract `json:"contracts"`
--- a/structs/doc.go
+++ b/structs/doc.go
@@ -1,6 +1,6 @@
 // Package structs defines the types that all parts of persimmonrock share:
 // identifiers, contracts, jobs, refusals and events. It has no behaviour beyond
-// validation and encoding, and imports only the standard library, so that every
+// validation and encoding. It imports only the standard library, so that every
 // other package can import it.
 //
 // Units: durations are time.Duration in memory and Go duration strings in JSON;
--- a/structs/ids.go
+++ b/structs/ids.go
@@ -18,7 +18,7 @@
 // DataCentre names the data centre in which a process or instance runs.
 type DataCentre string
 
-// RequestID names one urgent call, whatever the number of its attempts.
+// RequestID names one urgent call, including all its attempts.
 type RequestID string
 
 // JobID names one batch job. It is chosen once, before the first write.
@@ -35,9 +35,9 @@
 // Epoch is a fencing token: the holder of a lower epoch may no longer write.
 type Epoch uint64
 
-// Incarnation numbers the successive agents of an instance. It comes from the
-// instance's lease row (batch) or its backend server (urgent calls), never from
-// a clock.
+// Incarnation numbers the successive agents of an instance. The number comes
+// from the instance's lease row (batch) or its backend server (urgent calls),
+// never from a clock.
 type Incarnation uint64
 
 // ShardCount is the number of queue shards. A deployment can't change it, since
@@ -48,8 +48,8 @@
 type ShardID uint16
 
 // ShardOf maps a customer to the shard that holds all its jobs, so that one
-// owner can enforce the customer's queue limit and share exactly.
-// It is the 32-bit FNV-1a hash modulo ShardCount.
+// owner can enforce the customer's queue limit and share exactly. The shard is
+// the customer's 32-bit FNV-1a hash modulo ShardCount.
 func ShardOf(c Customer) ShardID {
 	const offset, prime = 2166136261, 16777619
 	h := uint32(offset)
--- a/structs/job.go
+++ b/structs/job.go
@@ -33,7 +33,7 @@
 	Kind Kind `json:"kind"`
 	// Declared is the size that the customer states; it may be far off.
 	Declared Resources `json:"declared"`
-	// Runtime is the customer's estimate; zero if unknown.
+	// Runtime is the customer's estimate of the run time; zero if unknown.
 	Runtime Duration `json:"runtime,omitempty"`
 	// Payload is passed to the task uninterpreted.
 	Payload []byte `json:"payload,omitempty"`
@@ -49,18 +49,18 @@
 	Spec     JobSpec  `json:"spec"`
 	State    JobState `json:"state"`
 	// Epoch increases with each claim. A result that carries another epoch is
-	// refused, which fences off a holder that lost its lease.
+	// refused, so that a holder that lost its lease can't store a result.
 	Epoch Epoch `json:"epoch"`
 	// Instance and Incarnation name the agent lease that covers a running task.
 	Instance    InstanceID  `json:"instance,omitempty"`
 	Incarnation Incarnation `json:"incarnation,omitempty"`
-	// Checkpoint is the object key that the next run resumes from, or "".
+	// Checkpoint is the object key from which the next run resumes, or "".
 	Checkpoint string `json:"checkpoint,omitempty"`
 	// Result is the object key of the result of a done job.
 	Result string `json:"result,omitempty"`
 	// Reason explains to people why the job waits, failed or is parked.
 	Reason string `json:"reason,omitempty"`
-	// Evictions counts the claims that were evicted, cancelled or lost.
+	// Evictions counts the claims that ended evicted, cancelled or lost.
 	Evictions int `json:"evictions,omitempty"`
 	// Failures counts runs that ended in an error of the task itself.
 	Failures int `json:"failures,omitempty"`
@@ -68,6 +68,6 @@
 	CancelRequested bool `json:"cancel_requested,omitempty"`
 	// Submitted orders jobs within one customer; the shard's owner assigns it.
 	Submitted uint64 `json:"submitted,omitempty"`
-	// Ended is the epoch in which the job became final, 0 if not recorded yet.
+	// Ended is the epoch in which the job became final, or 0 if not recorded.
 	Ended RetentionEpoch `json:"ended,omitempty"`
 }
--- a/structs/keys.go
+++ b/structs/keys.go
@@ -37,8 +37,8 @@
 // RetentionKey is the table key of the retention epoch for one sort of rows.
 func RetentionKey(sort string) string { return RetentionPrefix + sort }
 
-// ResultKey is the object key of a task's result. The epoch is part of it, so
-// that a fenced holder can't overwrite its successor's result.
+// ResultKey is the object key of a task's result. The key contains the epoch,
+// so that a fenced holder can't overwrite its successor's result.
 func ResultKey(id JobID, e Epoch) string { return fmt.Sprintf("result/%s/%d", id, e) }
 
 // CheckpointKey is the object key of the n-th checkpoint of one claim.
--- a/structs/refusal.go
+++ b/structs/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome states whether a request that got no answer may have run.
+// Outcome states whether a request without a result may have run.
 type Outcome string
 
 // NotRun guarantees that the request has not started and never will. Unknown
@@ -15,8 +15,8 @@
 	Unknown Outcome = "unknown"
 )
 
-// RefusalType is the stable machine-readable cause of a refusal; it is the
-// last part of the problem document's "type" URI.
+// RefusalType is the stable machine-readable cause of a refusal. It is the last
+// segment of the problem document's "type" URI.
 type RefusalType string
 
 // The causes of refusals.
@@ -51,7 +51,7 @@
 	RefusedUnsupportedKind RefusalType = "unsupported-kind"
 )
 
-// Refusal is the typed final answer to a request that gets no result. Processes
+// Refusal is the typed final answer to a request without a result. Processes
 // send it over net/rpc as a value; callers receive it as an RFC 9457 document.
 type Refusal struct {
 	Type    RefusalType
