--- a/structs/api/api.go
+++ b/structs/api/api.go
@@ -9,7 +9,7 @@
 )
 
 // JobRequest is a job to submit. Payload is any JSON value; the task receives
-// its bytes.
+// the value's bytes.
 type JobRequest struct {
 	Kind     structs.Kind      `json:"kind"`
 	Declared structs.Resources `json:"declared"`
@@ -49,14 +49,14 @@
 	Contracts []structs.Contract `json:"contracts"`
 }
 
-// Process reports which configuration one process has.
+// Process reports the configuration revision of one process.
 type Process struct {
 	Process  string           `json:"process"`
 	Kind     string           `json:"kind"`
 	Address  string           `json:"address"`
 	Revision structs.Revision `json:"revision"`
-	// Age is the time since an agent reported; entries are queried on each
-	// request and have 0.
+	// Age is the time since an agent's last report. Entries are queried on each
+	// request, so their Age is 0.
 	Age structs.Duration `json:"age"`
 	// Unknown is set when the process did not answer.
 	Unknown bool `json:"unknown,omitempty"`
@@ -93,7 +93,7 @@
 	Suspect  bool               `json:"suspect"`
 	Free     structs.Resources  `json:"free"`
 	Total    structs.Resources  `json:"total"`
-	// Urgent and Batch count the running calls and tasks.
+	// Urgent counts the running urgent calls, Batch the running batch tasks.
 	Urgent   int              `json:"urgent"`
 	Batch    int              `json:"batch"`
 	Revision structs.Revision `json:"revision"`
