--- a/structs/workload/check.go
+++ b/structs/workload/check.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Limits on a submitted job. They keep each of its rows below the store's row
-// size and the planning time at a fraction of a second.
+// Limits on a submitted job. They keep each of the job's rows below the store's
+// row size, and the planning time at a fraction of a second.
 const (
 	// MaxPayload is the greatest documented length of a payload, in bytes.
 	MaxPayload = 4000
--- a/structs/workload/config.go
+++ b/structs/workload/config.go
@@ -8,17 +8,17 @@
 // Queue is one queue of a configuration.
 type Queue struct {
 	Name string `json:"n"`
-	// Host and Prefix select the queue of a call.
+	// Host and Prefix select the calls that belong to the queue.
 	Host   string `json:"-"`
 	Prefix string `json:"-"`
 	// Service is the service whose workers run the tasks.
 	Service string `json:"s"`
-	// Priority orders queues; 0 is served first.
+	// Priority orders queues; those with 0 are served first.
 	Priority int `json:"p,omitempty"`
-	// MaxAttempts is the number of failed runs of a task that fails its job.
+	// MaxAttempts is the number of a task's failed runs at which the job fails.
 	MaxAttempts int `json:"a,omitempty"`
-	// Stretch and TargetLatency define the objective: Stretch times the longest
-	// chain of work, plus TargetLatency.
+	// Stretch and TargetLatency define a job's target time: Stretch times the
+	// longest chain of work, plus TargetLatency.
 	Stretch       float64       `json:"x,omitempty"`
 	TargetLatency time.Duration `json:"t,omitempty"`
 	// Timeout bounds a client's call; 0 is no bound.
@@ -45,8 +45,8 @@
 	MaxBody int64
 }
 
-// Find returns the queue of a call and the rest of its path. The longest
-// prefix wins.
+// Find returns the queue of a call and the rest of the call's path. The queue
+// with the longest matching prefix wins.
 func (c *Config) Find(host, path string) (Queue, string, bool) {
 	best := -1
 	for i, q := range c.Queues {
--- a/structs/workload/drains.go
+++ b/structs/workload/drains.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Drains lists the data centres that the operator has drained: nothing may
-// start there until the drain is cancelled. A shared Drains is never modified.
+// Drains lists the data centres that the operator has drained: no run may start
+// there until the drain is cancelled. A shared Drains is never modified.
 type Drains struct {
-	// Version is the store's version at the read. Of two reads the one with the
-	// higher version is newer.
+	// Version is the store's version at the read. Of two Drains the one with
+	// the higher version is newer.
 	Version     uint64
 	DataCentres map[string]bool
 }
--- a/structs/workload/errors.go
+++ b/structs/workload/errors.go
@@ -14,8 +14,8 @@
 	ErrNoQueue = errors.New("no such queue")
 	// ErrNoJob says that the store was read and has no such job.
 	ErrNoJob = errors.New("no such job")
-	// ErrUndecided says that a write may or may not take effect; the caller has
-	// to retry with the same identifier.
+	// ErrUndecided says that a write may or may not take effect. The caller
+	// must retry with the same identifier.
 	ErrUndecided = errors.New("outcome not known")
 )
 
--- a/structs/workload/job.go
+++ b/structs/workload/job.go
@@ -27,7 +27,7 @@
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, GPU: r.GPU - o.GPU}
 }
 
-// Fits reports whether r fits into free.
+// Fits reports whether free has at least the amounts of r.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.GPU <= free.GPU
 }
@@ -38,15 +38,15 @@
 	Need  Resources `json:"r"`
 	// Estimate is the client's rough estimate of a task's run time.
 	Estimate time.Duration `json:"e,omitempty"`
-	// After lists earlier steps whose tasks must all be done first.
+	// After lists earlier steps all of whose tasks must be done first.
 	After []int `json:"a,omitempty"`
 	// Checkpointing tasks save their progress and resume from it.
 	Checkpointing bool `json:"k,omitempty"`
-	// Gang tasks work only together, all with one run number and at once.
+	// Gang tasks work only together, at the same time and with one run number.
 	Gang bool `json:"g,omitempty"`
 	// Coupled tasks slow down when they span racks.
 	Coupled bool `json:"t,omitempty"`
-	// Label must be among the labels of the worker, if set.
+	// Label must be among the worker's labels, if Label is set.
 	Label string `json:"l,omitempty"`
 	// DataRack is the rack that holds the step's data, if any.
 	DataRack string `json:"d,omitempty"`
@@ -55,20 +55,20 @@
 	Spread int `json:"s,omitempty"`
 	// Copies allows several runs of one task at a time.
 	Copies bool `json:"y,omitempty"`
-	// Lasting tasks run until the job is cancelled; any end restarts them.
+	// Lasting tasks run until the job is cancelled and restart after any end.
 	Lasting bool `json:"o,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"i,omitempty"`
 	// TailTarget is the bound on a lasting task's tail latency; 0 is none.
 	TailTarget time.Duration `json:"x,omitempty"`
 	// Fills marks filling tasks: they use processor time that other tasks leave
-	// unused, and their CPU is not counted against the worker.
+	// unused, and their CPU is not counted against the worker's capacity.
 	Fills bool `json:"f,omitempty"`
-	// MayMiss is the number of lasting tasks that orders may stop at a time.
+	// MayMiss is the number of lasting tasks that orders may stop at once.
 	MayMiss int `json:"z,omitempty"`
 }
 
-// Reserved returns the part of a worker's counted capacity that one task uses.
+// Reserved returns the amount of a worker's capacity that one task occupies.
 func (s Step) Reserved() Resources {
 	if s.Fills {
 		return Resources{Memory: s.Need.Memory, GPU: s.Need.GPU}
@@ -91,7 +91,7 @@
 	return time.UnixMilli(r.First + int64(k)*r.Interval)
 }
 
-// Job is an accepted job as it is stored. It is immutable.
+// Job is an accepted job as the store holds it. It is immutable.
 type Job struct {
 	ID JobID `json:"id"`
 	// Queue is the queue as configured when the job was accepted.
--- a/structs/workload/task.go
+++ b/structs/workload/task.go
@@ -79,7 +79,7 @@
 // WorkerID names one incarnation of the worker beside an agent.
 type WorkerID string
 
-// Worker describes a worker as it reports itself.
+// Worker describes a worker as the worker itself reports it.
 type Worker struct {
 	ID         WorkerID  `json:"i"`
 	Service    string    `json:"s"`
@@ -89,8 +89,8 @@
 	Draining   bool      `json:"x,omitempty"`
 }
 
-// HasLabel reports whether the worker carries the label; each worker carries
-// the empty label.
+// HasLabel reports whether the worker has the label. Every worker has the empty
+// label.
 func (w Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
