--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -210,9 +210,9 @@
 }
 
 // Several entries and operators make changes under all faults of the store at
-// once. No view's revision may decrease, every acknowledged change must be in
+// once. No view's revision may decrease, each acknowledged change must be in
 // every view's history, and all views must agree within seconds after the
-// faults end.
+// faults.
 func TestRandomisedChangesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) { runRandomised(t, rt) })
--- a/entry/contracts/doc.go
+++ b/entry/contracts/doc.go
@@ -3,7 +3,7 @@
 //
 // The table service decides which changes are accepted. It has a row for each
 // contract and one revision row, which every accepted change increases in the
-// same transaction. The view only ever moves to a higher revision. A process
-// whose view could not be confirmed during a pause confirms the view before
-// using it again.
+// same transaction. The view only ever moves to a higher revision. A view that
+// could not be confirmed during a pause of its process is confirmed before its
+// next use.
 package contracts
--- a/entry/contracts/view.go
+++ b/entry/contracts/view.go
@@ -22,8 +22,7 @@
 	mu sync.Mutex
 	// highestKnown is the highest revision known to this process.
 	highestKnown structs.Revision
-	// attempted is the end of the last attempt at a confirmation, failed or
-	// not.
+	// attempted is the end of the last confirmation, successful or not.
 	attempted time.Time
 	// confirmed is the time at which the table service last confirmed that
 	// current is the newest.
--- a/entry/model/samples.go
+++ b/entry/model/samples.go
@@ -38,9 +38,8 @@
 // came about when a heartbeat was delivered twice, was overtaken by a later
 // one, or came from an agent process that was replaced or counts wrongly. The
 // count of dropped measurements shows such cases. Hello uses only a heartbeat
-// newer than all earlier ones of its instance. Of the measurements it uses
-// those of services that the heartbeat lists, each once and with plausible
-// values.
+// newer than all earlier ones of its instance, and only measurements of
+// services that the heartbeat lists, each once and with plausible values.
 func (s *Shared) Hello(now time.Duration, r *wire.HelloRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wire/cut_test.go
+++ b/wire/cut_test.go
@@ -113,8 +113,7 @@
 }
 
 // An agent was restarted while the connection to it was idle. The next call
-// must be sent once, on a new connection, and must not fail as if it might have
-// run.
+// must be sent once, on a new connection, and not fail as if it might have run.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	a := &countingAgent{}
 	s, l := startAgent(t, a)
--- a/wire/dispatch/agentrow.go
+++ b/wire/dispatch/agentrow.go
@@ -17,8 +17,7 @@
 
 // agentParts is the number of partitions that hold the agents' rows. After a
 // power loss all agents write their rows at once, and none accepts orders
-// before its row is written. With one partition the last of 240 waits for two
-// seconds.
+// before its row is written. With one partition the last of 240 waits for 2 s.
 const agentParts = 32
 
 // agentPart names a partition of the agents' rows. The letter separates it from
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -29,8 +29,7 @@
 var ErrNotSent = errors.New("not sent")
 
 // Link is a connection to one peer that is replaced when it breaks. A call that
-// times out closes the connection: it may stay unresponsive while new ones
-// work.
+// times out closes the connection: a new one may work while this one hangs.
 type Link struct {
 	address string
 	dial    func(ctx context.Context) (net.Conn, error)
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -161,9 +161,8 @@
 }
 
 // FreshRun is a run that may have crashed its worker. Begun says that the run
-// was certainly on the worker, and not for long; else its order may have come
-// too late. Soon says that the worker stopped answering shortly after the run's
-// start.
+// was certainly there, and not for long; else its order may have come too late.
+// Soon says that the worker stopped answering shortly after the run's start.
 type FreshRun struct {
 	Run   workload.RunID
 	Begun bool
--- a/wire/intruder_test.go
+++ b/wire/intruder_test.go
@@ -93,8 +93,7 @@
 }
 
 // 10,000 connections send malformed frames, half of them after a valid
-// handshake. The process must continue to serve, and its heap must not grow
-// beyond heapBound.
+// handshake. The process must continue to serve and leak no memory.
 func TestMalformedFramesLeakNothing(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
 	random := mathrand.New(mathrand.NewPCG(3, 4))
--- a/wire/omit.go
+++ b/wire/omit.go
@@ -72,8 +72,7 @@
 	return 0
 }
 
-// writeText writes the length of s and then s, so that different lists never
-// write the same bytes.
+// writeText writes s after its length, so that no two lists have equal bytes.
 func writeText(w io.Writer, s string) {
 	writeNumbers(w, uint64(len(s)))
 	_, _ = io.WriteString(w, s)
--- a/wire/server.go
+++ b/wire/server.go
@@ -196,10 +196,9 @@
 
 // expireIfClosing does for c what Shutdown does to each connection.
 //
-// Failure guarded against: Shutdown is called during a handshake, and the end
-// of the handshake removes the read deadline again. Shutdown would wait for
-// this idle connection until its context ends, and then close the connections
-// of running calls.
+// Failure guarded against: Shutdown is called during a handshake, which removes
+// the read deadline at its end. Shutdown would wait for this idle connection
+// until its context ends, and then close the connections of running calls.
 func (s *Server) expireIfClosing(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
