--- a/entry/placer.go
+++ b/entry/placer.go
@@ -121,7 +121,7 @@
 	case wire.EndDone:
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, true)
 	case wire.EndFailed, wire.EndLost:
-		// A job that crashes its worker ends with EndLost, never EndFailed.
+		// EndLost, too: a job that crashes its worker never ends with EndFailed.
 		p.health.Report(now, e.Instance, e.Job.Spec.Kind, false)
 	}
 	p.learnSize(e)
