--- a/infra/commit.go
+++ b/infra/commit.go
@@ -45,27 +45,29 @@
 // outcome is unknown, until ctx ends. t needs an operation ID and at least one
 // condition on a key that it also puts.
 //
-// Failure guarded against: the store applies a write and its answer is lost,
-// or applies it after the time-out. The store then returns ErrUnknown, and on the
-// repeat a conflict: with the write itself, with a later one of another process,
-// or on a row that t only checks. CommitOnce can distinguish these cases because
-// a condition on a version can be met once at most, and each row names the
-// operation that wrote it: a row with t.Op proves that t was applied, a row that
-// t puts and that still has the version of its condition proves the contrary.
+// Failure guarded against: the store applies a write and its answer is lost, or
+// applies it after the time-out. The store then returns ErrUnknown, and the
+// repeat fails with a conflict. The row in conflict may have been changed by
+// the first attempt or later by another process, or be one that t only checks.
+// CommitOnce can distinguish these cases because a condition on a version can
+// be met once at most, and each row names the operation that wrote it. A row
+// with t.Op proves that t was applied. A row that t puts and that still has the
+// version of its condition proves that t was not applied.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
-// been applied. *SupersededError: see there. Otherwise ErrUnknown: ctx ended
-// first, and t may still take effect.
+// been applied. *SupersededError means that later writes hide the outcome.
+// ErrUnknown means that ctx ended first and that t may still take effect.
 //
-// A condition on absence is met again once the row is deleted, so a row that
-// is inserted on absence alone must not be deleted before the store's longest
+// A condition on absence is met again once the row is deleted, so a row that is
+// inserted on absence alone must not be deleted before the store's longest
 // delay has passed.
 func CommitOnce(ctx context.Context, tab Table, t Txn) ([]uint64, error) {
 	return commit(ctx, tab, t, false)
 }
 
-// CommitAgain is CommitOnce for a t whose earlier commit returned ErrUnknown: no
-// answer to the new attempts alone counts as proof that t was not applied.
+// CommitAgain is CommitOnce for a transaction whose earlier commit returned
+// ErrUnknown. The answers to the new attempts alone do not prove that t was not
+// applied.
 func CommitAgain(ctx context.Context, tab Table, t Txn) ([]uint64, error) {
 	return commit(ctx, tab, t, true)
 }
@@ -130,12 +132,13 @@
 	return tab.Commit(ctx, t)
 }
 
-// resolveOutcome determines the outcome of t after a conflict of a repeat. After
-// the conflict no attempt of t can take effect, so the outcome is final.
+// resolveOutcome determines the outcome of t after a conflict of a repeat.
+// After the conflict no attempt of t can take effect, so the outcome is final.
 //
-// Failure guarded against: the caller uses another process's version as its own,
-// and its next conditional write overwrites the other's change, such as a new
-// owner's lease. So there are versions only if all rows put by t still name t.Op.
+// Failure guarded against: the caller uses another process's version as its
+// own, and its next conditional write overwrites the other's change, such as a
+// new owner's lease. So resolveOutcome returns versions only if all rows put by
+// t still name t.Op.
 func resolveOutcome(ctx context.Context, tab Table, t Txn, conflict *ConflictError) ([]uint64, error) {
 	applied := conflict.Current.Op == t.Op
 	changed := false
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -70,15 +70,16 @@
 	return outcome(err.Error())
 }
 
-// commitCase is one sequence of faults around one CommitOnce. The table has the
-// rows fence and job at versions 1 and 2, written by others; the transaction
-// is conditional on both.
+// commitCase is one sequence of faults during one CommitOnce. The table has the
+// rows fence and job at versions 1 and 2, written by others; the transaction is
+// conditional on both.
 type commitCase struct {
 	name string
-	// faults are those of the first writes; plan applies to later writes.
+	// faults are the faults of the first writes; plan applies to later writes.
 	faults []fault.Fault
 	plan   fault.Plan
-	// puts lists the rows that the transaction puts; it checks the other.
+	// puts lists the rows that the transaction puts; it only checks an unlisted
+	// row.
 	puts []string
 	// others are written by another process 50 ms after the first attempt.
 	others []string
@@ -108,16 +109,18 @@
 		// Another process's change comes first; the transaction has no effect.
 		{"dropped, then another's change of the row", []fault.Fault{fault.Timeout}, shortTimeout, []string{job}, []string{fence}, conflict, 0},
 		// The first attempt times out, then the store refuses all requests. The
-		// first attempt takes effect after the caller's answer: "unavailable" would
-		// be read as proof that it never does.
+		// first attempt takes effect after CommitOnce has returned, so
+		// CommitOnce must not return "unavailable", which proves that a write
+		// never takes effect.
 		{"unavailable after unknown", []fault.Fault{fault.Delay}, fault.Plan{Patience: shortTimeout.Patience, Hold: true, Down: 1}, both, nil, unknown, 1},
 		{"unavailable at once", nil, fault.Plan{Down: 1}, both, nil, unavailable, 0},
 		// The write is applied and its answer lost; then a new owner raises the
 		// fence, which the transaction only checks. The repeat fails on the fence;
 		// the job runs and must not be reported as not written.
 		{"answer lost, checked row changed since", lost, shortTimeout, []string{job}, []string{fence}, applied, 1},
-		// As above, but the transaction puts the fence too, which now has the new
-		// owner's version. An old owner that uses it as its own continues to write.
+		// As above, but the transaction puts the fence too, which now has the
+		// new owner's version. An old owner that took this version for its own
+		// would continue to write.
 		{"answer lost, a put row changed since", lost, shortTimeout, both, []string{fence}, superseded, 1},
 		// Every put row was changed since: the outcome can't be determined.
 		{"answer lost, every put row changed since", lost, shortTimeout, []string{job}, []string{job}, hidden, 1},
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,6 +1,6 @@
-// Package infra declares the narrow interfaces through which persimmonrock
-// uses the platform: a transactional table service, an object store and the
-// worker beside each agent.
+// Package infra declares the narrow interfaces through which persimmonrock uses
+// the platform: a transactional table service, an object store and the worker
+// on each agent's instance.
 //
 // The table service is assumed to offer conditional transactions and nothing
 // more: no operation log and no leases. Each row names the operation that wrote
@@ -72,7 +72,8 @@
 	ErrNotFound = errors.New("platform: not found")
 	// ErrUnavailable means that the request had no effect and never will.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown means that the effect is not known; it may come later.
+	// ErrUnknown means that the request may have had an effect or may still
+	// have one.
 	ErrUnknown = errors.New("platform: outcome unknown")
 	// ErrFenced means that a newer holder has fenced the worker.
 	ErrFenced = errors.New("platform: fenced by a newer holder")
@@ -119,10 +120,11 @@
 	// Checkpoint is the state to resume from; nil starts from the beginning.
 	Checkpoint []byte
 	Declared   structs.Resources
-	// Holder is the agent's incarnation; one below the highest that the
-	// worker has received in Fence is refused with ErrFenced.
+	// Holder is the agent's incarnation. The worker refuses, with ErrFenced, a
+	// holder below the highest that it has received in Fence.
 	Holder structs.Incarnation
-	// Lease is the time after which the worker stops the task without Renew.
+	// Lease is the time after which the worker stops the task unless Renew
+	// extends it.
 	Lease time.Duration
 }
 
@@ -143,7 +145,8 @@
 }
 
 // Usage is a lagging measurement of one task over a window. From and To are
-// elapsed times on the worker's own clock, with no relation to others.
+// elapsed times on the worker's own clock and can't be compared with other
+// clocks.
 type Usage struct {
 	Job         structs.JobID
 	Epoch       structs.Epoch
@@ -161,8 +164,8 @@
 	// their tasks, and returns once they have provably stopped.
 	Fence(ctx context.Context, h structs.Incarnation) error
 	// Start runs a task. It is refused with ErrFenced once Stop or Forget has
-	// named the job at this epoch or a later one, also when the task was not
-	// known then: a start that arrives late must not run the task.
+	// named the job at this epoch or a later one, even if the worker did not
+	// know the task then: a start that arrives late must not run the task.
 	Start(ctx context.Context, t TaskStart) error
 	// Renew extends the lease of every running task of holder h to end at
 	// lease from now.
@@ -175,7 +178,8 @@
 	// Stop returns nil once the task has provably stopped, also when it is
 	// not known at all.
 	Stop(ctx context.Context, id structs.JobID, e structs.Epoch) error
-	// List returns every task that runs or that ended and is not forgotten.
+	// List returns every running task and every ended task that Forget has not
+	// dropped.
 	List(ctx context.Context) ([]TaskStatus, error)
 	// Forget drops an ended task once its end has been recorded.
 	Forget(ctx context.Context, id structs.JobID, e structs.Epoch) error
--- a/infra/random_test.go
+++ b/infra/random_test.go
@@ -202,7 +202,8 @@
 }
 
 // compareLists checks the rows against the ledger: each operation that took
-// effect is listed once in each of its rows, and no row lists another one.
+// effect is listed once in each of its rows, and no row lists any other
+// operation.
 func compareLists(t *testing.T, inner *ledger) (wrong []string) {
 	listed := make(map[string]int)
 	rows, err := inner.Scan(t.Context(), "row/", "", 10)
--- a/infra/txn.go
+++ b/infra/txn.go
@@ -16,7 +16,7 @@
 // Failure guarded against: two keys that differ in a byte that isn't UTF-8,
 // such as two Idempotency-Keys of a customer, become one on their way to the
 // store, because JSON replaces such bytes. A request would then receive the
-// answer to another one. No such key is ever sent or stored.
+// answer to another request. Keys that fail CheckKey are never sent or stored.
 func CheckKey(key string) error {
 	if !utf8.ValidString(key) {
 		return eris.Wrapf(ErrInvalid, "key %q is not UTF-8", key)
--- a/infra/workload_test.go
+++ b/infra/workload_test.go
@@ -130,8 +130,8 @@
 	return ""
 }
 
-// measure logs the store operations of do, background included, in total and
-// for each of the n operations in do.
+// measure logs the store operations during do, including background operations,
+// in total and for each of the n operations in do.
 func (d *deployment) measure(label string, n int, do func()) map[string]uint64 {
 	before, began := d.table.Operations(), time.Now()
 	objects := d.objects.Writes()
@@ -153,8 +153,8 @@
 	return served
 }
 
-// Measures the store operations of each kind of request. An idempotent call must
-// need none, or urgent checks fail while the store is down.
+// Measures the store operations of each kind of request. An idempotent call
+// must need no store operation, or urgent checks fail while the store is down.
 func TestStoreOperationsOfEachRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
