--- a/infra/memory/counts.go
+++ b/infra/memory/counts.go
@@ -11,8 +11,8 @@
 
 // OperationCount counts the served operations of one kind.
 type OperationCount struct {
-	// Operation is "get", "scan" or "commit", and the first parts of the keys
-	// in it: "commit job+shard" changed rows of jobs and shards.
+	// Operation is "get", "scan" or "commit", followed by the first parts of
+	// the keys: "commit job+shard" changed rows of jobs and shards.
 	Operation string
 	// Served includes Conflicts, the commits that applied nothing.
 	Served, Conflicts uint64
--- a/infra/memory/objects.go
+++ b/infra/memory/objects.go
@@ -31,7 +31,7 @@
 
 // Rewrites counts puts that would have changed the body of an existing key.
 // Each violates an invariant of its caller: two different results under one key
-// mean that a fenced holder wrote before its successor or over it.
+// mean that a fenced holder wrote the key before or after its successor did.
 func (o *Objects) Rewrites() uint64 { return o.rewrites.Load() }
 
 // Len returns the number of objects.
--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -18,9 +18,9 @@
 	Ended bool
 }
 
-// RunRegistry records when each run on the workers that share it actually
-// starts and stops, independently of agents, leases and rows, and counts the
-// starts of jobs that still run on any of these workers.
+// RunRegistry records when each run on a group of workers actually starts and
+// stops, independently of agents, leases and rows. It counts the runs of one
+// job that overlap or have the same epoch.
 type RunRegistry struct {
 	log zerolog.Logger
 
@@ -35,10 +35,11 @@
 	return &RunRegistry{log: log, runs: make(map[structs.JobID][]*Run)}
 }
 
-// recordStart records a start. Failure guarded against: a task runs in two
-// places at once, or one claim of it runs twice. Then an earlier run of the job
-// hasn't ended or has the same epoch. The check is sound because workers call
-// recordStart before the program's first step and recordEnd after its last one.
+// recordStart records a start and checks it against the job's earlier runs. An
+// earlier run that hasn't ended means that the task runs in two places at once;
+// one with the same epoch means that one claim runs twice. The check is sound
+// because workers call recordStart before the program's first step and
+// recordEnd after its last one.
 func (r *RunRegistry) recordStart(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/table.go
+++ b/infra/memory/table.go
@@ -21,8 +21,8 @@
 	mu   sync.RWMutex
 	rows rows
 	// lastVersion is the highest version assigned so far. One counter serves
-	// all rows, so that a row that is deleted and written anew never again has
-	// a version that an old transaction may still be conditional on.
+	// all rows: a row that is deleted and written anew gets a version that no
+	// old transaction can be conditional on.
 	lastVersion uint64
 
 	reads, writes, conflicts, rowsRead, rowsWritten atomic.Uint64
@@ -34,8 +34,8 @@
 
 // TableCounts counts the operations that a table has served.
 type TableCounts struct {
-	// Reads and Writes count operations that reached the table, Conflicts
-	// the writes among them that applied nothing.
+	// Reads and Writes count the operations that reached the table. Conflicts
+	// counts the writes that applied nothing.
 	Reads, Writes, Conflicts uint64
 	// RowsRead and RowsWritten count the rows in these operations.
 	RowsRead, RowsWritten uint64
--- a/infra/memory/table_test.go
+++ b/infra/memory/table_test.go
@@ -82,8 +82,7 @@
 	})
 }
 
-// benchmarkRows is the number of running tasks at the size expected in two
-// years.
+// benchmarkRows is the number of running tasks expected in two years.
 const benchmarkRows = 30800
 
 func benchmarkTable(b *testing.B) *Table {
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -65,7 +65,7 @@
 	lastStopped map[structs.JobID]structs.Epoch
 	unreported  []*run
 	// active counts the running programs of each job; the goroutines that run
-	// them update it. No count may exceed 1.
+	// the programs update active. No count may exceed 1.
 	active  map[structs.JobID]int
 	broken  int
 	started int
@@ -146,8 +146,8 @@
 	return stopAll(ctx, older)
 }
 
-// checkRequest returns an error if it refuses a request of holder h. The caller
-// holds w.mu.
+// checkRequest returns the error with which the worker refuses a request of
+// holder h, or nil. The caller holds w.mu.
 func (w *Worker) checkRequest(ctx context.Context, h structs.Incarnation) error {
 	switch {
 	case ctx.Err() != nil:
@@ -160,10 +160,10 @@
 	return nil
 }
 
-// Start implements infra.Worker. A repeated start of a job and epoch that
-// the worker knows changes nothing and returns nil, since its answer may have
-// been lost. A job that still runs at another epoch is refused with
-// infra.ErrUnavailable.
+// Start implements infra.Worker. A repeated start of a job and epoch that the
+// worker knows changes nothing and returns nil, since the answer to the first
+// start may have been lost. A job that still runs at another epoch is refused
+// with infra.ErrUnavailable.
 func (w *Worker) Start(ctx context.Context, t infra.TaskStart) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,7 +210,7 @@
 		r.actual = w.opts.Actual(t)
 	}
 	// The worker itself stops a task whose lease lapses, so that a frozen or
-	// disconnected holder can't keep it running.
+	// disconnected holder can't keep the task running.
 	r.lease = time.AfterFunc(t.Lease, r.stop)
 	go r.execute(ctx)
 	return r
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Guards against a new agent that reports its instance free while a task of the
-// killed agent before it still runs on the same worker. Fence must not return
-// before the slow task has stopped.
+// Guards against a new agent that reports its instance free while a task of its
+// killed predecessor still runs on the worker. Fence must not return before the
+// slow task has stopped.
 func TestFenceWaitsForSlowStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorker(WorkerOptions{Kinds: map[structs.Kind]Program{assay: endless}, StopDelay: 5 * time.Second})
