--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -33,8 +33,8 @@
 		c = http.DefaultClient
 	}
 	httpClient := *c
-	// A followed redirect would send the request a second time; it is an
-	// answer that does not follow the protocol.
+	// Following a redirect would send the request a second time. A redirect
+	// counts as an answer outside of the protocol.
 	httpClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	created := &client{base: strings.TrimRight(base, "/"), http: httpClient, counters: NewCounters()}
 	for _, o := range options {
@@ -54,12 +54,12 @@
 // do sends the request and returns the body of a successful answer.
 //
 // Failure guarded against: a request that took effect, or may still do so, is
-// reported as one without effect, because a broken connection, a time-out or the
-// answer of an intermediary is read as a refusal. Only two things count as proof
+// reported as one without effect, because a broken connection, a time-out or
+// the answer of an intermediary is read as a refusal. Only two things prove
 // that a request had no effect: no connection was ever obtained, so nothing was
 // written; or a problem document of this protocol says so. net/http repeats a
-// POST or PUT by itself only when no byte of it was written, as long as no
-// Idempotency-Key header is set; none may be set here.
+// POST or PUT by itself only when no byte of it was written, unless an
+// Idempotency-Key header is set. So this client must not set that header.
 func (c *client) do(ctx context.Context, x exchange) ([]byte, error) {
 	c.counters.countRequest(x.write)
 	var sent atomic.Bool
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// kind is the kind of a call: only writing may change something.
+// kind is the kind of a call: a reading call changes nothing.
 type kind bool
 
 const (
--- a/infra/remote/compress.go
+++ b/infra/remote/compress.go
@@ -14,8 +14,8 @@
 	headerEncoding = "Content-Encoding"
 	encodingGzip   = "gzip"
 	// minCompressed is the length in bytes from which an answer is compressed.
-	// Rows of one kind are similar, so that scans shrink to a fraction; a
-	// node's share of control traffic is a few kilobytes a second.
+	// Rows of one kind are similar, so that scans shrink to a fraction of their
+	// size; a node's share of control traffic is a few kilobytes a second.
 	minCompressed = 1024
 )
 
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -33,8 +33,8 @@
 	// unavailable, Unknown writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SinceAnswerMillis is the time since the service's last answer; without
-	// requests it grows, too.
+	// SinceAnswerMillis is the time since the service's last answer; it also
+	// grows while no requests are sent.
 	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
--- a/infra/remote/errors_test.go
+++ b/infra/remote/errors_test.go
@@ -31,9 +31,10 @@
 
 const unavailableProblem = `{"type":"urn:persimmonrock:platform:unavailable","title":"","status":503}`
 
-// Guards against a stored job that is reported as refused to its customer: the
-// connection breaks, or an intermediary between the entry and the store answers
-// in its place, and any failed request counts as one without effect.
+// Guards against a stored job that is reported to its customer as refused. It
+// came about when the connection broke, or an intermediary between the entry
+// and the store answered, and every failed request counted as one without
+// effect.
 func TestErrorsWithoutProofAreUnknown(t *testing.T) {
 	const problemJSON, plainJSON = "application/problem+json", "application/json"
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/infra/remote/worker.go
+++ b/infra/remote/worker.go
@@ -70,7 +70,8 @@
 	return w.post(ctx, "worker forget", pathForget, taskRequest{Job: id, Epoch: e})
 }
 
-// Usage implements infra.Worker. The reports of a lost answer are lost.
+// Usage implements infra.Worker. The reports in a lost answer are not sent
+// again.
 func (w *worker) Usage(ctx context.Context) ([]infra.Usage, error) {
 	answer, err := call[usageAnswer](ctx, w.client, writing, "worker usage", pathUsage, empty{})
 	if err != nil {
