--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -1,7 +1,7 @@
-// Package fault wraps the platform's services to inject the faults of the real
-// ones: outages, slow requests, time-outs, a process that is cut off, answers
-// lost after a write took effect, and writes that take effect long after their
-// caller timed out.
+// Package fault wraps the platform's services to inject the faults of real
+// services: outages, slow requests, time-outs, a process that is cut off,
+// answers lost after a write took effect, and writes that take effect long
+// after their caller timed out.
 //
 // Each process of a test has its own wrapper with its own Control around the
 // same inner service, so that one process can be cut off while others aren't.
@@ -58,7 +58,7 @@
 	Patience Range
 	// Landing is the time from the sending of a delayed write to its effect.
 	Landing Range
-	// Hold delays such writes until Control.Release instead.
+	// Hold keeps delayed writes until Control.Release, whatever Landing is.
 	Hold bool
 	// Match limits the plan to some requests; nil means all.
 	Match func(Operation) bool
@@ -115,8 +115,9 @@
 	c.cut = on
 }
 
-// Heal ends the cut, the plan except its Hold, the faults of Next and a freeze.
-// Delayed writes still take effect, held ones on Release.
+// Heal ends the cut and the freeze, and drops the faults set by Next and the
+// plan except its Hold. Delayed writes still take effect; held writes do so on
+// Release.
 func (c *Control) Heal() {
 	c.mu.Lock()
 	c.plan = Plan{Hold: c.plan.Hold}
@@ -126,7 +127,7 @@
 	c.Unfreeze()
 }
 
-// Freeze stops the process as far as the service sees it: the process sends no
+// Freeze stops the process as seen by the service: the process sends no
 // requests and receives no answers until Unfreeze, even when its contexts end.
 func (c *Control) Freeze() {
 	c.mu.Lock()
@@ -203,7 +204,8 @@
 }
 
 // decide draws the fault of one request. It draws the same number of random
-// values for each request, so that the faults of one don't shift those of others.
+// values for each request, so that one request's fault doesn't change those of
+// later requests.
 func (c *Control) decide(op Operation) injection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
