--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -19,8 +19,8 @@
 	scanPage       = 200
 )
 
-// Newer returns the configuration in the table service, or held if the revision
-// there isn't higher. With an error it returns held.
+// Newer returns the configuration in the table service if its revision is
+// higher than that of held. Otherwise, or with an error, it returns held.
 func Newer(ctx context.Context, t infra.Table, held structs.Config) (structs.Config, error) {
 	for attempt := 0; ; attempt++ {
 		row, _, err := ReadRevision(ctx, t)
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -17,9 +17,9 @@
 )
 
 // RecentChanges is the number of changes that the revision row names. Each adds
-// about 30 bytes to every poll of every process; a process that polls every few
-// seconds lacks more changes only after a pause or in a burst, and then one scan
-// is cheaper than many reads.
+// about 30 bytes to every poll of every process. A process that polls every few
+// seconds lacks more changes only after a pause or in a burst; then one scan is
+// cheaper than many reads.
 const RecentChanges = 8
 
 // FirstRevision is the revision of a table without a revision row: a deployment
@@ -29,8 +29,8 @@
 // RevisionRow is the value of structs.RevisionKey.
 type RevisionRow struct {
 	Revision structs.Revision `json:"revision"`
-	// Changed holds the last changes, one for each revision; the last one is
-	// that of Revision.
+	// Changed holds the last changes, one for each revision; the last one led
+	// to Revision.
 	Changed []Changed `json:"changed,omitempty"`
 	// Recent holds operations that an earlier release kept in this row. They
 	// are read and never written; see structs.OperationsKey.
