--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -14,14 +14,15 @@
 
 type key struct{}
 
-// watch is a callback for data from a peer; parent is that of the outer context.
+// watch is a callback for data from a peer; parent is the watch of the outer
+// context.
 type watch struct {
 	onData func()
 	parent *watch
 }
 
-// Watch returns a context in which onData is called for all data from the peer of
-// a call. onData runs in the goroutine that reads, and must not block.
+// Watch returns a context that calls onData whenever the peer of a call sends
+// data. onData runs in the goroutine that reads, and must not block.
 func Watch(ctx context.Context, onData func()) context.Context {
 	parent, _ := ctx.Value(key{}).(*watch)
 	return context.WithValue(ctx, key{}, &watch{onData: onData, parent: parent})
@@ -45,7 +46,8 @@
 	}
 }
 
-// Reader returns r, notifying the watches of ctx of each read that returns data.
+// Reader returns a reader of r that notifies the watches of ctx of each read
+// that returns data.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx: ctx, from: r} }
 
 type reader struct {
--- a/infra/progress/progress_test.go
+++ b/infra/progress/progress_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Guards against a call that times out while its answer arrives, or never does.
+// Guards against a call that times out while its answer arrives, and against a
+// call that never times out.
 func TestBoundEndsOnlyWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := Bound(t.Context(), time.Second)
@@ -27,7 +28,8 @@
 	})
 }
 
-// Guards against an outer bound that ignores the progress of an inner one.
+// Guards against an outer bound that ends a call while data arrives under an
+// inner bound.
 func TestInnerProgressExtendsOuterBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outer, cancelOuter := Bound(t.Context(), time.Second)
