--- a/infra/rowstore/rowstore.go
+++ b/infra/rowstore/rowstore.go
@@ -1,6 +1,6 @@
 // Package rowstore declares the store of all state that must outlive every
-// process: rows in tables, split into parts, changed by conditional
-// transactions, with a feed of changes.
+// process: rows in tables that are split into partitions (Part), changed by
+// conditional transactions, with a feed of changes.
 package rowstore
 
 import (
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Key addresses a row. All rows of one transaction share a Part.
+// Key addresses a row. All rows of one transaction are in one partition, named
+// by Part.
 type Key struct {
 	Table string
 	Part  string
 	Key   string
 }
 
-// Spread assigns a key to one of n parts, numbered from 0. A part executes one
-// transaction at a time, so rows that many processes write at once are spread
-// over several parts.
+// Spread assigns a key to one of n partitions, numbered from 0. A partition
+// executes one transaction at a time, so rows that many processes write at once
+// are spread over several partitions.
 func Spread(key string, n int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key)) // a hash never fails
 	return int(h.Sum32() % uint32(n))
 }
 
-// Row is one row. Versions come from one counter of the whole store, so that
-// a later write of any row has a higher one.
+// Row is one row. Versions come from one counter of the whole store, so a later
+// write of any row has a higher version.
 type Row struct {
 	Key     Key
 	Value   []byte
@@ -79,11 +80,11 @@
 	Apply(ctx context.Context, t Txn) (Stamp, error)
 }
 
-// Reader is a client's view of the store's reads. Its errors are those of Store.
+// Reader holds the reads of a Store. Its errors are those of Store.
 type Reader interface {
-	// List returns the rows of one part of a table from key from on, up to
-	// but without key to (empty: no bound), as of one moment. more is set if
-	// further rows were left out.
+	// List returns the rows of one partition of a table, as of one moment, with
+	// from <= key < to; an empty to sets no bound. more is set if further rows
+	// were left out.
 	List(ctx context.Context, table, part, from, to string) (rows []Row, more bool, at Stamp, err error)
 	// Feed waits up to wait for changes of a table after a version and
 	// returns them in order.
@@ -135,8 +136,8 @@
 	return Row{Key: k}, nil
 }
 
-// ListAll reads a whole part of a table, page by page. The stamp is that of
-// the first page, so a feed that starts there misses no change.
+// ListAll reads a whole partition of a table, page by page. It returns the
+// stamp of the first page, so a feed that starts at the stamp misses no change.
 func ListAll(ctx context.Context, s Reader, table, part string) ([]Row, Stamp, error) {
 	var all []Row
 	var first Stamp
