--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -36,8 +36,8 @@
 	// and for an answer.
 	txnTime    = 8 * time.Millisecond
 	answerTime = AnswerTime
-	// maxQueueTime is the waiting time of a part's transactions above which
-	// further ones are refused.
+	// maxQueueTime is the waiting time of a partition's transactions above
+	// which further ones are refused.
 	maxQueueTime = time.Second
 	// defaultIdle is the time after which most clients time out.
 	defaultIdle = 1500 * time.Millisecond
@@ -61,14 +61,14 @@
 	slowdown  float64
 	lostShare float64
 	applyLate bool
-	// muteShare is the share of reads without an answer, failedUntil the last
-	// time at which reads had none or a very late one.
+	// muteShare is the share of reads that get no answer. failedUntil is the
+	// last time at which reads got no answer or a very late one.
 	muteShare   float64
 	failedUntil time.Time
 	// rate is the speed of each client's link in bytes a second, 0 unbounded.
 	rate          float64
 	linkBusyUntil map[string]time.Time
-	// partBusyUntil is the end of the last transaction of each part.
+	// partBusyUntil is the end of the last transaction of each partition.
 	partBusyUntil map[string]time.Time
 
 	reads, writes int
@@ -130,8 +130,8 @@
 	}
 }
 
-// ReadsFineFor returns the time since reads last had no answer or a very late
-// one; 0 while some have.
+// ReadsFineFor returns the time since reads last got no answer or a very late
+// one; 0 while some do.
 func (s *Store) ReadsFineFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,8 +291,7 @@
 	return stamp, err
 }
 
-// ApplyNow applies a transaction whatever the faults, for a client that they
-// don't affect.
+// ApplyNow applies a transaction without any of the faults.
 func (s *Store) ApplyNow(t rowstore.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,8 +317,8 @@
 	return rowstore.Stamp{}, nil, true
 }
 
-// enqueue returns the time until a transaction is executed: those of a part are
-// executed one after another.
+// enqueue returns the time until t is executed: the transactions of a partition
+// are executed one after another.
 func (s *Store) enqueue(t rowstore.Txn) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -336,7 +335,7 @@
 	return s.partBusyUntil[part].Sub(now), nil
 }
 
-// partOf returns the part of all rows of a transaction.
+// partOf returns the partition of a transaction's rows.
 func partOf(t rowstore.Txn) string {
 	switch {
 	case len(t.Puts) > 0:
