--- a/infra/rowstore/settle/settle.go
+++ b/infra/rowstore/settle/settle.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// minTimeout and maxTimeout bound the time-out of an answer, after which
-	// the row is read; it follows the times of earlier answers.
+	// minTimeout and maxTimeout bound the wait for an answer, after which the
+	// row is read. The wait follows the times of earlier answers.
 	minTimeout = 60 * time.Millisecond
 	maxTimeout = 600 * time.Millisecond
 	// quickRead is the time within which a read shows that the store is not
@@ -32,10 +32,10 @@
 // Failure guarded against: the store executes a transaction and its answer is
 // lost. The caller would wait for a time-out that fits the slowest store, and a
 // scheduler would place nothing meanwhile. If the row has another version than
-// the condition requires, the transaction has been executed or never will be, and
-// the row's value shows which. Otherwise, if the read was quick, another attempt
-// is made: under the same condition at most one takes effect. A store that
-// answers reads slowly gets no further attempts.
+// the condition requires, the transaction has been executed or never will be,
+// and the row's value shows which. Otherwise, if the read was quick, Store
+// makes another attempt: the shared condition lets at most one attempt take
+// effect. A store that answers reads slowly gets no further attempts.
 type Store struct {
 	rowstore.Store
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// uncertain reports whether err leaves the transaction's outcome open: that of
-// the attempt is unknown, or the attempt had no effect.
+// uncertain reports whether err leaves the transaction's outcome open: the
+// attempt may still take effect, or had no effect while other attempts may.
 func uncertain(err error) bool {
 	return errors.Is(err, rowstore.ErrUnknown) || errors.Is(err, rowstore.ErrUnavailable)
 }
--- a/infra/rowstore/settle/settle_test.go
+++ b/infra/rowstore/settle/settle_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// The transaction is delayed and would be applied seconds later: another attempt
-// takes effect, and the late one doesn't.
+// The transaction is delayed and would be applied seconds later: another
+// attempt takes effect, and the delayed transaction doesn't.
 func TestRepeatOvertakesLateTransaction(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetLost(1, true)
@@ -77,8 +77,8 @@
 	})
 }
 
-// Guards against several times the load on a slow store, if each missing answer
-// counts as lost.
+// Guards against several times the load on a slow store. It came about when
+// each missing answer counted as lost.
 func TestSlowStoreGetsNoSecondAttempt(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
@@ -92,8 +92,8 @@
 	})
 }
 
-// Guards against a call that ends with an attempt in flight and reports that
-// nothing was done.
+// Guards against a cancelled call that reports that nothing was done although
+// an attempt is in flight.
 func TestCancelledCallHasUnknownOutcome(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
