--- a/infra/rtt/rtt.go
+++ b/infra/rtt/rtt.go
@@ -1,13 +1,12 @@
-// Package rtt derives the time-out of a peer's next answer from the times of its
-// earlier ones, as TCP's retransmission timer does (RFC 6298).
+// Package rtt derives the time-out of a peer's next answer from the times of
+// earlier answers, as TCP's retransmission timer does (RFC 6298).
 package rtt
 
 import "time"
 
 const (
 	// meanWeight and spreadWeight are the weights of a new answer in the mean
-	// and in the spread, spreads the number of spreads beyond the mean in a
-	// time-out.
+	// and in the spread. A time-out is the mean plus spreads times the spread.
 	meanWeight   = 1.0 / 8
 	spreadWeight = 1.0 / 4
 	spreads      = 4
@@ -20,7 +19,7 @@
 	mean, spread time.Duration
 }
 
-// Observe records the time of an answer to a call that is no long poll.
+// Observe records the answer time of a call that isn't a long poll.
 func (e *Estimator) Observe(took time.Duration) {
 	if !e.known {
 		e.known, e.mean, e.spread = true, took, took/2
--- a/infra/rtt/rtt_test.go
+++ b/infra/rtt/rtt_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// While a peer answers within two milliseconds, the time-out is the least one.
-// When the peer becomes slow, one slow answer raises the time-out above its time,
-// and the time-out never exceeds the most.
+// While a peer answers within two milliseconds, the time-out is at its lower
+// bound. When the peer becomes slow, one slow answer raises the time-out above
+// that answer's time, up to the upper bound.
 func TestTimeoutFollowsAnswerTimes(t *testing.T) {
 	const least, most = 50 * time.Millisecond, 150 * time.Millisecond
 	var e Estimator
