--- a/infra/workerctl/workerctl.go
+++ b/infra/workerctl/workerctl.go
@@ -1,5 +1,5 @@
-// Package workerctl declares the orders that an agent gives to the worker beside
-// it.
+// Package workerctl declares the orders that an agent gives to the worker on
+// its machine.
 package workerctl
 
 import (
@@ -27,7 +27,7 @@
 	// Token fences older agents of the same worker.
 	Token      uint64
 	Checkpoint string
-	// Ticket is the policy service's permission, where the queue needs one.
+	// Ticket is the policy service's permission, if the queue requires it.
 	Ticket string
 }
 
@@ -36,9 +36,10 @@
 	// Lease is the new end of the lease; 0 does not renew it.
 	Lease Clock
 	Token uint64
-	// Seen is the number of the last end that the worker may forget.
+	// Seen is the number of the last reported end that the worker may forget.
 	Seen uint64
-	// Wait is the time for which the answer may wait for a new end.
+	// Wait is the time for which the worker may wait for another run's end
+	// before it answers.
 	Wait time.Duration
 }
 
@@ -64,7 +65,7 @@
 // Control gives orders to one worker. Each call names the incarnation of the
 // worker for which it is meant. Errors: ErrGone, *RefusedError and ErrNotDone
 // prove that nothing was done and never will be; ErrUnknown proves nothing: the
-// order may be executed seconds later, after newer ones.
+// order may be executed seconds later, after newer orders.
 type Control interface {
 	Start(ctx context.Context, incarnation workload.WorkerID, o StartOrder) (Clock, error)
 	Stop(ctx context.Context, incarnation workload.WorkerID, run workload.RunID, token uint64) (Clock, error)
