--- a/backend/announce.go
+++ b/backend/announce.go
@@ -20,7 +20,7 @@
 var errRefused = errors.New("backend: announcement refused")
 
 // Run announces the server until ctx ends. It repeats a failed announcement
-// after Config.Interval: the agent may be about to be replaced.
+// after Config.Interval, since a new agent may soon replace one that is down.
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		next, err := s.Announce(ctx)
@@ -38,9 +38,9 @@
 }
 
 // Announce sends one announcement and carries out the answer. It returns the
-// time until the next one is due: 0 if the agent's incarnation is new to the
-// server, since that agent admits no request before it has the list of requests
-// that run then.
+// time until the next one is due: 0 if the server's incarnation was raised, or
+// if the agent's is new, since a new agent admits no request until it has the
+// list of active requests.
 func (s *Server) Announce(ctx context.Context) (time.Duration, error) {
 	s.announceMu.Lock()
 	defer s.announceMu.Unlock()
@@ -116,8 +116,8 @@
 	return resp.StatusCode, answer, nil
 }
 
-// announceLeaving repeats the DELETE until the agent answers that it is safe to
-// stop, or until no request runs here and the agent is unreachable.
+// announceLeaving repeats the DELETE request until the agent answers that it is
+// safe to stop, or until no request runs here and the agent is unreachable.
 func (s *Server) announceLeaving(ctx context.Context) error {
 	for {
 		_, answer, err := s.exchange(ctx, http.MethodDelete, nil)
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -8,7 +8,8 @@
 	"persimmonrock.example/structs"
 )
 
-// maxVoid bounds the number of void requests that a guard stores.
+// maxVoid bounds the number of stored void requests, which are refused if they
+// arrive later.
 const maxVoid = 16384
 
 // GuardCounters are the counters of a guard: requests that ended, and refused
@@ -20,14 +21,15 @@
 }
 
 // Guard decides which requests a backend server runs and lists those that run.
-// Server is built on it; use it alone for a server that is not an http.Handler.
+// Server uses a Guard; use Guard alone for a server that is not an
+// http.Handler. It is safe for concurrent use.
 // It is safe for concurrent use.
 //
 // Failure guarded against: after an agent was killed or a connection was cut, a
 // request remains in a socket's buffer; the server reads it seconds later and
-// runs it beside the work that the new agent admitted. The guard prevents this
-// because it compares both incarnations, and looks up void requests, under the
-// lock under which it lists the active requests.
+// runs it beside the work that the new agent admitted. The guard prevents this:
+// under one lock it compares both incarnations, looks up void requests and
+// lists the active requests.
 type Guard struct {
 	// Counters may be read at any time.
 	Counters GuardCounters
@@ -59,8 +61,9 @@
 	}
 }
 
-// Begin admits a request that arrived whole with both incarnations, or returns
-// the reason why it must not run. Each admitted request needs a call of End.
+// Begin admits a request that arrived whole, or returns the reason why it must
+// not run. agent and server are the incarnations in the request's headers. Each
+// admitted request needs a call of End.
 func (g *Guard) Begin(id structs.RequestID, agent structs.Incarnation, server uint64) Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,10 +120,10 @@
 }
 
 // CarryOut fences earlier agents and stores the void requests, atomically for
-// Begin and Fill. It reports whether the agent's incarnation is new: the next
-// announcement is then due at once, since that agent admits no request before.
-// It ignores an answer of an earlier agent, an answer of another agent that
-// chose the incarnation which is accepted already, and one with a lower number.
+// Begin and Fill. It reports whether the agent's incarnation is new. The next
+// announcement is then due at once, since a new agent admits no request before
+// it. CarryOut ignores the answer of an earlier agent, of another agent with
+// the accepted incarnation, and an answer with a lower number than the last.
 func (g *Guard) CarryOut(a Answer) (newAgent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,9 +154,10 @@
 	g.voidOrder = append(g.voidOrder, id)
 }
 
-// Supersede raises the incarnation above known, the highest one that the agent
-// has observed, if the agent has accepted no announcement: then no request can
-// have been sent to this process. It reports whether the incarnation changed.
+// Supersede raises the server's incarnation above known, the highest one that
+// the agent has observed. It does so only if the agent has accepted no
+// announcement, since no request can then have been sent to this process. It
+// reports whether the incarnation changed.
 func (g *Guard) Supersede(known uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -49,13 +49,13 @@
 	Connections int   `json:"connections"`
 	MemoryBytes int64 `json:"memory_bytes,omitempty"`
 	// Incarnation is higher for each process that serves under this name. A
-	// process may announce itself only when the one before it has ended.
+	// process may announce itself only after the previous one has ended.
 	Incarnation uint64 `json:"incarnation"`
 	// Sequence rises with each announcement of one incarnation.
 	Sequence uint64 `json:"sequence"`
 	// AgentIncarnation is the agent incarnation whose requests are accepted.
 	AgentIncarnation structs.Incarnation `json:"agent_incarnation"`
-	// AgentSession repeats the session of the agent with this incarnation.
+	// AgentSession repeats Answer.AgentSession of the accepted agent.
 	AgentSession string `json:"agent_session,omitempty"`
 	// Peers repeats the peers of the last answer.
 	Peers map[string]int `json:"peers,omitempty"`
@@ -80,7 +80,8 @@
 	// Void are requests that the server must refuse if they arrive later.
 	Void []structs.RequestID `json:"void,omitempty"`
 	// Peers are the other servers of the instance, by name, with their slots. A
-	// new agent reserves the slots of those whose announcements it still lacks.
+	// new agent reserves the slots of the peers that have not yet announced
+	// themselves to it.
 	Peers map[string]int `json:"peers,omitempty"`
 	// Ready says that the agent sends requests to the server.
 	Ready bool `json:"ready"`
@@ -101,6 +102,6 @@
 type Problem struct {
 	Detail string `json:"detail"`
 	// Incarnation is the highest incarnation that the agent has observed under
-	// the name, if the announced one was lower.
+	// the name, if the announced incarnation was lower.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
--- a/backend/server.go
+++ b/backend/server.go
@@ -36,7 +36,8 @@
 	// the default is one second.
 	Interval time.Duration
 	// Incarnation must be above that of the previous process with this name.
-	// The default is the clock's time, raised if the agent knows a higher one.
+	// The default is the clock's time, raised if the agent knows a higher
+	// incarnation.
 	Incarnation uint64
 	// HTTP is the client for announcements.
 	HTTP *http.Client
@@ -151,7 +152,7 @@
 
 // Leave refuses new requests at once, notifies the agent, and returns when no
 // request runs and the agent has agreed, or with ctx's error. An unreachable
-// agent does not delay it once no request runs.
+// agent does not delay Leave once no request runs.
 func (s *Server) Leave(ctx context.Context) error {
 	s.Guard.Leave()
 	if err := s.announceLeaving(ctx); err != nil {
