--- a/report/comparison/run.go
+++ b/report/comparison/run.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// seedResults holds the results of one seed without and with the flood, in the
-// order of the contenders.
+// seedResults holds the results of one seed without and with the flood (one
+// customer sends ten times its usual load), in the order of the contenders.
 type seedResults struct {
 	plain, flood []*model.Result
 }
--- a/report/comparison/write.go
+++ b/report/comparison/write.go
@@ -26,7 +26,7 @@
 }
 
 // replaceSection writes text between the comments that mark the named section.
-// It appends the section to a file without one.
+// It appends the section to a file that lacks it.
 func replaceSection(path, name, text string) error {
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->\n"
 	old, err := os.ReadFile(path)
