--- a/ops/serve/listener.go
+++ b/ops/serve/listener.go
@@ -18,7 +18,8 @@
 }
 
 // Close closes the listener once; later calls return nil. A planned stop closes
-// it first, and http.Server.Shutdown would report the error of a second close.
+// the listener before http.Server.Shutdown does, which would report the error
+// of a second close.
 func (l *limitedListener) Close() error {
 	var err error
 	l.once.Do(func() { err = l.Listener.Close() })
@@ -47,7 +48,8 @@
 	once sync.Once
 }
 
-// Close frees the connection's place once, however often it is called.
+// Close closes the connection and counts it as closed once, even if called
+// again.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/ops/serve/serve.go
+++ b/ops/serve/serve.go
@@ -46,7 +46,7 @@
 	// Vars is created if nil; Events may be nil.
 	Vars   *Vars
 	Events *events.Ring
-	// Guard refuses readers of counters and events; nil allows all.
+	// Guard may refuse requests for counters and events; nil allows all.
 	Guard func(*http.Request) *structs.Refusal
 	Log   zerolog.Logger
 }
@@ -77,8 +77,8 @@
 	}
 	o.Vars.Func("http", s.vars)
 	if o.TLS != nil {
-		// HTTP/1.1 only: the limits on slow clients are per connection, and an
-		// HTTP/2 connection would carry many requests past them.
+		// HTTP/1.1 only: the limits on slow clients are per connection. One
+		// HTTP/2 connection would carry many requests and so evade the limits.
 		certificate, err := certs.New(*o.TLS, "http/1.1")
 		if err != nil {
 			return nil, err
@@ -149,8 +149,8 @@
 	Events []structs.Event `json:"events"`
 }
 
-// eventsHandler responds with the process's own events that match
-// ParseEventQuery.
+// eventsHandler responds with the process's own events that match the request's
+// query; see ParseEventQuery.
 func eventsHandler(ring *events.Ring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		query, refusal := ParseEventQuery(r)
--- a/ops/serve/serve_test.go
+++ b/ops/serve/serve_test.go
@@ -159,9 +159,8 @@
 }
 
 // A caller sends its body within the limit and then waits for a handler that
-// runs longer than the limit for bodies. The request must not be cancelled, as
-// it would be if a read deadline stayed on the connection: the limit is for
-// slow senders.
+// runs longer than the limit. The limit is only for slow senders. Guards
+// against a read deadline that stays on the connection and cancels the request.
 func TestBodyLimitDoesNotEndRequestsInProgress(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	s := start(t, func(o *Options) {
@@ -303,9 +302,9 @@
 	}
 }
 
-// A client sends 10,000 requests that aren't HTTP, or nearly are. No handler
-// may panic, none of the requests may read the counters, and the process must
-// continue to serve with no connection left open.
+// A client sends 10,000 requests that aren't HTTP or are almost valid HTTP. No
+// handler may panic, none of the requests may read the counters, and the
+// process must continue to serve with no connection left open.
 func TestMalformedRequestsLeakNothing(t *testing.T) {
 	s := start(t, func(o *Options) { o.Limits.ReadHeader = structs.Duration(time.Second) })
 	random := mathrand.New(mathrand.NewPCG(1, 2))
--- a/ops/serve/stop.go
+++ b/ops/serve/stop.go
@@ -40,14 +40,14 @@
 // returns an error.
 //
 // Failure guarded against: http.Server.Shutdown closes idle connections at
-// once, and a caller that sends its next request on one at that moment gets no
-// response and no proof that nothing ran. So each response from now on tells
-// the caller not to use its connection again, and idle connections stay open
-// for up to maxLinger to receive such a response.
+// once. A caller that sends its next request on such a connection at that
+// moment gets no response and no proof that nothing ran. So each response from
+// now on tells the caller not to use its connection again, and idle connections
+// stay open for up to maxLinger to receive such a response.
 //
-// The listeners are closed before the first such response: otherwise callers
-// open new connections at once, and the kernel resets those that wait to be
-// accepted when their listener is closed.
+// The listeners are closed before the first such response. Otherwise callers
+// open new connections at once, and closing a listener resets the connections
+// that wait to be accepted.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closeListeners()
 	s.stopping.Store(true)
