--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -32,7 +32,7 @@
 	return [causes]string{"working", "longest task of a step", "waiting for a worker", "paced down", "runs again", "recording"}[c]
 }
 
-// Class rates a completed job by the objective known at its start.
+// Class compares a completed job's time with the objective known at its start.
 type Class uint8
 
 // The classes. Late jobs took up to three times their objective.
@@ -69,20 +69,21 @@
 	// Unfinished, Failed and Cancelled count the other jobs by state.
 	Unfinished, Failed, Cancelled int
 	// OverTarget is the time, in seconds, for which serving tasks exceeded
-	// their targets, OverTargetFilled the part of it beside filling work.
+	// their targets. OverTargetFilled is the part of this time in which filling
+	// work ran beside them.
 	OverTarget, OverTargetFilled float64
 	// LeftOut counts the lines that processes left out of their logs, by
-	// message; the figures lack their content.
+	// message; the other figures lack these lines.
 	LeftOut map[string]int
-	// Unaligned lists the processes placed by their wall clocks alone, since no
-	// event links them to others.
+	// Unaligned lists the processes placed by their wall clocks, since events
+	// link them to others on one side only or not at all.
 	Unaligned []string
 }
 
 const (
 	// intervalLength is in milliseconds.
 	intervalLength = 10000
-	// maxIntervals bounds the memory whatever times the lines carry; later jobs
+	// maxIntervals bounds the memory even if lines have wrong times; later jobs
 	// count in the last interval.
 	maxIntervals = 1000
 )
@@ -145,10 +146,9 @@
 	s.CoreSeconds[c] += milliseconds / 1000 * cpu / 1000
 }
 
-// addCriticalPath adds the time of j, from its end back along the slowest
-// tasks. Where a line's time is later than that of its effect, the task's own
-// end still bounds the next step back, so that each task is visited at most
-// once.
+// addCriticalPath adds the time of j, following the slowest tasks back from its
+// end. Each step back moves to before the task's own end, even if the task's
+// placement has a later time, so that each task is visited at most once.
 func (h *history) addCriticalPath(j *job, s *Sum) {
 	before := math.Inf(1)
 	for {
@@ -176,8 +176,9 @@
 	return last
 }
 
-// firstPlaced returns the first placement time in the log, or else the start of
-// the last run: a killed process loses its last log lines.
+// firstPlaced returns the first placement time in the log. If the log has none,
+// since a killed process loses its last lines, it returns the start of the last
+// run.
 func (t *task) firstPlaced() float64 {
 	for _, r := range t.runs {
 		if r.placed > 0 {
@@ -213,7 +214,8 @@
 	useful := 0.0
 	for _, r := range t.runs {
 		if r.placed == 0 || r.started == 0 || r.ended == 0 {
-			// The run never started, or the log has the lines of one side only.
+			// The run never started, or the log lacks the scheduler's or the
+			// agent's lines.
 			continue
 		}
 		s.add(Repeating, r.placed-previousEnd, cpu)
--- a/ops/breakdown/breakdown_test.go
+++ b/ops/breakdown/breakdown_test.go
@@ -13,10 +13,10 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// A job of two steps with an objective of 12 s. Its first step has one task
-// that waits for a second; the second step starts after it. Of its three tasks,
-// two work for two seconds; the third is stopped after one, starts elsewhere
-// half a second later, stands still for two and works for three.
+// A job of two steps with an objective of 12 s. Its first step has one task,
+// which waits for 1 s. The second step starts after the first. Of its three
+// tasks, two work for 2 s. The third is stopped after 1 s, starts elsewhere 500
+// ms later, has pace 0 for 2 s and works for 3 s.
 const sampleLog = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
 {"process":"entry-1","run":"j1.0.0.0#1","worker":"w1","time":11000,"message":"placed"}
@@ -77,8 +77,8 @@
 }
 
 // stepLog is sampleLog as a scheduler with hundreds of workers writes it: one
-// line for the placements of a step, and none for ends that are done, which
-// only the agents log.
+// line for the placements of a step, and no line for a run that ended as done,
+// which only the agents log.
 var stepLog = strings.NewReplacer(
 	`{"process":"entry-1","run":"j1.0.1.0#1","worker":"w1","time":13100,"message":"placed"}
 {"process":"entry-1","run":"j1.0.1.1#1","worker":"w1","time":13100,"message":"placed"}
@@ -124,7 +124,8 @@
 	}
 }
 
-// The work that a stopped run saved counts with that of the next.
+// The work that a stopped run saved counts as useful, like that of the next
+// run.
 func TestSavedWorkCountsAsUseful(t *testing.T) {
 	var l Log
 	if err := l.Read(strings.NewReader(strings.Replace(sampleLog, `"checkpoint":false`, `"checkpoint":true`, 1))); err != nil {
@@ -139,8 +140,8 @@
 	}
 }
 
-// An operator may pass only an entry's log, or a short period: missing lines
-// must not be attributed to a cause.
+// An operator may pass only an entry's log, or a short period. Time that
+// missing lines would explain must not be attributed to a cause.
 func TestReportOfIncompleteLog(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(sampleLog), "\n")
 	for skip := range lines {
@@ -160,7 +161,7 @@
 	}
 }
 
-// within fails the test if f takes longer than a day's log may.
+// within fails the test if f takes longer than 5 s, the limit for a day's log.
 func within(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -175,9 +176,9 @@
 	}
 }
 
-// An agent's clock jumps back, so that its run's end is earlier than its
-// placement, and the path back from the job's end returns to the same task
-// without end.
+// An agent's clock jumps back, so that its run's end is earlier than the run's
+// placement. Guards against a path back from the job's end that returns to the
+// same task forever.
 func TestReportEndsWhenTimesRunBackwards(t *testing.T) {
 	const log = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
--- a/ops/breakdown/doc.go
+++ b/ops/breakdown/doc.go
@@ -3,6 +3,6 @@
 //
 // A job is as slow as the slowest task of each of its steps. Its time from
 // becoming known to its end is therefore followed back along these tasks, and
-// each part is attributed to one cause. Times are those of the processes'
-// clocks, which are close to each other.
+// each part is attributed to one cause. Package logtime puts the times of all
+// processes on one axis.
 package breakdown
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -161,7 +161,7 @@
 }
 
 // addRunEvent adds a start or an end. The scheduler logs only the ends that do
-// not advance a step; agents log all.
+// not advance a step; agents log all ends.
 func (h *history) addRunEvent(l *line) {
 	r := h.run(l.Run)
 	if r == nil {
--- a/ops/breakdown/read.go
+++ b/ops/breakdown/read.go
@@ -27,9 +27,9 @@
 	Objective float64 `json:"objective"`
 	Over      float64 `json:"over"`
 	Filled    bool    `json:"filled"`
-	// Checkpoint reports whether the run left one at its end.
+	// Checkpoint reports whether the run left a checkpoint at its end.
 	Checkpoint bool `json:"checkpoint"`
-	// Ran is set only where the scheduler logs an end.
+	// Ran is set only in a scheduler's line about an end.
 	Ran *float64 `json:"ran"`
 	// Placements, with Occurrence and Step, are those of a job's step; see
 	// logs.PlacedRun.
