--- a/ops/events/merge.go
+++ b/ops/events/merge.go
@@ -38,10 +38,10 @@
 // maxIDLength is the number of characters shown of a request's or job's ID.
 const maxIDLength = 10
 
-// WriteText prints events as a table of lines up to LineWidth characters, in the
-// order given, which is that of the logical clock. The wall clock is for readers
-// only. A request or job that all events belong to is named once, above the
-// table.
+// WriteText prints events as a table of lines up to LineWidth characters, in
+// the given order, that of the logical clock. Wall clock times are shown only
+// for readers. A request or job that all events belong to is named once, above
+// the table.
 func WriteText(w io.Writer, events []structs.Event) error {
 	out := bufio.NewWriter(w)
 	common := commonIDs(events)
--- a/ops/events/ring.go
+++ b/ops/events/ring.go
@@ -33,8 +33,8 @@
 	shards  [ringShards]ringShard
 }
 
-// ringShard holds the events whose place in the sequence is congruent to its
-// index.
+// ringShard holds the events whose sequence number modulo ringShards is the
+// shard's index.
 type ringShard struct {
 	mu     sync.Mutex
 	events []structs.Event
@@ -81,10 +81,10 @@
 	return strings.ToValidUTF8(s[:maxDetail], "")
 }
 
-// Observe moves the clock to at least logical, the time that a peer's message
-// carried, so that events recorded next sort after the events of the peer
-// before it sent the message. It ignores a time that only a faulty peer can
-// have reached, since the clock would overflow.
+// Observe moves the clock to at least logical, the time in a peer's message.
+// Events recorded from then on sort after those that the peer recorded before
+// it sent the message. Observe ignores a time that only a faulty peer can have
+// reached, since the clock would overflow.
 func (r *Ring) Observe(logical uint64) {
 	if logical > maxLogical {
 		return
