--- a/ops/settings/agent.go
+++ b/ops/settings/agent.go
@@ -135,9 +135,8 @@
 	return out
 }
 
-// checkLoopback refuses an address that other machines can reach: the
-// announcement requires no key, since only the instance's own backend servers
-// may make it.
+// checkLoopback refuses an address that other machines can reach: announcements
+// require no key, since only the instance's own backend servers may send them.
 func checkLoopback(key, address string) []Problem {
 	if out := checkAddress(key, address); out != nil {
 		return out
--- a/ops/settings/load.go
+++ b/ops/settings/load.go
@@ -1,7 +1,7 @@
-// Package settings declares the settings of both processes and reads them from
-// JSON with comments. Reading is strict: invalid or unknown content is refused
-// with its position in the file, so that a typing error can't silently leave a
-// default in force.
+// Package settings declares the settings of entries and agents and reads them
+// from JSON with comments. Reading is strict: invalid or unknown content is
+// refused with its position in the file, so that a typing error can't silently
+// leave a default in force.
 package settings
 
 import (
@@ -27,8 +27,8 @@
 	Want   string
 }
 
-// Error lists the faults for which a settings file was refused. Commands exit
-// with status 2 on it.
+// Error lists the faults for which a settings file was refused. A command that
+// gets an Error exits with status 2.
 type Error struct {
 	File   string
 	Faults []Fault
