--- a/ops/logtime/logtime.go
+++ b/ops/logtime/logtime.go
@@ -52,8 +52,8 @@
 	steady bool
 }
 
-// event is an event that several processes log: some as its cause, some as its
-// effect. The first line of each process counts.
+// event holds, by process, the logged times of the cause and of the effect of
+// one event. Only the first line of each process counts.
 type event struct {
 	causes, effects map[int]float64
 }
@@ -163,7 +163,8 @@
 // wall clock of the process that shares events with most others.
 type Axis struct {
 	offsets []float64
-	// unaligned holds the processes that are placed by their wall clocks alone.
+	// unaligned holds the processes placed by their wall clocks, since events
+	// bound their offsets on one side only or not at all.
 	unaligned map[int]bool
 	names     []string
 }
@@ -171,10 +172,10 @@
 // Time returns the time of a line on the axis.
 func (a *Axis) Time(s Stamp) float64 { return s.at + a.offsets[s.source] }
 
-// Uncertain reports whether the line is placed by its wall clock alone.
+// Uncertain reports whether the line's process is unaligned.
 func (a *Axis) Uncertain(s Stamp) bool { return a.unaligned[s.source] }
 
-// Unaligned names the processes whose lines are uncertain, in order.
+// Unaligned returns the names of the unaligned processes, sorted.
 func (a *Axis) Unaligned() []string {
 	var names []string
 	for s := range a.unaligned {
@@ -250,8 +251,8 @@
 	}
 }
 
-// wallOffset returns the median lead of the wall clock over the steady one,
-// which ignores temporary jumps.
+// wallOffset returns the median lead of the wall clock over the steady clock; a
+// median ignores temporary jumps.
 func (s *source) wallOffset() float64 {
 	if len(s.wallLeads) == 0 {
 		return 0
@@ -278,7 +279,8 @@
 func (b bound) middle() float64 { return (b.low + b.high) / 2 }
 
 // bounds returns for each process the bounds of the others' offsets minus its
-// own: an effect is never earlier than its cause.
+// own. They follow from the rule that an effect is never earlier than its
+// cause.
 func (l *Log) bounds() []map[int]bound {
 	all := make([]map[int]bound, len(l.sources))
 	for i := range all {
@@ -296,7 +298,7 @@
 	return all
 }
 
-// narrow records that the offset of f minus that of c is at least least.
+// narrow records that the offset of f minus that of c is not below least.
 func narrow(all []map[int]bound, c, f int, least float64) {
 	b, ok := all[c][f]
 	if !ok {
--- a/ops/logtime/logtime_test.go
+++ b/ops/logtime/logtime_test.go
@@ -29,8 +29,8 @@
 }
 
 // The wall clock of an agent's machine jumps ahead by 2.4 s between two runs,
-// so that by wall clocks a run seems to start after the scheduler recorded its
-// end.
+// so that by wall clocks a run seems to start after the scheduler recorded the
+// run's end.
 func TestAxisIgnoresWallClockJumps(t *testing.T) {
 	var lines [][]byte
 	for n := range 10 {
