--- a/ops/logs/limit.go
+++ b/ops/logs/limit.go
@@ -8,22 +8,24 @@
 )
 
 // Limit is a zerolog hook that bounds the lines of a process: PerSecond lines a
-// second below the warning level, and as many again from there on. A flood of
-// one kind of line must not cost processor time that the process's work needs.
+// second below the warning level, and as many again at or above this level. A
+// flood of one kind of line must not cost processor time that the process's
+// work needs.
 //
-// The lines left out are spread over the second, so that no part of it is
-// missing, and over the kinds of lines, distinguished by message, so that
+// The lines left out are spread over the second, so that no part of the second
+// is missing, and over the kinds of lines, distinguished by message, so that
 // routine lines don't crowd out a rare one that explains a failure. For the
-// same reason the recovery of a dependency is logged as a warning, like its
-// loss, and so are the start and end of a term.
+// same reason, the loss and recovery of a dependency and the start and end of a
+// term are logged as warnings.
 type Limit struct {
-	// PerSecond is the maximum number of lines of one second and level.
+	// PerSecond is the maximum number of lines a second on each side of the
+	// warning level.
 	PerSecond int
 	// Now returns the time; nil means time.Now.
 	Now func() time.Time
 	// Tell, if set, is called after each second in which lines were left out,
-	// with their numbers by message. It must not log through the limited
-	// logger.
+	// with the number of such lines by message. It must not log through the
+	// limited logger.
 	Tell func(leftOut map[string]int)
 
 	mu      sync.Mutex
@@ -34,8 +36,8 @@
 }
 
 const (
-	// Each tenth of a second has an equal share of its lines; unused shares
-	// carry over to the later tenths.
+	// Each tenth of a second has an equal share of the second's lines; unused
+	// shares carry over to the later tenths.
 	tenths = 10
 	// rareShare is the part of a second's lines reserved for rare kinds.
 	rareShare = 0.2
