--- a/ops/certs/certs.go
+++ b/ops/certs/certs.go
@@ -41,8 +41,8 @@
 	size     int64
 }
 
-// New reads the files. protocols are those that a server offers; the system's
-// own processes need none among themselves.
+// New reads the files. protocols are those that a server offers; connections
+// among the system's own processes need none.
 func New(files settings.TLS, protocols ...string) (*Certificate, error) {
 	c := &Certificate{files: files, protocols: protocols}
 	stamps, err := c.stat()
@@ -76,8 +76,8 @@
 func (c *Certificate) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
-		// verifyServer verifies the chain; this only disables the check of
-		// names.
+		// InsecureSkipVerify disables the checks of the name and of the chain;
+		// verifyServer checks the chain.
 		InsecureSkipVerify: true,
 		VerifyConnection:   c.verifyServer,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -89,8 +89,8 @@
 // verifyServer checks the server's chain against the authority in force.
 //
 // Failure guarded against: an attacker on the network between two processes
-// answers for a peer with a certificate of their own. The handshake then fails
-// before any message of the protocol is sent.
+// answers for a peer with the attacker's own certificate. The handshake then
+// fails before any message of the protocol is sent.
 func (c *Certificate) verifyServer(state tls.ConnectionState) error {
 	options := x509.VerifyOptions{Roots: c.current().ClientCAs, Intermediates: x509.NewCertPool()}
 	for _, cert := range state.PeerCertificates[1:] {
