--- a/infra/commit.go
+++ b/infra/commit.go
@@ -21,9 +21,9 @@
 )
 
 // SupersededError means that a write of unknown outcome can't take effect any
-// more, but that later writes hide whether it did or which versions it gave its
-// rows. The caller has to read its rows again before it writes them. errors.Is
-// reports it as ErrUnknown.
+// more, but that later writes to its rows hide whether it took effect or which
+// versions it wrote. The caller has to read the rows again before it writes
+// them. errors.Is reports a SupersededError as ErrUnknown.
 type SupersededError struct {
 	// Applied means that the write took effect before others changed some of
 	// its rows; if false, it may have taken effect.
@@ -190,12 +190,13 @@
 	return tab.Get(ctx, key)
 }
 
-// backOff waits before the next attempt and reports whether ctx is still active.
+// backOff waits before the next attempt and reports whether ctx is still
+// active.
 //
 // Failure guarded against: a recovering store is overloaded again because all
 // processes repeat their writes at once. The backoff grows, and a hash of the
-// operation ID spreads it over half its length, so that processes repeat at
-// different times; a random source would have to be controlled by tests.
+// operation ID shortens it by up to half, so that processes repeat at different
+// times. A random source would have to be controlled by tests.
 func backOff(ctx context.Context, id string, attempt int) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -98,8 +98,8 @@
 		// submission, and the entry writes again: the job must not be reported as
 		// refused, nor be written twice.
 		{"answer lost", lost, shortTimeout, both, nil, applied, 1},
-		// The first attempt times out and is repeated; it reaches the store long
-		// after the repeat succeeded.
+		// The first attempt times out and is repeated; the first attempt
+		// reaches the store long after the repeat succeeded.
 		{"delayed write applied after the repeat", []fault.Fault{fault.Delay}, held, both, nil, applied, 1},
 		// The first attempt takes effect after its time-out but before the repeat.
 		{"delayed write applied before the repeat", []fault.Fault{fault.Delay}, delayed, both, nil, applied, 1},
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -175,8 +175,8 @@
 	// Throttle sets the fraction of its normal speed that the task may use, 0
 	// to 1.
 	Throttle(ctx context.Context, id structs.JobID, e structs.Epoch, speed float64) error
-	// Stop returns nil once the task has provably stopped, also when it is
-	// not known at all.
+	// Stop returns nil once the task has provably stopped, also if the worker
+	// does not know the task.
 	Stop(ctx context.Context, id structs.JobID, e structs.Epoch) error
 	// List returns every running task and every ended task that Forget has not
 	// dropped.
