--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -28,8 +28,9 @@
 	worker  func(memory.WorkerOptions) infra.Worker
 }
 
-// forEachImplementation runs the behaviour against the in-memory services, with
-// wrappers without faults, and over HTTP: callers must not see a difference.
+// forEachImplementation runs the behaviour against the in-memory services,
+// against wrappers that inject no faults, and over HTTP: callers must not see a
+// difference.
 func forEachImplementation(t *testing.T, behaviour func(*testing.T, context.Context, services)) {
 	newWorker := func(t *testing.T, opts memory.WorkerOptions) *memory.Worker {
 		w := memory.NewWorker(opts)
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -30,7 +30,7 @@
 	// Conflicts counts transactions refused by a condition.
 	Conflicts uint64 `json:"conflicts"`
 	// Unavailable counts requests that had no effect because the service was
-	// unavailable, Unknown writes of unknown effect.
+	// unavailable. Unknown counts writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
 	// SinceAnswerMillis is the time since the service's last answer; it also
--- a/infra/remote/protocol.go
+++ b/infra/remote/protocol.go
@@ -226,7 +226,7 @@
 }
 
 type stateAnswer struct {
-	// State is null if there is no state, which differs from an empty one.
+	// State is null if there is no state, which differs from an empty state.
 	State []byte `json:"state"`
 }
 
