--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -1,8 +1,9 @@
 // Package configtable reads the accepted configuration from the table service.
 //
-// Processes poll the revision row, so it is small: it holds the revision and the
-// customers of the last few changes. A reader that lacks only these changes reads
-// just their contracts, any other all contracts.
+// Processes poll the revision row, so it is small: it holds the revision and
+// the customers of the last few changes. A reader that lacks only these changes
+// reads just the contracts of these customers; any other reader reads all
+// contracts.
 package configtable
 
 import (
