--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// SetFault sets the fault of the calls of client; empty means all clients.
+// SetFault sets the fault of the calls of client; an empty client means all
+// clients.
 func (s *Store) SetFault(client string, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
