--- a/backend/doc.go
+++ b/backend/doc.go
@@ -4,5 +4,5 @@
 //
 // A server that is written in another language speaks the same protocol: the
 // types Announcement and Answer as JSON, and the headers named here. The rules
-// that it must follow are in docs/notes/admission.md.
+// for such a server are in docs/notes/admission.md.
 package backend
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -23,7 +23,6 @@
 // Guard decides which requests a backend server runs and lists those that run.
 // Server uses a Guard; use Guard alone for a server that is not an
 // http.Handler. It is safe for concurrent use.
-// It is safe for concurrent use.
 //
 // Failure guarded against: after an agent was killed or a connection was cut, a
 // request remains in a socket's buffer; the server reads it seconds later and
--- a/backend/server.go
+++ b/backend/server.go
@@ -49,7 +49,7 @@
 	defaultInterval = time.Second
 )
 
-// Counters are the counters of a server outside its guard.
+// Counters are the counters that a server keeps in addition to its guard's.
 type Counters struct {
 	CutBody, Announced, AnnounceFailed atomic.Int64
 }
