--- a/report/comparison/table.go
+++ b/report/comparison/table.go
@@ -21,8 +21,8 @@
 	return func(r, _ *model.Result) float64 { return float64(r.Quantile(q).Milliseconds()) }
 }
 
-// floodP99Rise is the greatest relative rise of another customer's p99 by the
-// flood, in percent.
+// floodP99Rise is the greatest relative rise of another customer's p99 that the
+// flood causes, in percent.
 func floodP99Rise(plain, flood *model.Result) float64 {
 	worst := -100.0
 	for c := 1; c < model.Customers; c++ {
@@ -33,7 +33,7 @@
 }
 
 // floodWorkLoss is the greatest relative loss of another customer's batch work
-// by the flood, in percent.
+// that the flood causes, in percent.
 func floodWorkLoss(plain, flood *model.Result) float64 {
 	worst := -100.0
 	for c := 1; c < model.Customers; c++ {
