--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -48,8 +48,8 @@
 	return [classes]string{"in time", "late", "overdue"}[c]
 }
 
-// lateFactor is the multiple of its objective up to which a job is still of
-// some use to its client.
+// lateFactor is the multiple of a job's objective up to which the job is still
+// of some use to its client.
 const lateFactor = 3
 
 // Sum is the time of a set of jobs by cause, in seconds.
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// run returns the run named full, or nil if full is no run's name.
+// run returns the run named full, or nil if full isn't the name of a run.
 func (h *history) run(full string) *run {
 	name, ok := parseRun(full)
 	if !ok {
