--- a/ops/events/merge.go
+++ b/ops/events/merge.go
@@ -25,8 +25,8 @@
 }
 
 // Merge merges the parts of several processes into one order, which does not
-// depend on the order of the parts. An event that follows from another by
-// messages comes after it. Copies of an event are dropped.
+// depend on the order of the parts. An event comes after the events of other
+// processes that led to it through messages. Copies of an event are dropped.
 func Merge(parts [][]structs.Event) []structs.Event {
 	all := append([]structs.Event{}, slices.Concat(parts...)...)
 	slices.SortStableFunc(all, compare)
