--- a/ops/problem/problem.go
+++ b/ops/problem/problem.go
@@ -39,7 +39,7 @@
 // Write responds with r as a problem document. instance may be empty.
 // Retry-After is rounded up to whole seconds, since an earlier retry would be
 // refused again. A refusal without a valid outcome is sent as "unknown", which
-// claims nothing.
+// proves nothing.
 func Write(w http.ResponseWriter, r *structs.Refusal, instance string) {
 	status := r.Status
 	if status < http.StatusBadRequest || status > 599 {
@@ -85,9 +85,9 @@
 	return strings.ToUpper(s[:1]) + s[1:]
 }
 
-// Decode reads the refusal from a response that is not a success. A response
-// that is no problem document, such as a load balancer's, gives an internal
-// refusal with the outcome unknown.
+// Decode reads the refusal from a response that is not a success. For a
+// response that isn't a problem document, such as a load balancer's, it returns
+// an internal refusal with the outcome unknown.
 func Decode(status int, header http.Header, body []byte) *structs.Refusal {
 	var d Document
 	err := json.Unmarshal(body, &d)
