--- a/ops/certs/authority.go
+++ b/ops/certs/authority.go
@@ -93,8 +93,9 @@
 	return &Authority{cert: cert, key: signer}, nil
 }
 
-// Save writes the authority into a folder. It never replaces an existing one,
-// since every certificate that it has signed would become worthless.
+// Save writes the authority into a folder. It never replaces an existing
+// authority, since every certificate that the existing one has signed would
+// become invalid.
 func (a *Authority) Save(folder string) error {
 	private, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
