--- a/infra/commit.go
+++ b/infra/commit.go
@@ -22,8 +22,8 @@
 
 // SupersededError means that a write of unknown outcome can't take effect any
 // more, but that later writes to its rows hide whether it took effect or which
-// versions it wrote. The caller has to read the rows again before it writes
-// them. errors.Is reports a SupersededError as ErrUnknown.
+// versions it wrote. The caller has to read the rows again before another
+// write. errors.Is reports a SupersededError as ErrUnknown.
 type SupersededError struct {
 	// Applied means that the write took effect before others changed some of
 	// its rows; if false, it may have taken effect.
@@ -46,13 +46,13 @@
 // condition on a key that it also puts.
 //
 // Failure guarded against: the store applies a write and its answer is lost, or
-// applies it after the time-out. The store then returns ErrUnknown, and the
-// repeat fails with a conflict. The row in conflict may have been changed by
-// the first attempt or later by another process, or be one that t only checks.
-// CommitOnce can distinguish these cases because a condition on a version can
-// be met once at most, and each row names the operation that wrote it. A row
-// with t.Op proves that t was applied. A row that t puts and that still has the
-// version of its condition proves that t was not applied.
+// applies it after the time-out. The store then returns ErrUnknown, and a
+// conflict for the repeat: on a row changed by the first attempt or since by
+// another process, or on a row that t only checks. CommitOnce can distinguish
+// these cases: a condition on a version is met at most once, and each row names
+// the operation that wrote it. A row with t.Op proves that t was applied. A row
+// that t puts and that still has the version of its condition proves that t was
+// not applied.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
 // been applied. *SupersededError means that later writes hide the outcome.
@@ -212,7 +212,6 @@
 	}
 }
 
-// doubled returns d doubled n times, at most limit.
 func doubled(d time.Duration, n int, limit time.Duration) time.Duration {
 	for ; n > 0 && d < limit; n-- {
 		d *= 2
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -98,8 +98,8 @@
 		// submission, and the entry writes again: the job must not be reported as
 		// refused, nor be written twice.
 		{"answer lost", lost, shortTimeout, both, nil, applied, 1},
-		// The first attempt times out and is repeated; the first attempt
-		// reaches the store long after the repeat succeeded.
+		// The first attempt times out and reaches the store long after its
+		// repeat succeeded.
 		{"delayed write applied after the repeat", []fault.Fault{fault.Delay}, held, both, nil, applied, 1},
 		// The first attempt takes effect after its time-out but before the repeat.
 		{"delayed write applied before the repeat", []fault.Fault{fault.Delay}, delayed, both, nil, applied, 1},
@@ -109,9 +109,8 @@
 		// Another process's change comes first; the transaction has no effect.
 		{"dropped, then another's change of the row", []fault.Fault{fault.Timeout}, shortTimeout, []string{job}, []string{fence}, conflict, 0},
 		// The first attempt times out, then the store refuses all requests. The
-		// first attempt takes effect after CommitOnce has returned, so
-		// CommitOnce must not return "unavailable", which proves that a write
-		// never takes effect.
+		// first attempt takes effect after CommitOnce has returned;
+		// "unavailable" would prove that it never does.
 		{"unavailable after unknown", []fault.Fault{fault.Delay}, fault.Plan{Patience: shortTimeout.Patience, Hold: true, Down: 1}, both, nil, unknown, 1},
 		{"unavailable at once", nil, fault.Plan{Down: 1}, both, nil, unavailable, 0},
 		// The write is applied and its answer lost; then a new owner raises the
