--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -35,11 +35,10 @@
 	return &RunRegistry{log: log, runs: make(map[structs.JobID][]*Run)}
 }
 
-// recordStart records a start and checks it against the job's earlier runs. An
-// earlier run that hasn't ended means that the task runs in two places at once;
-// one with the same epoch means that one claim runs twice. The check is sound
-// because workers call recordStart before the program's first step and
-// recordEnd after its last one.
+// recordStart records a start and checks the job's earlier runs. If one hasn't
+// ended, the task runs in two places at once; if one has the same epoch, its
+// claim runs twice. The check is sound because workers call recordStart before
+// the program's first step and recordEnd after its last one.
 func (r *RunRegistry) recordStart(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/table.go
+++ b/infra/memory/table.go
@@ -135,7 +135,6 @@
 	return versions, nil
 }
 
-// commit checks the conditions of txn and applies it.
 func (t *Table) commit(txn infra.Txn) ([]uint64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/infra/memory/task.go
+++ b/infra/memory/task.go
@@ -95,7 +95,6 @@
 	r.changed = make(chan struct{})
 }
 
-// status returns the task's present status.
 func (r *run) status() infra.TaskStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/infra/memory/usage.go
+++ b/infra/memory/usage.go
@@ -6,7 +6,6 @@
 	"persimmonrock.example/infra"
 )
 
-// progressAt is a progress and the time at which the program saved it.
 type progressAt struct {
 	at       time.Time
 	fraction float64
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -71,7 +71,6 @@
 	started int
 }
 
-// run is one task on its worker.
 type run struct {
 	worker *Worker
 	start  infra.TaskStart
@@ -146,8 +145,8 @@
 	return stopAll(ctx, older)
 }
 
-// checkRequest returns the error with which the worker refuses a request of
-// holder h, or nil. The caller holds w.mu.
+// checkRequest returns the refusal of a request of holder h, or nil. The caller
+// holds w.mu.
 func (w *Worker) checkRequest(ctx context.Context, h structs.Incarnation) error {
 	switch {
 	case ctx.Err() != nil:
@@ -303,7 +302,6 @@
 	return nil
 }
 
-// programStarted records that a program of the job starts.
 func (w *Worker) programStarted(id structs.JobID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -106,8 +106,8 @@
 		check(t, w.Start(t.Context(), long), nil)
 		time.Sleep(time.Second)
 		check(t, w.Throttle(t.Context(), "job", 1, 0.5), nil)
-		// Half a second of the work is done after 1 s; the remaining second
-		// runs at a quarter of full speed: 5 s in all.
+		// After 1 s, half a second of the work is done; the rest runs at a
+		// quarter of full speed: 5 s in all.
 		time.Sleep(1999 * time.Millisecond)
 		if early, _ := w.Usage(t.Context()); len(early) != 0 {
 			t.Errorf("reports before their lag: %v", early)
