--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -21,7 +21,6 @@
 
 const testTimeout = 10 * time.Second
 
-// services is one implementation of the platform's services.
 type services struct {
 	table   infra.Table
 	objects infra.Objects
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -33,8 +33,8 @@
 	// unavailable. Unknown counts writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SinceAnswerMillis is the time since the service's last answer; it also
-	// grows while no requests are sent.
+	// SinceAnswerMillis is the time since the service's last answer, even while
+	// no requests are sent.
 	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
@@ -68,7 +68,6 @@
 // recordAnswer records an answer in the service's own protocol.
 func (c *Counters) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.began))) }
 
-// countFailure counts the error of a request.
 func (c *Counters) countFailure(cause error) {
 	var conflict *infra.ConflictError
 	switch {
--- a/infra/remote/errors_test.go
+++ b/infra/remote/errors_test.go
@@ -16,7 +16,6 @@
 	"persimmonrock.example/infra/remote"
 )
 
-// answer replies with a status, a content type and a body.
 func answer(status int, content, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/table/elsewhere" {
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -125,7 +125,6 @@
 	}
 }
 
-// replyError answers with the problem document of err.
 func replyError(w http.ResponseWriter, r *http.Request, err error) {
 	p := problemOf(err)
 	reply(w, r, p.Status, contentProblem, p)
--- a/infra/remote/protocol.go
+++ b/infra/remote/protocol.go
@@ -122,7 +122,6 @@
 func (r row) row() infra.Row     { return infra.Row(r) }
 func rowsOf(rs []infra.Row) rows { return rows{Rows: mapSlice(rs, rowOf)} }
 
-// mapSlice returns f of each element.
 func mapSlice[A, B any](in []A, f func(A) B) []B {
 	out := make([]B, len(in))
 	for i, a := range in {
--- a/infra/remote/table.go
+++ b/infra/remote/table.go
@@ -9,7 +9,6 @@
 	"persimmonrock.example/infra"
 )
 
-// table is an infra.Table over HTTP.
 type table struct{ client *client }
 
 // NewTable returns the table service at base, such as "http://10.0.0.7:8300".
@@ -57,7 +56,6 @@
 	return answer.Versions, nil
 }
 
-// objects is an infra.Objects over HTTP.
 type objects struct{ client *client }
 
 // NewObjects returns the object store at base. A nil client means
--- a/infra/remote/worker.go
+++ b/infra/remote/worker.go
@@ -9,7 +9,6 @@
 	"persimmonrock.example/structs"
 )
 
-// worker is an infra.Worker over HTTP.
 type worker struct{ client *client }
 
 // NewWorker returns the worker at base. A nil client means http.DefaultClient.
