--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -116,7 +116,7 @@
 }
 
 // Heal ends the cut and the freeze, and drops the faults set by Next and the
-// plan except its Hold. Delayed writes still take effect; held writes do so on
+// plan except its Hold. Delayed writes still take effect; held writes do on
 // Release.
 func (c *Control) Heal() {
 	c.mu.Lock()
@@ -147,7 +147,6 @@
 	}
 }
 
-// waitUnfrozen waits until the process isn't frozen.
 func (c *Control) waitUnfrozen() {
 	for {
 		c.mu.Lock()
@@ -196,7 +195,6 @@
 	return c.counts
 }
 
-// injection holds the fault of one request and its times.
 type injection struct {
 	fault                        Fault
 	latency, timeout, applyDelay time.Duration
