--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -11,7 +11,6 @@
 	"persimmonrock.example/structs"
 )
 
-// Limits of one read.
 const (
 	// maxSingleReads is the maximum number of changed contracts that are read
 	// one by one: 1,000 processes that do so within 5 s cost 800 reads a second.
@@ -19,8 +18,8 @@
 	scanPage       = 200
 )
 
-// Newer returns the configuration in the table service if its revision is
-// higher than that of held. Otherwise, or with an error, it returns held.
+// Newer returns the newer of held and the configuration in the table service.
+// With an error it returns held.
 func Newer(ctx context.Context, t infra.Table, held structs.Config) (structs.Config, error) {
 	for attempt := 0; ; attempt++ {
 		row, _, err := ReadRevision(ctx, t)
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -2,8 +2,7 @@
 //
 // Processes poll the revision row, so it is small: it holds the revision and
 // the customers of the last few changes. A reader that lacks only these changes
-// reads just the contracts of these customers; any other reader reads all
-// contracts.
+// reads only these customers' contracts; any other reader reads all contracts.
 package configtable
 
 import (
@@ -61,7 +60,6 @@
 	return RevisionRow{Revision: r.Revision + 1, Changed: changed}
 }
 
-// lastChange is the last change of one customer.
 type lastChange struct {
 	revision structs.Revision
 	removed  bool
