--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Reader returns a reader of r that notifies the watches of ctx of each read
-// that returns data.
+// Reader returns a reader of r that notifies the watches of ctx when it returns
+// data.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx: ctx, from: r} }
 
 type reader struct {
