--- a/infra/workerctl/workerctl.go
+++ b/infra/workerctl/workerctl.go
@@ -38,8 +38,8 @@
 	Token uint64
 	// Seen is the number of the last reported end that the worker may forget.
 	Seen uint64
-	// Wait is the time for which the worker may wait for another run's end
-	// before it answers.
+	// Wait is how long the worker may wait for another run's end before it
+	// answers.
 	Wait time.Duration
 }
 
