--- a/backend/announce.go
+++ b/backend/announce.go
@@ -20,7 +20,7 @@
 var errRefused = errors.New("backend: announcement refused")
 
 // Run announces the server until ctx ends. It repeats a failed announcement
-// after Config.Interval, since a new agent may soon replace one that is down.
+// after Config.Interval, since a new agent may soon start.
 func (s *Server) Run(ctx context.Context) error {
 	for {
 		next, err := s.Announce(ctx)
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -61,8 +61,8 @@
 }
 
 // Begin admits a request that arrived whole, or returns the reason why it must
-// not run. agent and server are the incarnations in the request's headers. Each
-// admitted request needs a call of End.
+// not run. agent and server are the request's incarnations. Each admitted
+// request needs a call of End.
 func (g *Guard) Begin(id structs.RequestID, agent structs.Incarnation, server uint64) Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/backend/server.go
+++ b/backend/server.go
@@ -43,13 +43,12 @@
 	HTTP *http.Client
 }
 
-// Defaults of a Config.
 const (
 	defaultMaxBody  = 16 << 20
 	defaultInterval = time.Second
 )
 
-// Counters are the counters that a server keeps in addition to its guard's.
+// Counters are a server's counters besides those of its guard.
 type Counters struct {
 	CutBody, Announced, AnnounceFailed atomic.Int64
 }
