--- a/report/comparison/plot.go
+++ b/report/comparison/plot.go
@@ -13,7 +13,6 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the plots.
 const (
 	panelWidth  = 14 * vg.Centimeter
 	panelHeight = 9 * vg.Centimeter
--- a/report/comparison/table.go
+++ b/report/comparison/table.go
@@ -68,7 +68,6 @@
 	}
 }
 
-// values returns one value per seed.
 func (m metric) values(all []seedResults, contender int) []float64 {
 	var vs []float64
 	for _, o := range all {
