--- a/ops/serve/serve.go
+++ b/ops/serve/serve.go
@@ -150,7 +150,7 @@
 }
 
 // eventsHandler responds with the process's own events that match the request's
-// query; see ParseEventQuery.
+// query (ParseEventQuery).
 func eventsHandler(ring *events.Ring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		query, refusal := ParseEventQuery(r)
--- a/ops/serve/serve_test.go
+++ b/ops/serve/serve_test.go
@@ -302,9 +302,9 @@
 	}
 }
 
-// A client sends 10,000 requests that aren't HTTP or are almost valid HTTP. No
-// handler may panic, none of the requests may read the counters, and the
-// process must continue to serve with no connection left open.
+// A client sends 10,000 requests of invalid or almost valid HTTP. No handler
+// may panic, none of the requests may read the counters, and the process must
+// continue to serve with no connection left open.
 func TestMalformedRequestsLeakNothing(t *testing.T) {
 	s := start(t, func(o *Options) { o.Limits.ReadHeader = structs.Duration(time.Second) })
 	random := mathrand.New(mathrand.NewPCG(1, 2))
