--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -69,14 +69,14 @@
 	// Unfinished, Failed and Cancelled count the other jobs by state.
 	Unfinished, Failed, Cancelled int
 	// OverTarget is the time, in seconds, for which serving tasks exceeded
-	// their targets. OverTargetFilled is the part of this time in which filling
-	// work ran beside them.
+	// their targets. OverTargetFilled is the part of this time with filling
+	// work beside them.
 	OverTarget, OverTargetFilled float64
 	// LeftOut counts the lines that processes left out of their logs, by
 	// message; the other figures lack these lines.
 	LeftOut map[string]int
 	// Unaligned lists the processes placed by their wall clocks, since events
-	// link them to others on one side only or not at all.
+	// link them to others on one side at most.
 	Unaligned []string
 }
 
@@ -176,9 +176,8 @@
 	return last
 }
 
-// firstPlaced returns the first placement time in the log. If the log has none,
-// since a killed process loses its last lines, it returns the start of the last
-// run.
+// firstPlaced returns the first placement time in the log, or the start of the
+// last run if a killed process lost its last lines.
 func (t *task) firstPlaced() float64 {
 	for _, r := range t.runs {
 		if r.placed > 0 {
@@ -237,7 +236,6 @@
 // useful reports whether the work of the run contributed to its task.
 func (r *run) useful() bool { return r.how == "done" || r.saved }
 
-// usefulWork returns the useful working time of t.
 func (h *history) usefulWork(j *job, t *task) float64 {
 	sum := 0.0
 	for _, r := range t.runs {
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -62,7 +62,6 @@
 	at, pace float64
 }
 
-// history holds the jobs and paces of a log.
 type history struct {
 	jobs  map[string]*job
 	paces map[paceKey][]paceChange
