--- a/ops/logtime/logtime.go
+++ b/ops/logtime/logtime.go
@@ -21,7 +21,6 @@
 	at     float64
 }
 
-// object holds the fields read from a line.
 type object struct {
 	Process string `json:"process"`
 	// Start identifies one start of the process: each has its own steady clock.
@@ -164,7 +163,7 @@
 type Axis struct {
 	offsets []float64
 	// unaligned holds the processes placed by their wall clocks, since events
-	// bound their offsets on one side only or not at all.
+	// bound their offsets on one side at most.
 	unaligned map[int]bool
 	names     []string
 }
@@ -279,8 +278,7 @@
 func (b bound) middle() float64 { return (b.low + b.high) / 2 }
 
 // bounds returns for each process the bounds of the others' offsets minus its
-// own. They follow from the rule that an effect is never earlier than its
-// cause.
+// own. An effect is never earlier than its cause.
 func (l *Log) bounds() []map[int]bound {
 	all := make([]map[int]bound, len(l.sources))
 	for i := range all {
