--- a/ops/logs/limit_test.go
+++ b/ops/logs/limit_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Guards against a log that covers only the first tenths of each second. It
-// came about when a busy scheduler used up the limit with placements; the log
-// neither explained later requests nor showed that lines were missing.
+// Guards against a log that holds only the placements of the first tenths of a
+// busy second, and neither explains later requests nor shows that lines are
+// missing.
 func TestLinesLeftOutAreSpreadAndReported(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
