--- a/ops/keys/keys.go
+++ b/ops/keys/keys.go
@@ -35,9 +35,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Match reports whether key has one of hashes. The time that Match takes
-// depends only on the number of hashes: it always compares all of them, so that
-// a caller can't learn from response times how close a guess was.
+// Match reports whether key has one of hashes. It always compares all hashes,
+// so that a caller can't learn from response times how close a guess was.
 func Match(hashes []string, key string) bool {
 	given := []byte(Hash(key))
 	found := 0
