--- a/ops/certs/authority.go
+++ b/ops/certs/authority.go
@@ -94,8 +94,8 @@
 }
 
 // Save writes the authority into a folder. It never replaces an existing
-// authority, since every certificate that the existing one has signed would
-// become invalid.
+// authority, since all certificates signed by that authority would become
+// invalid.
 func (a *Authority) Save(folder string) error {
 	private, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
--- a/ops/certs/certs.go
+++ b/ops/certs/certs.go
@@ -35,7 +35,6 @@
 	failedReloads int64
 }
 
-// fileStamp identifies one version of a file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
--- a/ops/certs/certs_test.go
+++ b/ops/certs/certs_test.go
@@ -19,7 +19,6 @@
 	return a
 }
 
-// newProcess returns the certificate of a new process.
 func newProcess(t *testing.T, a *Authority, name string) *Certificate {
 	t.Helper()
 	files, err := a.Issue(t.TempDir(), name, time.Hour)
