--- a/infra/commit.go
+++ b/infra/commit.go
@@ -21,9 +21,9 @@
 )
 
 // SupersededError means that a write of unknown outcome can't take effect any
-// more, but that later writes hide whether it did or which versions it gave its
-// rows. The caller has to read its rows again before it writes them. errors.Is
-// reports it as ErrUnknown.
+// more, but that later writes to its rows hide whether it took effect or which
+// versions it wrote. The caller has to read the rows again before another
+// write. errors.Is reports a SupersededError as ErrUnknown.
 type SupersededError struct {
 	// Applied means that the write took effect before others changed some of
 	// its rows; if false, it may have taken effect.
@@ -45,27 +45,29 @@
 // outcome is unknown, until ctx ends. t needs an operation ID and at least one
 // condition on a key that it also puts.
 //
-// Failure guarded against: the store applies a write and its answer is lost,
-// or applies it after the time-out. The store then returns ErrUnknown, and on the
-// repeat a conflict: with the write itself, with a later one of another process,
-// or on a row that t only checks. CommitOnce can distinguish these cases because
-// a condition on a version can be met once at most, and each row names the
-// operation that wrote it: a row with t.Op proves that t was applied, a row that
-// t puts and that still has the version of its condition proves the contrary.
+// Failure guarded against: the store applies a write and its answer is lost, or
+// applies it after the time-out. The store then returns ErrUnknown, and a
+// conflict for the repeat: on a row changed by the first attempt or since by
+// another process, or on a row that t only checks. CommitOnce can distinguish
+// these cases: a condition on a version is met at most once, and each row names
+// the operation that wrote it. A row with t.Op proves that t was applied. A row
+// that t puts and that still has the version of its condition proves that t was
+// not applied.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
-// been applied. *SupersededError: see there. Otherwise ErrUnknown: ctx ended
-// first, and t may still take effect.
+// been applied. *SupersededError means that later writes hide the outcome.
+// ErrUnknown means that ctx ended first and that t may still take effect.
 //
-// A condition on absence is met again once the row is deleted, so a row that
-// is inserted on absence alone must not be deleted before the store's longest
+// A condition on absence is met again once the row is deleted, so a row that is
+// inserted on absence alone must not be deleted before the store's longest
 // delay has passed.
 func CommitOnce(ctx context.Context, tab Table, t Txn) ([]uint64, error) {
 	return commit(ctx, tab, t, false)
 }
 
-// CommitAgain is CommitOnce for a t whose earlier commit returned ErrUnknown: no
-// answer to the new attempts alone counts as proof that t was not applied.
+// CommitAgain is CommitOnce for a transaction whose earlier commit returned
+// ErrUnknown. The answers to the new attempts alone do not prove that t was not
+// applied.
 func CommitAgain(ctx context.Context, tab Table, t Txn) ([]uint64, error) {
 	return commit(ctx, tab, t, true)
 }
@@ -130,12 +132,13 @@
 	return tab.Commit(ctx, t)
 }
 
-// resolveOutcome determines the outcome of t after a conflict of a repeat. After
-// the conflict no attempt of t can take effect, so the outcome is final.
+// resolveOutcome determines the outcome of t after a conflict of a repeat.
+// After the conflict no attempt of t can take effect, so the outcome is final.
 //
-// Failure guarded against: the caller uses another process's version as its own,
-// and its next conditional write overwrites the other's change, such as a new
-// owner's lease. So there are versions only if all rows put by t still name t.Op.
+// Failure guarded against: the caller uses another process's version as its
+// own, and its next conditional write overwrites the other's change, such as a
+// new owner's lease. So resolveOutcome returns versions only if all rows put by
+// t still name t.Op.
 func resolveOutcome(ctx context.Context, tab Table, t Txn, conflict *ConflictError) ([]uint64, error) {
 	applied := conflict.Current.Op == t.Op
 	changed := false
@@ -187,12 +190,13 @@
 	return tab.Get(ctx, key)
 }
 
-// backOff waits before the next attempt and reports whether ctx is still active.
+// backOff waits before the next attempt and reports whether ctx is still
+// active.
 //
 // Failure guarded against: a recovering store is overloaded again because all
 // processes repeat their writes at once. The backoff grows, and a hash of the
-// operation ID spreads it over half its length, so that processes repeat at
-// different times; a random source would have to be controlled by tests.
+// operation ID shortens it by up to half, so that processes repeat at different
+// times. A random source would have to be controlled by tests.
 func backOff(ctx context.Context, id string, attempt int) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
@@ -208,7 +212,6 @@
 	}
 }
 
-// doubled returns d doubled n times, at most limit.
 func doubled(d time.Duration, n int, limit time.Duration) time.Duration {
 	for ; n > 0 && d < limit; n-- {
 		d *= 2
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Guards against a new agent that reports its instance free while a task of the
-// killed agent before it still runs on the same worker. Fence must not return
-// before the slow task has stopped.
+// Guards against a new agent that reports its instance free while a task of its
+// killed predecessor still runs on the worker. Fence must not return before the
+// slow task has stopped.
 func TestFenceWaitsForSlowStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorker(WorkerOptions{Kinds: map[structs.Kind]Program{assay: endless}, StopDelay: 5 * time.Second})
@@ -106,7 +106,8 @@
 		check(t, w.Start(t.Context(), long), nil)
 		time.Sleep(time.Second)
 		check(t, w.Throttle(t.Context(), "job", 1, 0.5), nil)
-		// Half a second of the work is done, the rest runs at a quarter: 5 s.
+		// After 1 s, half a second of the work is done; the rest runs at a
+		// quarter of full speed: 5 s in all.
 		time.Sleep(1999 * time.Millisecond)
 		if early, _ := w.Usage(t.Context()); len(early) != 0 {
 			t.Errorf("reports before their lag: %v", early)
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -30,11 +30,11 @@
 	// Conflicts counts transactions refused by a condition.
 	Conflicts uint64 `json:"conflicts"`
 	// Unavailable counts requests that had no effect because the service was
-	// unavailable, Unknown writes of unknown effect.
+	// unavailable. Unknown counts writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SinceAnswerMillis is the time since the service's last answer; without
-	// requests it grows, too.
+	// SinceAnswerMillis is the time since the service's last answer, even while
+	// no requests are sent.
 	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
@@ -68,7 +68,6 @@
 // recordAnswer records an answer in the service's own protocol.
 func (c *Counters) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.began))) }
 
-// countFailure counts the error of a request.
 func (c *Counters) countFailure(cause error) {
 	var conflict *infra.ConflictError
 	switch {
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -125,7 +125,6 @@
 	}
 }
 
-// replyError answers with the problem document of err.
 func replyError(w http.ResponseWriter, r *http.Request, err error) {
 	p := problemOf(err)
 	reply(w, r, p.Status, contentProblem, p)
@@ -152,7 +151,7 @@
 		body = compressed
 	}
 	w.WriteHeader(code)
-	// A write error means that the client has disconnected; it treats the
-	// missing answer as unknown.
+	// A write error means that the client has disconnected; the client treats
+	// the missing answer as unknown.
 	_, _ = w.Write(body)
 }
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -62,7 +62,6 @@
 	at, pace float64
 }
 
-// history holds the jobs and paces of a log.
 type history struct {
 	jobs  map[string]*job
 	paces map[paceKey][]paceChange
@@ -139,7 +138,7 @@
 	}
 }
 
-// run returns the run named full, or nil if full is no run's name.
+// run returns the run named full, or nil if full isn't the name of a run.
 func (h *history) run(full string) *run {
 	name, ok := parseRun(full)
 	if !ok {
@@ -161,7 +160,7 @@
 }
 
 // addRunEvent adds a start or an end. The scheduler logs only the ends that do
-// not advance a step; agents log all.
+// not advance a step; agents log all ends.
 func (h *history) addRunEvent(l *line) {
 	r := h.run(l.Run)
 	if r == nil {
--- a/ops/events/merge.go
+++ b/ops/events/merge.go
@@ -25,8 +25,8 @@
 }
 
 // Merge merges the parts of several processes into one order, which does not
-// depend on the order of the parts. An event that follows from another by
-// messages comes after it. Copies of an event are dropped.
+// depend on the order of the parts. An event comes after the events of other
+// processes that led to it through messages. Copies of an event are dropped.
 func Merge(parts [][]structs.Event) []structs.Event {
 	all := append([]structs.Event{}, slices.Concat(parts...)...)
 	slices.SortStableFunc(all, compare)
@@ -38,10 +38,10 @@
 // maxIDLength is the number of characters shown of a request's or job's ID.
 const maxIDLength = 10
 
-// WriteText prints events as a table of lines up to LineWidth characters, in the
-// order given, which is that of the logical clock. The wall clock is for readers
-// only. A request or job that all events belong to is named once, above the
-// table.
+// WriteText prints events as a table of lines up to LineWidth characters, in
+// the given order, that of the logical clock. Wall clock times are shown only
+// for readers. A request or job that all events belong to is named once, above
+// the table.
 func WriteText(w io.Writer, events []structs.Event) error {
 	out := bufio.NewWriter(w)
 	common := commonIDs(events)
