--- a/sessions/machines/agent.go
+++ b/sessions/machines/agent.go
@@ -15,7 +15,6 @@
 type Agent struct {
 	simulation *Simulation
 	Node       string
-	// dataCentre is the data centre of the machine.
 	dataCentre string
 
 	mu      sync.Mutex
@@ -155,8 +154,8 @@
 	a.server = nil
 }
 
-// Counters returns the counters of the running agent; they are zero while none
-// runs.
+// Counters returns the counters of the running agent; they are zero while no
+// agent runs.
 func (a *Agent) Counters() runner.Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sessions/machines/client.go
+++ b/sessions/machines/client.go
@@ -9,8 +9,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// Jobs is an entry as a client calls it. Its errors are those of package
-// workload; after any other error the outcome of the call is unknown.
+// Jobs is the interface of an entry for clients. Its methods return errors of
+// package workload; after any other error the outcome of the call is unknown.
 type Jobs interface {
 	Submit(ctx context.Context, q workload.Queue, j workload.Job) error
 	State(ctx context.Context, q workload.Queue, id workload.JobID) (workload.State, error)
@@ -21,7 +21,8 @@
 // answers, as the users' clients do. It reports its observations to the rules.
 type Client struct {
 	rules *Rules
-	// entry returns the entry for the n-th attempt, or nil if it is down.
+	// entry returns the entry for the n-th attempt, or nil if that entry is
+	// down.
 	entry func(n int) Jobs
 	next  int
 }
--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -52,9 +52,8 @@
 }
 
 const (
-	// configApplyBound is the time after its confirmation within which a
-	// version must be in force at each reachable machine, the users' strictest
-	// bound.
+	// configApplyBound is the time within which a confirmed version must be in
+	// force at each reachable machine; it is the users' strictest bound.
 	configApplyBound = 2 * time.Second
 	// configPollInterval is the time between two checks of the served versions.
 	configPollInterval = 20 * time.Millisecond
@@ -80,8 +79,8 @@
 	// calm is the time since which no fault has disturbed the entry; zero
 	// during a fault.
 	calm time.Time
-	// served is the newest version that this process has served, servedSince
-	// the time from which it has.
+	// served is the version that this process served at the last check,
+	// servedSince the time of the check that first found it.
 	served      uint64
 	servedSince time.Time
 	// late marks an entry that was reported for serving too old a version.
@@ -108,8 +107,8 @@
 	}
 }
 
-// checkConfig checks that an entry serves no older version than it did before
-// and, while it is reachable, none older than the required one.
+// checkConfig checks that an entry serves no older version than before and,
+// while reachable, none older than the required one.
 func (sim *Simulation) checkConfig(e *Entry) {
 	p := e.current()
 	calm := p != nil && !sim.isCut(e.Node) && !sim.isHidden(e.Node) && sim.Store.Calm(e.Node)
@@ -136,8 +135,8 @@
 	observed.late = late
 }
 
-// observedOf returns the observations of an entry's process, which is nil if
-// none runs; those of a new process are empty.
+// observedOf returns the observations of an entry's process p; p is nil while
+// the entry is down. The observations of a new process are empty.
 func (c *configWatch) observedOf(e *Entry, p *entryProcess) *observedConfig {
 	if c.observed[e] == nil || c.observed[e].process != p {
 		c.observed[e] = &observedConfig{process: p}
@@ -178,8 +177,8 @@
 	return newest
 }
 
-// inForceSince returns the time from which every running entry has served a
-// version; ok is false if one does not serve it.
+// inForceSince returns the time since which every entry has served a version;
+// ok is false if an entry does not serve it.
 func (sim *Simulation) inForceSince(version uint64) (latest time.Time, ok bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -195,8 +194,8 @@
 	return latest, true
 }
 
-// awaitConfig waits until all entries serve a version, and returns the delay
-// after from of the last one.
+// awaitConfig waits until all entries serve a version and returns how long
+// after from the last entry began to serve it.
 func (sim *Simulation) awaitConfig(version uint64, from time.Time, within time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), from.Add(within))
 	defer cancel()
--- a/sessions/machines/config_test.go
+++ b/sessions/machines/config_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// slowLink is the users' slowest link of an entry in bytes per second.
+	// slowLink is the bandwidth of the users' slowest entry link in bytes per
+	// second.
 	slowLink = 10e6 / 8
-	// largeConfig is about the size of 1,400 routes.
+	// largeConfig is about the size of 1,400 routes in bytes.
 	largeConfig = 400 << 10
-	// verySlow is the slow-down at which the store answers after 2.4 s.
+	// verySlow is the slow-down factor at which the store answers after 2.4 s.
 	verySlow = 600
 )
 
-// Guards against a large change that comes into force long after a slow store
-// has become fast again.
+// Guards against a large configuration change that comes into force long after
+// a slow store has become fast again.
 func TestLargeChangeIsInForceSoonAfterASlowStore(t *testing.T) {
 	for _, size := range []int{largeConfig, 3 * largeConfig} {
 		for phase := range 12 {
--- a/sessions/machines/conn.go
+++ b/sessions/machines/conn.go
@@ -8,13 +8,14 @@
 )
 
 // stream is one direction of a connection. A write never blocks: net/rpc writes
-// under a lock, and in fake time nothing may wait for a lock whose holder
+// under a lock, and in fake time no goroutine may wait for a lock whose holder
 // sleeps.
 type stream struct {
 	mu     sync.Mutex
 	buf    []byte
 	closed bool
-	// notify holds at most one token, which signals new bytes or the end.
+	// notify holds at most one token, which signals new bytes or that the
+	// stream is closed.
 	notify chan struct{}
 }
 
@@ -45,11 +46,11 @@
 	return len(p), nil
 }
 
-// cutPollInterval is the interval at which a connection checks whether a cut
-// has healed.
+// cutPollInterval is the interval at which a connection checks whether a
+// network cut has healed.
 const cutPollInterval = 50 * time.Millisecond
 
-// read waits for bytes and holds them back while cut returns true.
+// read waits for bytes and delivers none while cut returns true.
 func (s *stream) read(p []byte, cut func() bool) (int, error) {
 	for {
 		s.mu.Lock()
@@ -79,7 +80,7 @@
 	cut     func() bool
 }
 
-// newPipe returns both ends of a connection that holds its bytes back while cut
+// newPipe returns both ends of a connection that delivers no bytes while cut
 // returns true.
 func newPipe(cut func() bool) (*conn, *conn) {
 	a, b := newStream(), newStream()
--- a/sessions/machines/control.go
+++ b/sessions/machines/control.go
@@ -9,8 +9,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// control connects one process of an agent with the worker of its machine. Once
-// the process is killed, none of its calls reaches the worker.
+// control connects one process of an agent with the worker on the same machine.
+// Once the process is killed, none of its calls reaches the worker.
 type control struct {
 	agent  *Agent
 	killed atomic.Bool
--- a/sessions/machines/crash.go
+++ b/sessions/machines/crash.go
@@ -6,7 +6,7 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// formerCapacity is a capacity that a worker offered until it shrank.
+// formerCapacity is a capacity that a worker offered until a change.
 type formerCapacity struct {
 	capacity workload.Resources
 	until    time.Time
@@ -19,7 +19,7 @@
 	w.crash(workload.RunID{})
 }
 
-// Kill is Crash, but the worker's address then refuses calls.
+// Kill is like Crash, but afterwards the worker's address refuses calls.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +79,8 @@
 	w.onCrash = f
 }
 
-// SetCapacity changes the offered capacity; the worker's next report holds it.
+// SetCapacity changes the offered capacity; the worker's next report contains
+// the new capacity.
 func (w *Worker) SetCapacity(c workload.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,8 +88,8 @@
 	w.info.Capacity = c
 }
 
-// shrinkGrace is the time after a shrink during which a worker may still be
-// filled to its former capacity, the users' strictest bound.
+// shrinkGrace is the time after a shrink during which tasks may still fill the
+// worker's former capacity; it is the users' strictest bound.
 const shrinkGrace = contactTime + heartbeat
 
 // allows reports whether the worker may run tasks that reserve sum. The caller
--- a/sessions/machines/crash_test.go
+++ b/sessions/machines/crash_test.go
@@ -7,7 +7,7 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// crasher is the job whose task 0 of step 0 crashes each worker.
+// crasher is the number of the job whose task 0 of step 0 crashes its workers.
 const crasher = 1
 
 func crashOutcome(r workload.RunID) Outcome {
@@ -28,8 +28,8 @@
 	}
 }
 
-// awaitAbandoned reports an error unless the crashing job fails before it has
-// crashed more than most workers.
+// awaitAbandoned reports an error unless the crashing job fails and has crashed
+// at most the given number of workers.
 func awaitAbandoned(t *testing.T, sim *Simulation, c *Client, most int) {
 	t.Helper()
 	expectAll(t, c, workload.Failed, JobID(crasher))
@@ -70,7 +70,8 @@
 	})
 }
 
-// Guards against a special kind of task that crashes workers forever.
+// Guards against a crashing task of a special kind, such as a gang's, that is
+// restarted forever.
 func TestCrashingTaskOfAnyKindIsAbandoned(t *testing.T) {
 	kinds := map[string]func(*workload.Job){
 		"gang":    func(j *workload.Job) { j.Steps[0].Gang = true },
@@ -104,8 +105,8 @@
 	}
 }
 
-// Guards against crash counts that get lost with the scheduler, the agent or
-// the store's answers.
+// Guards against crash counts that are lost when the scheduler or agents are
+// killed or the store's answers are lost.
 func TestCrashesAreKeptThroughRestarts(t *testing.T) {
 	disturb := map[string]func(sim *Simulation){
 		"scheduler killed": func(sim *Simulation) {
@@ -173,8 +174,8 @@
 	})
 }
 
-// Guards against a worker's crash that is attributed to runs whose leases there
-// expired long before.
+// Guards against a worker's crash that is attributed to runs whose leases on
+// the worker had expired long before.
 func TestCrashOfUnresponsiveWorkerFailsNoJob(t *testing.T) {
 	long := func(workload.RunID) Outcome { return Outcome{For: 20 * second} }
 	simulate(t, Options{Entries: 2, Machines: 4, Outcome: long}, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/drain_test.go
+++ b/sessions/machines/drain_test.go
@@ -9,8 +9,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// drainStartBound is the time after a drain by which the last task starts there
-// when there are no faults.
+// drainStartBound is the time after a drain within which the last task may
+// start in the data centre if no fault occurs.
 const drainStartBound = time.Second
 
 // drained is the data centre that the tests drain.
@@ -63,7 +63,7 @@
 }
 
 // Guards against tasks that start in a drained data centre after the users'
-// bound, which the rules check, when the drain coincides with another fault.
+// bound because a fault coincides with the drain. The rules check the bound.
 func TestDrainHoldsUnderFaults(t *testing.T) {
 	heal := func(sim *Simulation) {
 		sim.Store.SetFault("", memstore.Healthy)
@@ -124,9 +124,9 @@
 	}
 }
 
-// The drain is revoked while every entry is down. The agents know of the drain;
-// they must not refuse all starts forever because the restarted entries know of
-// none.
+// Guards against agents that refuse all starts forever. It comes about when a
+// drain is revoked while every entry is down: the agents still know of the
+// drain, but the restarted entries don't.
 func TestDrainRevokedWhileEntriesAreDown(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Drain(drained, true)
@@ -144,8 +144,8 @@
 	})
 }
 
-// No entry can read the operator's rows. The scheduler must not keep placing
-// tasks by the state from before the drain.
+// Guards against a scheduler that places tasks by the state from before a drain
+// because no entry can read the operator's rows.
 func TestSchedulerThatCanNotReadDrainsStopsPlacing(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 6, DataCentres: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		hide := func(hidden bool) {
@@ -164,8 +164,9 @@
 	})
 }
 
-// A worker does not answer its agent's orders. The drain starts while they are
-// repeated; the worker must not execute one once it answers again.
+// Guards against a worker that executes a start order after its data centre was
+// drained. It comes about when the worker does not answer, its agent repeats
+// the order, and the drain begins before the worker answers again.
 func TestDrainCancelsOrdersInFlight(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Agents()[0].Worker().SetDark(true)
@@ -206,7 +207,7 @@
 }
 
 // Guards against lasting tasks that leave a drained data centre all at once, so
-// that their step has more tasks missing than MayMiss.
+// that their step has more tasks missing than MayMiss (or 1, if that is 0).
 func TestLastingTasksDrainAFewAtATime(t *testing.T) {
 	for _, mayMiss := range []int{0, 1, 3} {
 		simulate(t, Options{Entries: 2, Machines: 6, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/entry.go
+++ b/sessions/machines/entry.go
@@ -86,8 +86,7 @@
 	}
 }
 
-// Kill ends the process at once; it gets no answer to its store calls in
-// flight.
+// Kill ends the process at once. Its store calls in flight get no answer.
 func (e *Entry) Kill() {
 	e.mu.Lock()
 	p := e.process
@@ -123,7 +122,8 @@
 	return e.process
 }
 
-// Service returns the entry's service for clients, or nil while it is down.
+// Service returns the entry's service for clients, or nil while the entry is
+// down.
 func (e *Entry) Service() *intake.Service {
 	if p := e.current(); p != nil {
 		return p.service
@@ -131,7 +131,8 @@
 	return nil
 }
 
-// nodeStore is the store as a machine that may be cut off reaches it.
+// nodeStore is a machine's access to the store; its calls fail while the
+// machine is cut off.
 type nodeStore struct {
 	rowstore.Store
 	simulation *Simulation
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -14,7 +14,7 @@
 
 // A queue's policy permits only some workers, and the policy service answers
 // slowly. Tickets are valid for three seconds, and workers refuse starts
-// without one.
+// without a valid ticket.
 func TestQueueThatNeedsAdvice(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 5}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 6 {
@@ -105,9 +105,10 @@
 	})
 }
 
-// The store stops answering during a submission. After 1.4 s it counts as
+// Guards against a submission that waits for the client's whole time-out
+// because the store stops answering during it. After 1.4 s the store counts as
 // unavailable, and later calls are refused at once; the submission in flight
-// must fail then, too, and not wait for the client's whole time-out.
+// must fail then, too.
 func TestSubmissionFailsSoonWhenStoreStopsAnswering(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetFault("", memstore.Silent)
@@ -130,11 +131,12 @@
 	})
 }
 
-// Workers execute calls, but a quarter of the answers of every second worker
-// are lost. A listing waits half a second for an end. If a listing with a lost
-// answer is abandoned only after that, one end of a step of 13 tasks is nearly
-// always reported that much later, and short jobs end late. A client expects
-// its job within 1.5 times its chain of work and 250 ms.
+// A quarter of the answers of every second worker are lost. Guards against
+// short jobs that end late. It comes about when the agent abandons a listing
+// with a lost answer only after half a second, the time that a listing waits
+// for a run to end: in a step of 13 tasks, one end is nearly always reported
+// that late. A client expects its job within 1.5 times the work of its
+// successive steps plus 250 ms.
 func TestLostAnswersDoNotMakeShortJobsLate(t *testing.T) {
 	const work, jobs = 640 * time.Millisecond, 150
 	opt := Options{Entries: 2, Machines: 60, Outcome: func(workload.RunID) Outcome { return Outcome{For: work} }}
@@ -169,10 +171,10 @@
 	})
 }
 
-// The store is 70 times slower for seconds while ten jobs per second are
-// submitted. A part of its rows executes one transaction at a time, 560 ms
-// each: with few parts the writes queue, time out and are repeated, and clients
-// wait for their whole time-out.
+// The store is 70 times slower than usual while ten jobs per second are
+// submitted. Guards against clients that wait for their whole time-out. It
+// comes about when the store has few partitions: each executes one transaction
+// at a time, in 560 ms, so writes queue, time out and are repeated.
 func TestSlowStoreAcceptsAllSubmissions(t *testing.T) {
 	simulate(t, Options{Entries: 4, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetSlow(70)
@@ -199,9 +201,10 @@
 	})
 }
 
-// All entries are killed and restart a second later. The lease names a process
-// that no longer exists, at an address where another one answers: the entries
-// must not wait until the lease has been unchanged for two seconds.
+// Guards against entries that wait until the lease has been unchanged for two
+// seconds. It comes about when all entries are killed and restarted: the lease
+// names a process that no longer exists, and a new process answers at its
+// address.
 func TestRestartedEntriesTakeTheLeaseAtOnce(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 		for range 5 {
@@ -224,9 +227,9 @@
 	})
 }
 
-// Rows in the store have no expiry of their own. Jobs that ended long ago are
-// deleted, also by a scheduler that starts its term in between; jobs that still
-// run or can be queried are kept.
+// Rows in the store don't expire by themselves. The scheduler must delete jobs
+// that ended long ago, even if they ended before its term, and keep jobs that
+// still run or can be queried.
 func TestOldJobsAreDeleted(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(100, 1))
@@ -250,9 +253,10 @@
 	})
 }
 
-// All runs that start on one worker make no progress, while its reports and
-// answers stay normal. Its tasks are moved to other workers within two seconds,
-// and later ones don't start there while the fault lasts.
+// All runs that start on one worker make no progress, while the worker's
+// reports and answers stay normal. These tasks must move to other workers
+// within two seconds, and later tasks must not start there while the fault
+// lasts.
 func TestTasksMoveFromHangingWorker(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Agents()[1].Worker().SetHangs(true)
@@ -265,10 +269,10 @@
 	})
 }
 
-// One worker fails all new runs at once and thus is always the emptiest; its
-// earlier runs continue and end done. Guards against tasks that use up their
-// attempts there in a tenth of a second, so that their jobs fail. Each task may
-// lose one attempt there, and no job fails.
+// One worker fails each new run within 30 ms and thus always has the most free
+// capacity; its earlier runs continue and end done. Guards against tasks that
+// use up their attempts there in a tenth of a second, so that their jobs fail.
+// Each task may lose one attempt there, and no job fails.
 func TestWorkerThatFailsAllRunsFailsNoJob(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 24))
@@ -298,8 +302,8 @@
 	})
 }
 
-// A job is far larger than its client's estimate on every worker: no task may
-// be moved.
+// On every worker a job takes far longer than its client's estimate. No task
+// may be moved to another worker.
 func TestWrongEstimatesMoveNothing(t *testing.T) {
 	long := func(workload.RunID) Outcome { return Outcome{For: 9 * second} }
 	simulate(t, Options{Entries: 2, Machines: 4, Outcome: long}, func(t *testing.T, sim *Simulation, c *Client) {
@@ -311,10 +315,9 @@
 	})
 }
 
-// Half of all starts get no answer for a while, and are executed seconds later
-// or not at all. Each is repeated soon, so that jobs are hardly delayed; a
-// start that is executed late finds its run started or ended, and has no
-// effect.
+// Half of all start orders get no answer, and are executed seconds later or not
+// at all. Each must be repeated soon, so that jobs are hardly delayed. An order
+// that is executed late finds its run started or ended, and has no effect.
 func TestLostStartsAreRepeatedSoon(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
--- a/sessions/machines/logs_test.go
+++ b/sessions/machines/logs_test.go
@@ -82,12 +82,12 @@
 	return x
 }
 
-// 840 tasks per second start on a fleet, and a worker fails with some of the
-// runs. An engineer has only the logs, limited to 500 lines per second of each
-// process, to explain why a job was late. Guards against a scheduler that
-// writes two lines for each task, most of which are dropped. The log must cover
-// every job from its first line to its last, and every run from its placement
-// to its end.
+// 840 tasks per second start on a fleet, a worker crashes during some of the
+// runs, and each process may log 500 lines per second. Guards against a
+// scheduler that writes two lines for each task: most are dropped, and an
+// engineer can't tell from the log why a job was late. The log must cover every
+// job from its first line to its last, and every run from its placement to its
+// end.
 func TestLogsOfAFleetCoverEveryRun(t *testing.T) {
 	const (
 		lines   = 500
@@ -100,8 +100,8 @@
 		return Outcome{For: second, Fails: r.Run == 1 && r.Task.Index == 3}
 	}}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
-		// The lines of a starting fleet are not about jobs; the number of
-		// dropped ones is logged with the first job.
+		// The lines of a starting fleet are not about jobs. The number of lines
+		// dropped there is logged with the first job.
 		submit(t, c, job(jobs, 1))
 		await(t, c, JobID(jobs), workload.Completed, 10*second)
 		log.reset()
@@ -148,10 +148,10 @@
 	})
 }
 
-// A scheduler is killed, and the next one reads the jobs of a fleet. Guards
-// against a log line for each job in progress, which crowds out the other lines
-// of the first second of the term. These jobs were logged before; only a job
-// that was submitted without a scheduler is logged now.
+// Guards against a new scheduler that logs every job in progress, so that other
+// lines of its term's first second are dropped. Jobs in progress were logged
+// before; only a job that was submitted while no scheduler led must be logged
+// now.
 func TestNewSchedulerLogsOnlyNewJobs(t *testing.T) {
 	log := &sharedBuffer{}
 	simulate(t, Options{Entries: 3, Machines: 4, Log: log}, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/policy.go
+++ b/sessions/machines/policy.go
@@ -15,13 +15,13 @@
 const (
 	// ticketLifetime is the time for which a ticket is valid.
 	ticketLifetime = 3 * time.Second
-	// An answer takes decisionTime, and timePerWorker for each worker.
+	// An answer takes decisionTime plus timePerWorker for each worker.
 	decisionTime  = 20 * time.Millisecond
 	timePerWorker = 5 * time.Millisecond
 )
 
-// advisor is a stand-in of the policy service that permits a step on about half
-// of the workers.
+// advisor simulates the policy service. It permits a step on about half of the
+// workers.
 type advisor struct {
 	mu      sync.Mutex
 	tickets map[string]time.Time
--- a/sessions/machines/power_loss_test.go
+++ b/sessions/machines/power_loss_test.go
@@ -26,11 +26,11 @@
 	return n
 }
 
-// A whole fleet with its workers loses power at once and gets it back. Accepted
-// jobs wait, and entries schedule again within a tenth of a second. Guards
-// against agents that become ready one after another over seconds, because all
-// of them write their rows to one part of the store, which executes one
-// transaction at a time.
+// A whole fleet loses power and gets it back. Accepted jobs wait, and entries
+// schedule again within a tenth of a second. Guards against agents that become
+// ready one after another over seconds. It comes about when all agents write
+// their rows to one partition of the store, which executes one transaction at a
+// time.
 func TestAgentsOfAFleetRegisterTogether(t *testing.T) {
 	opt := Options{Entries: fleetEntries, Machines: fleetWorkers}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
@@ -61,10 +61,10 @@
 	})
 }
 
-// A machine gets its power back, and its worker starts together with the agent.
-// The worker reports at once, and again 1.1 s later; the agent still writes its
-// row when the first report arrives. Guards against the loss of that report,
-// after which nothing starts on the worker until the next one.
+// Guards against the loss of a worker's first report, so that no task starts
+// there until the next report 1.1 s later. It comes about when worker and agent
+// start together, as after a power loss: the report arrives while the agent
+// still writes its row.
 func TestReportDuringRegistrationIsKept(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 1))
--- a/sessions/machines/power_test.go
+++ b/sessions/machines/power_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// The entry on the strongest machine is down while the lease is acquired, so an
-// entry with a fifth of a core schedules, and all jobs wait for it. Once the
-// strong one is back, it requests the lease; running jobs continue, and no
-// start is lost or duplicated.
+// Guards against an entry with a fifth of a core that keeps the lease and
+// delays all jobs. It comes about when the strongest machine is down while the
+// lease is acquired. Once that machine is back, its entry requests the lease;
+// running jobs continue, and no start is lost or duplicated.
 func TestStrongestMachineSchedules(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4, Power: []float64{0.2, 0.8, 0.2}}, func(t *testing.T, sim *Simulation, c *Client) {
 		strong := sim.Entries()[1]
@@ -45,8 +45,8 @@
 	})
 }
 
-// The designated successor is killed at the moment in which the lease is
-// released to it. Another entry acquires the lease a second later.
+// The designated successor is killed when the lease is released to it. Another
+// entry acquires the lease a second later.
 func TestKilledSuccessorIsSkipped(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 2, Power: []float64{0.2, 0.2, 0.8}}, func(t *testing.T, sim *Simulation, c *Client) {
 		strong := sim.Entries()[2]
@@ -90,11 +90,11 @@
 	return all
 }
 
-// The strong machine that schedules becomes unreachable without notice. Guards
-// against jobs that wait 2.4 s until the lease has been unchanged for long
-// enough, then for a weak machine that happened to read it first, and again
-// when that machine hands the lease to a strong one. Since the holder does not
-// answer, another strong machine acquires the lease within 1.5 s.
+// The strong machine that schedules becomes unreachable. Guards against a slow
+// takeover: jobs wait 2.4 s until the lease has been unchanged for long enough,
+// then for a weak machine that read it first, and then for its handover to a
+// strong machine. As the holder does not answer, another strong machine must
+// acquire the lease within 1.5 s.
 func TestStrongMachineReplacesUnresponsiveScheduler(t *testing.T) {
 	opt := Options{Entries: 12, Machines: 4, Power: powers(3, 9)}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
@@ -121,9 +121,9 @@
 	})
 }
 
-// The store answers 70 times slower than usual, so the lease is unchanged for a
-// second at a time. Its holder answers and keeps it: a takeover would only cost
-// another pause.
+// The store answers 70 times slower than usual, so the lease stays unchanged
+// for a second at a time. The holder still answers and must keep the lease: a
+// takeover would only add a pause.
 func TestSlowStoreDoesNotCostTheLease(t *testing.T) {
 	simulate(t, Options{Entries: 6, Machines: 4, Power: powers(2, 4)}, func(t *testing.T, sim *Simulation, c *Client) {
 		for l := sim.Leader(); l == nil || sim.power(l) < 0.5; l = sim.Leader() {
@@ -142,10 +142,11 @@
 	})
 }
 
-// All machines lose power at once, repeatedly, and restart together. Guards
-// against a lease that goes to the first reader, mostly a weak machine, which
-// takes a second to read the jobs of a fleet and hands the lease over two
-// seconds later. Weak machines leave the lease to strong ones.
+// All entries are killed at once, repeatedly, and restart together, as after a
+// power loss. Guards against a lease that goes to its first reader. This is
+// mostly a weak machine, which takes a second to read a fleet's jobs and hands
+// the lease over two seconds later. Weak machines must leave the lease to
+// strong machines.
 func TestStrongMachineSchedulesAfterAPowerLoss(t *testing.T) {
 	opt := Options{Entries: 24, Machines: 4, Power: powers(2, 22)}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -17,10 +17,11 @@
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first random day")
 )
 
-// TestRandomDays simulates days of jobs of all kinds while processes are killed
-// and stopped, machines are cut off, workers crash, become unresponsive and
-// execute orders late, and the store is down, slow, loses answers and drops its
-// history. After the faults all jobs must end. Run more days with -seeds.
+// TestRandomDays simulates random scenarios ("days") of jobs of all kinds while
+// processes are killed and stopped, machines are cut off, workers crash, become
+// unresponsive and execute orders late, and the store is down, slow, loses
+// answers and drops its history. After the faults all jobs must end. Run more
+// days with -seeds.
 func TestRandomDays(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestRandomDaysOfChanges simulates such days with hardly any faults but those
-// that keep the entries from reading the configuration.
+// TestRandomDaysOfChanges simulates random days whose faults mainly keep the
+// entries from reading the configuration.
 func TestRandomDaysOfChanges(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
@@ -37,7 +38,7 @@
 	}
 }
 
-// TestRandomDaysOfCrashes simulates such days on which a fifth of the jobs
+// TestRandomDaysOfCrashes simulates random days on which a fifth of the jobs
 // crash their workers.
 func TestRandomDaysOfCrashes(t *testing.T) {
 	for i := range max(1, *seeds/3) {
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestRandomDaysOfChangesThatBroke simulates days on which rules were broken,
-// each several times, as the order of simultaneous events is not drawn from the
-// seed.
+// TestRandomDaysOfChangesThatBroke repeats days on which rules were broken.
+// Each runs several times, because the seed does not determine the order of
+// simultaneous events.
 func TestRandomDaysOfChangesThatBroke(t *testing.T) {
 	const times = 8
 	for _, seed := range []uint64{
@@ -89,8 +90,8 @@
 	opt := Options{Seed: seed, Entries: 2 + rng.IntN(3), Machines: 2 + rng.IntN(4), Outcome: outcome, Capacity: workload.Resources{CPU: 10000, Memory: 40000}}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
 		d := &day{sim: sim, rng: rng}
-		// The jobs and the faults draw from separate sources, because they run
-		// concurrently.
+		// The jobs and the faults draw from separate random sources, because
+		// they run concurrently.
 		d.faultRNG = rand.New(rand.NewPCG(seed, 101))
 		stop := make(chan bool)
 		ended := make(chan bool)
@@ -129,7 +130,8 @@
 		}
 		s.Fills = d.rng.IntN(4) == 0
 	}
-	// Spread limits a step to twice the machines at a time, not in all.
+	// A Spread of 2 limits a step's concurrent tasks to two per machine, not
+	// their total.
 	lasts := d.rng.IntN(8) == 0
 	if lasts {
 		j = lastingJob(n, 1+d.rng.IntN(3))
@@ -170,7 +172,8 @@
 	}
 }
 
-// fault draws a fault; the returned function injects it and ends after it.
+// fault draws a fault. The returned function injects it and returns once it is
+// over.
 func (d *day) fault() func() {
 	sim := d.sim
 	entry := sim.Entries()[d.faultRNG.IntN(len(sim.Entries()))]
--- a/sessions/machines/rules.go
+++ b/sessions/machines/rules.go
@@ -20,7 +20,8 @@
 	breaches        []string
 	cutAt           time.Time
 	// drained holds the time from which each data centre is drained,
-	// lastStartAfterDrain the longest time from a drain to a task start there.
+	// lastStartAfterDrain the longest time from a drain to a task start in that
+	// data centre.
 	drained             map[string]time.Time
 	lastStartAfterDrain time.Duration
 	Started             int
@@ -33,29 +34,29 @@
 type jobRecord struct {
 	spec     workload.Job
 	accepted bool
-	// attempts counts the answered attempts to submit the job, refused those
+	// attempts counts the finished attempts to submit the job, refused those
 	// that were definitely refused.
 	attempts, refused int
 	started           bool
 	cancelled         time.Time
 	running           map[workload.TaskID]map[workload.RunID]*Worker
 	done              map[workload.TaskID]bool
-	// acknowledged holds the tasks of which an agent has acknowledged a done
-	// end.
+	// acknowledged holds the tasks for which an agent has acknowledged an end
+	// of kind done.
 	acknowledged map[workload.TaskID]bool
-	// failed holds the runs that ended failed, true once the end is
-	// acknowledged; failedBefore holds, for each start, the runs that had
-	// failed before it.
+	// failed holds each task's failed runs; the value is true once the end is
+	// acknowledged. failedBefore holds, for each start of a task, the runs that
+	// had failed before that start.
 	failed       map[workload.TaskID]map[int]bool
 	failedBefore map[workload.TaskID][][]int
-	// doneRuns holds the runs that ended done, true if the task has started
-	// again since.
+	// doneRuns holds each task's runs that ended done; the value is true if the
+	// task has started again since.
 	doneRuns map[workload.TaskID]map[int]bool
-	// workersLost counts the workers that crashed during a run of a task,
-	// crashes those that the task itself crashed, and startsAfterCrashes its
-	// starts after crashBound such crashes.
+	// For each task, workersLost counts the workers that crashed while they ran
+	// it, crashes those that the task caused to crash, and startsAfterCrashes
+	// its starts after it caused crashBound crashes.
 	workersLost, crashes, startsAfterCrashes map[workload.TaskID]int
-	// brokenGangs holds the runs of gangs that have lost a member.
+	// brokenGangs holds the gang runs that have lost a member, by gangKey.
 	brokenGangs map[workload.RunID]bool
 	lastState   workload.State
 }
@@ -103,8 +104,8 @@
 	}
 }
 
-// answered records the answer to a submission: accepted, definitely refused, or
-// neither.
+// answered records the result of an attempt to submit a job: accepted,
+// definitely refused, or neither.
 func (r *Rules) answered(id workload.JobID, accepted, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,8 +150,8 @@
 	}
 }
 
-// mayFail reports whether a task of the job has failed as often as its queue
-// allows, or at least two workers have crashed during its runs.
+// mayFail reports whether a task of the job has failed as often as the job's
+// queue allows, or at least two workers have crashed during its runs.
 func (j *jobRecord) mayFail() bool {
 	for _, runs := range j.failed {
 		if n := j.spec.Queue.MaxAttempts; n > 0 && len(runs) >= n {
@@ -177,8 +178,9 @@
 	// cancelGrace is the time after a cancellation during which a start may
 	// still occur.
 	cancelGrace = 3 * time.Second
-	// contactTime is the time for which machines must have been reachable for
-	// a breach: an order that a cut delayed may arrive when the cut heals.
+	// contactTime is the time for which machines must have been reachable
+	// before a violation counts as a breach: an order that a network cut
+	// delayed may arrive when the cut heals.
 	contactTime = 3 * time.Second
 )
 
@@ -195,11 +197,11 @@
 	r.cutAt = time.Now()
 }
 
-// drainBound is the time after its drain during which a task may still start in
-// a data centre, the users' strictest bound.
+// drainBound is the time for which tasks may still start in a data centre after
+// its drain; it is the users' strictest bound.
 const drainBound = 5 * time.Second
 
-// drain records the drain of a data centre or its revocation.
+// drain records the drain of a data centre or the revocation of the drain.
 func (r *Rules) drain(dataCentre string, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,8 +283,9 @@
 	r.checkCapacity(w, x)
 }
 
-// checkCapacity checks the worker's capacity and the step's spread after the
-// start of x. The caller holds the worker's lock.
+// checkCapacity checks, after the start of x, the worker's capacity and the
+// step's Spread (its limit of tasks per worker). The caller holds the worker's
+// lock.
 func (r *Rules) checkCapacity(w *Worker, x *activeRun) {
 	var sum workload.Resources
 	ofStep := 0
@@ -345,8 +348,8 @@
 	}
 }
 
-// checkAttempts checks that no start followed as many acknowledged failures as
-// the queue allows.
+// checkAttempts checks that the task was not started after as many acknowledged
+// failures as its queue allows.
 func (r *Rules) checkAttempts(j *jobRecord, t workload.TaskID) {
 	n := j.spec.Queue.MaxAttempts
 	if n == 0 || j.spec.Steps[t.Step].Lasting {
@@ -366,9 +369,9 @@
 }
 
 const (
-	// crashBound is the number of workers that a task may crash before its
-	// further starts are counted, excessStarts the number of further starts
-	// that breaks the rule.
+	// crashBound is the number of workers that a task must have crashed before
+	// its further starts are counted. excessStarts is the number of these
+	// starts that counts as a breach.
 	crashBound   = 3
 	excessStarts = 3
 )
@@ -397,8 +400,8 @@
 	on  *Worker
 }
 
-// breakGang records that a gang has lost a member and returns the remaining
-// ones.
+// breakGang records that the run's gang has lost a member and returns the
+// remaining members.
 func (r *Rules) breakGang(run workload.RunID) []member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sessions/machines/shrink_test.go
+++ b/sessions/machines/shrink_test.go
@@ -7,10 +7,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// shrunkCapacity is the capacity of the worker after it shrank.
+// shrunkCapacity is the capacity of the worker after the shrink.
 var shrunkCapacity = workload.Resources{CPU: 4000, Memory: 16000}
 
-// Guards against a worker that has shrunk and is filled to its former capacity.
+// Guards against a worker that is filled to its former capacity after its
+// capacity has shrunk.
 func TestShrunkWorkerIsNotOverfilled(t *testing.T) {
 	restart := map[string]func(sim *Simulation){
 		"nothing restarts":     func(*Simulation) {},
--- a/sessions/machines/starve_test.go
+++ b/sessions/machines/starve_test.go
@@ -8,9 +8,10 @@
 )
 
 // Guards against a lasting task that finds no capacity because short tasks take
-// all that becomes free.
+// all capacity that becomes free.
 func TestLastingTaskIsNotStarvedByShortOnes(t *testing.T) {
-	// restored is the users' bound on the time of a lasting task without a run.
+	// restored is the users' bound on the time that a lasting task spends
+	// without a run.
 	const restored = 6 * second
 	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 16000, Memory: 1 << 20}}, func(t *testing.T, sim *Simulation, c *Client) {
 		last := lastingJob(1, 1)
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -15,8 +15,8 @@
 
 // Outcome describes the behaviour of a run.
 type Outcome struct {
-	// For is the time that the run works; 0 makes it run until stopped, as the
-	// tasks of a lasting step always do.
+	// For is the run's working time. With 0, and always in a lasting step, the
+	// run works until stopped.
 	For time.Duration
 	// Fails makes the run end failed.
 	Fails bool
@@ -31,8 +31,7 @@
 	answerTime = time.Millisecond
 	// callTimeout is the time that a caller waits for a missing answer.
 	callTimeout = 500 * time.Millisecond
-	// failTime is the time after which a run ends on a worker that fails all
-	// its runs.
+	// failTime is the duration of each run on a worker that fails all its runs.
 	failTime = 30 * time.Millisecond
 	// crashTime is the time from the start of a run to the crash that it
 	// causes.
@@ -47,8 +46,8 @@
 	listedEnds = 500
 )
 
-// Worker is a stand-in of the worker of one machine. It executes orders, keeps
-// leases on a clock that runs slow, and reports its actions to the rules.
+// Worker simulates the worker of one machine. It executes orders, measures
+// leases by a slow clock, and reports its actions to the rules.
 type Worker struct {
 	rules   *Rules
 	outcome func(workload.RunID) Outcome
@@ -63,8 +62,8 @@
 	mu    sync.Mutex
 	rng   *rand.Rand
 	alive bool
-	// refusing makes the address refuse calls after the worker's end; otherwise
-	// they get no answer.
+	// refusing makes the address refuse calls after the worker has ended; if
+	// false, such calls get no answer.
 	refusing bool
 	// unresponsive leaves calls unanswered while the runs continue.
 	unresponsive bool
@@ -75,7 +74,7 @@
 	lost float64
 	// fails makes new runs fail after failTime.
 	fails bool
-	// hangs makes new runs make no progress.
+	// hangs keeps new runs from progressing.
 	hangs            bool
 	refuses          bool
 	token            uint64
@@ -85,11 +84,11 @@
 	ended            []workload.End
 	number           uint64
 	lastAcknowledged uint64
-	// lapsedEnds is the highest end number at the last lapse of a lease; ends up
-	// to it can't be acknowledged any more.
+	// lapsedEnds is the highest end number when a lease last expired. An
+	// acknowledgement of an end up to this number does not count.
 	lapsedEnds uint64
 	changed    chan struct{}
-	// formerCapacities holds the capacities from before each shrink.
+	// formerCapacities holds the capacity from before each change.
 	formerCapacities []formerCapacity
 }
 
@@ -98,7 +97,8 @@
 	payload    string
 	began      time.Time
 	checkpoint int
-	// duration is the time that the run works; 0 means that it lasts or hangs.
+	// duration is the run's working time; 0 if the run lasts, hangs or crashes
+	// its worker.
 	duration time.Duration
 	lasting  bool
 	stopping bool
@@ -139,8 +139,8 @@
 	}
 }
 
-// Info returns the worker's description for reports; alive is false after its
-// end.
+// Info returns the worker's description for reports; alive is false once the
+// worker has ended.
 func (w *Worker) Info() (info workload.Worker, alive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,7 +154,7 @@
 	w.info.Draining = true
 }
 
-// SetDark sets whether calls get no answer.
+// SetDark sets whether the worker leaves calls unanswered.
 func (w *Worker) SetDark(unresponsive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -175,8 +175,8 @@
 	w.lost = share
 }
 
-// answerLost reports whether the answer to a call is lost, after the caller's
-// time-out.
+// answerLost reports whether the answer to a call is lost. If so, it first
+// waits for the caller's time-out.
 func (w *Worker) answerLost(ctx context.Context) bool {
 	w.mu.Lock()
 	lost := w.rng.Float64() < w.lost
@@ -213,8 +213,9 @@
 	return runs
 }
 
-// receive takes the time of a call and returns an error if the call is lost or
-// refused; do executes a lost order later.
+// receive simulates the delay of a call and returns an error if the call is
+// lost or refused. For an order that is to be executed late, it calls do after
+// 2 to 12 s.
 func (w *Worker) receive(ctx context.Context, incarnation workload.WorkerID, order bool, do func()) error {
 	w.mu.Lock()
 	unanswered := w.unresponsive || !w.alive
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -34,10 +34,11 @@
 	Entries  int
 	Machines int
 	// Power is the processor capacity of each entry's machine in cores; entries
-	// beyond its length report none.
+	// beyond the end of the slice report none.
 	Power []float64
-	// DataCentres is the number of data centres, named dc-0 and so on, among
-	// which the workers are distributed in turn; with 0 they belong to none.
+	// DataCentres is the number of data centres, named dc-0 and so on, to which
+	// the workers are assigned round-robin; with 0, workers belong to no data
+	// centre.
 	DataCentres int
 	// Capacity is the capacity of each worker.
 	Capacity workload.Resources
@@ -77,17 +78,18 @@
 	hidden       map[string]bool
 	incarnations int
 	closed       bool
-	// configs watches the confirmed configurations; nil before the first one.
+	// configs checks whether entries serve the confirmed configurations; nil
+	// before the first confirmation.
 	configs *configWatch
 }
 
-// server serves an address.
+// server is the RPC server of one address.
 type server struct {
 	rpc   *rpc.Server
 	conns map[net.Conn]bool
 }
 
-// Service is the service of all workers of a simulation.
+// Service is the name of the service of all simulated workers.
 const Service = "svc"
 
 // dialTimeout is the time after which a dial to an unreachable machine fails.
@@ -154,7 +156,7 @@
 		a.Kill()
 		a.Worker().Crash()
 	}
-	// Calls in flight end within the longest time-out.
+	// Wait for calls in flight, which end within the longest time-out.
 	time.Sleep(time.Minute)
 }
 
@@ -228,8 +230,8 @@
 	return nil
 }
 
-// leaderExcept is Leader without one entry, which is cut off and may not have
-// noticed the end of its term.
+// leaderExcept is like Leader but ignores one entry, which is cut off and may
+// not have noticed the end of its term.
 func (sim *Simulation) leaderExcept(excluded *Entry) *Entry {
 	for _, e := range sim.entries {
 		if p := e.current(); e != excluded && p != nil && p.elector.Term() != nil {
@@ -239,7 +241,7 @@
 	return nil
 }
 
-// agentRunning returns the machine of a run of the job, or nil.
+// agentRunning returns an agent whose worker runs a task of the job, or nil.
 func (sim *Simulation) agentRunning(id workload.JobID) *Agent {
 	for _, a := range sim.agents {
 		for _, r := range a.Worker().Running() {
@@ -318,7 +320,7 @@
 	return near, nil
 }
 
-// listen serves an address, replacing the server that it had.
+// listen starts a server at an address and replaces any earlier one.
 func (sim *Simulation) listen(address string, r *rpc.Server) *server {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -327,7 +329,7 @@
 	return s
 }
 
-// unlisten ends a server, but not a later one at the same address.
+// unlisten ends a server. A later server at the same address continues.
 func (sim *Simulation) unlisten(address string, s *server) {
 	if s == nil {
 		return
--- a/sessions/machines/world_test.go
+++ b/sessions/machines/world_test.go
@@ -34,7 +34,8 @@
 	return workload.Job{ID: JobID(number), Queue: queue(), Payload: "lasting", Steps: []workload.Step{s}}
 }
 
-// oneSecondOutcome makes finite tasks take a second; lasting ones continue.
+// oneSecondOutcome makes finite tasks take a second; lasting tasks run until
+// stopped.
 func oneSecondOutcome(r workload.RunID) Outcome { return Outcome{For: second} }
 
 // simulate runs a scenario in fake time and then checks the rules.
@@ -90,9 +91,9 @@
 	})
 }
 
-// All machines lose power at the moment in which a client receives the
-// acceptance of its job. State held only in processes is lost; the job must
-// still run, and running tasks continue.
+// All entries and agents are killed right after a job is accepted, and lose the
+// state that is not in the store. The job must still run, and running tasks
+// must continue.
 func TestAllProcessesAreKilledRightAfterAnAcceptance(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
@@ -109,8 +110,9 @@
 	})
 }
 
-// The scheduling entry is killed. The others find its address refusing
-// connections and take over within two seconds; nothing runs twice.
+// The scheduling entry is killed. The other entries find that its address
+// refuses connections, and one takes over within two seconds. No task runs
+// twice.
 func TestKilledSchedulerIsReplaced(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
@@ -122,10 +124,10 @@
 	})
 }
 
-// The scheduler's process is stopped during one of its transactions. If the
-// transaction were aborted, the release of the lease would meet a newer version
-// and be refused, and clients would wait until the others take over a lease
-// that is unchanged for two seconds or more.
+// Guards against a stopped scheduler whose lease is not released, so that
+// clients wait until another entry takes over the lease after two seconds or
+// more without a change. It comes about when the stop aborts a transaction in
+// flight: the release then meets a newer version of the lease and is refused.
 func TestStoppedSchedulerHandsOver(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 10 {
@@ -146,9 +148,9 @@
 	})
 }
 
-// A worker's machine and agent stay up, but the worker is dead: it answers
-// nothing and does not restart. An agent that kept renewing the lease would
-// keep its tasks from ever starting elsewhere.
+// Guards against tasks of a dead worker that never start elsewhere. It comes
+// about when the agent keeps renewing the lease of a worker that neither
+// answers nor restarts.
 func TestTasksOfDeadWorkerRestartElsewhere(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		j := lastingJob(1, 6)
@@ -167,8 +169,8 @@
 	})
 }
 
-// A worker is cut off from its agent and runs on. Its tasks may start elsewhere
-// only once its last lease has expired on its slow clock.
+// A worker does not answer its agent but keeps running. Its tasks may start
+// elsewhere only once the worker's last lease has expired by its slow clock.
 func TestTasksOfAWorkerOutOfReachWaitForItsLease(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
@@ -181,7 +183,7 @@
 }
 
 // A machine with agent and worker is cut off from all others for longer than
-// its grant, and is then reconnected.
+// the agent's grant, and is then reconnected.
 func TestMachineThatIsCutOffComesBack(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
@@ -196,9 +198,9 @@
 	})
 }
 
-// An agent is killed beside a running worker and restarted. It must fence its
-// predecessor, whose orders may still be in flight, and learn the current runs
-// without stopping them.
+// An agent is killed while its worker keeps running, and is restarted. The new
+// process must fence the old one, whose orders may still be in flight, and
+// learn the current runs without stopping them.
 func TestNewAgentTakesOverWhatRuns(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 4))
@@ -217,7 +219,7 @@
 }
 
 // Workers leave a third of their orders unanswered and execute them up to 12 s
-// later, after newer ones.
+// later, after newer orders.
 func TestOrdersThatAreCarriedOutLate(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3, Seed: 5}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
@@ -237,10 +239,9 @@
 	})
 }
 
-// The store stops answering the scheduler's machine, and serves all others.
-// Guards against store calls in flight that wait for 1.5 s before they go
-// through another entry: no task is placed meanwhile, and clients' short jobs
-// end late.
+// The store stops answering the scheduler's machine and serves all others.
+// Guards against store calls in flight that wait 1.5 s before they go through
+// another entry. During this wait no task is placed, so short jobs end late.
 func TestUnresponsiveStorePathIsAbandonedSoon(t *testing.T) {
 	simulate(t, Options{Entries: 5, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		time.Sleep(6 * second) // the entries have learnt of each other
@@ -303,8 +304,9 @@
 	})
 }
 
-// The store refuses the scheduler's machine and serves the others. Clients that
-// reach this entry must not be refused, and jobs still run.
+// The store refuses or does not answer the scheduler's machine and serves the
+// others. Clients of the scheduling entry must not be refused, and jobs must
+// still run.
 func TestStoreThatRefusesOneMachine(t *testing.T) {
 	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Silent} {
 		simulate(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
@@ -319,10 +321,9 @@
 	}
 }
 
-// The scheduler's machine is cut off from the store for ten seconds without an
-// error: its calls get no answer. Another entry makes them. If calls tried the
-// direct path now and then, they would wait for its time-out each time, and
-// every start with them.
+// The scheduler's calls to the store get no answer, so they go through another
+// entry. Guards against calls that still try the direct path now and then: each
+// waits for a time-out and delays task starts.
 func TestSchedulerCutOffFromTheStoreContinues(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		leader := sim.Leader()
@@ -367,9 +368,9 @@
 	}
 }
 
-// Answers of the store are lost, and the writes are applied seconds later. A
-// job whose submission got no answer may run once, and only if its client was
-// not told that it never will.
+// The store's answers are lost, and its writes are applied seconds later. A job
+// whose submission got no answer may run at most once. A job must not run if
+// all attempts to submit it were refused.
 func TestWritesThatAreAppliedLate(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 3, Seed: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetLost(0.4, true)
@@ -401,8 +402,8 @@
 	})
 }
 
-// A job whose tasks fail on every worker fails after its attempts, and the
-// workers that ran it still run the other jobs.
+// A job whose tasks fail on every worker fails after its allowed attempts, and
+// its workers still run other jobs.
 func TestJobWhoseTasksAlwaysFailFails(t *testing.T) {
 	outcome := func(r workload.RunID) Outcome {
 		return Outcome{For: 200 * time.Millisecond, Fails: r.Task.Job == JobID(1)}
@@ -435,8 +436,8 @@
 	})
 }
 
-// The same identifier arrives at all entries at once, as after lost answers. It
-// is one job, and every entry accepts it.
+// A job is submitted to all entries at once under one identifier, as after lost
+// answers. Every entry must accept it, and it must run once.
 func TestOneIdentifierIsOneJob(t *testing.T) {
 	simulate(t, Options{Entries: 4, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		done := make(chan bool)
@@ -455,8 +456,9 @@
 	})
 }
 
-// More work than capacity: accepted jobs end in time, and no worker ever
-// exceeds its capacity, even with starts and stops in flight.
+// More work is submitted than the workers have capacity for. Accepted jobs end
+// in time, and no worker ever exceeds its capacity, even with starts and stops
+// in flight.
 func TestWorkBeyondCapacityWaits(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 5000, Memory: 64000}}, func(t *testing.T, sim *Simulation, c *Client) {
 		var ids []workload.JobID
