--- a/sessions/inproc/network.go
+++ b/sessions/inproc/network.go
@@ -1,7 +1,7 @@
-// Package inproc runs entries, agents and backend servers in one process, with
-// a network between them that can be cut, delayed and made to lose answers. The
-// network uses no sockets, so that whole sessions run under testing/synctest
-// and give the same result each time.
+// Package inproc runs entries, agents and backend servers in one process. A
+// simulated network between them can be cut, delay messages and lose answers.
+// It uses no sockets, so that whole sessions run under testing/synctest and
+// give the same result each time.
 package inproc
 
 import (
@@ -16,7 +16,7 @@
 	"persimmonrock.example/wire"
 )
 
-// latency is the time that a message takes one way.
+// latency is the one-way delay of a message.
 const latency = time.Millisecond
 
 // errCut is the cause of a PeerError that this network returns.
@@ -25,8 +25,9 @@
 // Fault is a fault that the network injects into one message.
 type Fault int
 
-// The faults of a message. With LoseAnswer the receiver handles the message;
-// with Late it does so after the sender has timed out.
+// The faults of a message. With LoseAnswer the receiver handles the message,
+// but the answer is lost. With Late, the message is handled after a delay, and
+// the answer is lost, too.
 const (
 	Deliver Fault = iota
 	Unsent
@@ -35,7 +36,7 @@
 	Late
 )
 
-// Message describes a message to the function that is set by Script.
+// Message identifies a message for the function that is set by Script.
 type Message struct {
 	From, To, Method string
 }
@@ -46,15 +47,15 @@
 	agents  map[string]wire.AgentAPI
 	entries map[string]wire.EntryAPI
 	clocks  map[string]wire.Clock
-	// owner is the name of the process that is reached at an address.
+	// owner maps an address to the name of the process that serves it.
 	owner  map[string]string
 	dead   map[string]bool
 	frozen map[string]chan struct{}
 	cut    map[[2]string]bool
 	script func(Message) Fault
 	random *rand.Rand
-	// chance is the probability of each fault of a message, drawn from the
-	// seed.
+	// chance is the probability of each fault of a message; random draws the
+	// faults from the seed.
 	chance    map[Fault]float64
 	lateDelay time.Duration
 }
@@ -121,7 +122,8 @@
 	}
 }
 
-// ServeAgent makes the named process reachable at address, replacing any other.
+// ServeAgent makes the named process reachable at address and replaces the
+// process that was reachable there.
 func (n *Network) ServeAgent(address, name string, a wire.AgentAPI, clock wire.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,8 +193,8 @@
 }
 
 // exchange carries one request and its answer. The request and the reply are
-// copied through gob, as on the wire, so that no memory is shared and values
-// that can't be encoded fail here too.
+// copied through gob, as on the wire: processes share no memory, and values
+// that can't be encoded fail here, too.
 func exchange[Q, R any](ctx context.Context, n *Network, m Message, request Q, handle func(Q, *R) error) (R, error) {
 	var none R
 	failed := func(sent bool, err error) (R, error) {
--- a/sessions/inproc/web.go
+++ b/sessions/inproc/web.go
@@ -24,14 +24,15 @@
 	WebCutBody
 )
 
-// Web carries HTTP requests to handlers by host name.
+// Web is a simulated HTTP network that routes requests to handlers by host
+// name.
 type Web struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	script   func(*http.Request) WebFault
 }
 
-// NewWeb returns a web without hosts.
+// NewWeb returns a Web without hosts.
 func NewWeb() *Web { return &Web{handlers: make(map[string]http.Handler)} }
 
 // Serve makes h reachable as http://host; nil removes the host.
@@ -49,7 +50,7 @@
 	w.script = f
 }
 
-// Client returns an HTTP client that uses the web.
+// Client returns an HTTP client that sends its requests through w.
 func (w *Web) Client() *http.Client { return &http.Client{Transport: w} }
 
 func (w *Web) route(r *http.Request) (http.Handler, WebFault) {
@@ -66,7 +67,8 @@
 }
 
 // RoundTrip implements http.RoundTripper. The handler keeps running after the
-// client times out, as in a server that does not monitor its connection.
+// client times out, as in a server that does not check whether its connection
+// is still open.
 func (w *Web) RoundTrip(r *http.Request) (*http.Response, error) {
 	handler, fault := w.route(r)
 	if fault == WebRefuse {
@@ -121,7 +123,8 @@
 	return answer, nil
 }
 
-// truncated is the unread rest of a body whose connection was cut.
+// truncated stands for the rest of a body whose connection was cut; reading it
+// fails.
 type truncated struct{}
 
 func (truncated) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/sessions/inproc/world.go
+++ b/sessions/inproc/world.go
@@ -22,13 +22,13 @@
 	"persimmonrock.example/structs"
 )
 
-// Keys of the operator and of every customer in a Cluster.
+// API keys in a Cluster: the operator's key and the prefix of each customer's.
 const (
 	OperatorKey = "operator-key"
 	customerKey = "key-of-"
 )
 
-// CustomerKey returns the key of a customer in a Cluster.
+// CustomerKey returns a customer's API key in a Cluster.
 func CustomerKey(c structs.Customer) string { return customerKey + string(c) }
 
 // ringSize is the number of events that a process keeps.
@@ -42,9 +42,11 @@
 	Objects  *memory.Objects
 	Registry *memory.RunRegistry
 	Log      zerolog.Logger
-	// AgentLease and WorkerLease are the leases of agents started later.
+	// AgentLease and WorkerLease are the lease durations of agents that are
+	// started later.
 	AgentLease, WorkerLease time.Duration
-	// Kinds are the programs of workers started later.
+	// Kinds holds the programs of workers that are started later, by kind of
+	// task.
 	Kinds map[structs.Kind]memory.Program
 
 	mu        sync.Mutex
@@ -70,18 +72,19 @@
 
 // process is the common part of entries and agents.
 type process struct {
-	// Name is unique to the process; its address may be reused.
+	// Name is unique to the process; an address may be reused.
 	Name  string
 	Store *fault.Control
-	// Local controls the access to the worker, which is on the same instance:
-	// only a frozen or killed process is disconnected from it.
+	// Local controls access to the worker on the same instance. Only freezing
+	// or killing the process disconnects it from the worker.
 	Local   *fault.Control
 	Events  *events.Ring
 	cancel  context.CancelFunc
 	cluster *Cluster
 }
 
-// Kill ends the process as SIGKILL does: its later actions affect nobody.
+// Kill ends the process as SIGKILL does: its later actions have no effect on
+// others.
 func (p *process) Kill() {
 	p.Store.Cut(true)
 	p.Local.Cut(true)
@@ -89,7 +92,7 @@
 	p.cancel()
 }
 
-// Freeze stops the process as SIGSTOP does, as far as others can observe.
+// Freeze suspends the process. To other processes this looks like SIGSTOP.
 func (p *process) Freeze() {
 	p.Store.Freeze()
 	p.Local.Freeze()
@@ -123,7 +126,7 @@
 	mux *http.ServeMux
 }
 
-// StartEntry starts an entry that is reached at address.
+// StartEntry starts an entry at address.
 func (w *Cluster) StartEntry(address string) *Entry {
 	p, ctx := w.newProcess(address)
 	e := &Entry{process: p}
@@ -146,8 +149,8 @@
 	return e
 }
 
-// Do sends one request to the entry's HTTP interface. A caller of a killed or
-// frozen entry gets no answer until ctx ends (status 0).
+// Do sends one request to the entry's HTTP interface. If the entry is killed or
+// frozen, the caller gets no answer, and Do returns status 0 when ctx ends.
 func (e *Entry) Do(ctx context.Context, method, path, key, body string, header ...string) Response {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -187,8 +190,8 @@
 	return doc.Outcome
 }
 
-// Instance is one instance: a worker, backend servers and an agent, which can
-// be replaced while the others keep running.
+// Instance is one instance: a worker, backend servers and an agent. The agent
+// can be replaced while the worker and the servers keep running.
 type Instance struct {
 	ID      structs.InstanceID
 	Worker  *memory.Worker
@@ -215,7 +218,7 @@
 	return i
 }
 
-// StartAgent starts an agent and replaces an earlier one.
+// StartAgent starts an agent that replaces any earlier agent of the instance.
 func (i *Instance) StartAgent() *Agent {
 	w := i.cluster
 	address := string(i.ID)
@@ -265,7 +268,7 @@
 	return &Backend{Server: b, cancel: cancel}
 }
 
-// Contract writes a customer's contract through the entry.
+// Contract writes a customer's contract through an entry.
 func (w *Cluster) Contract(e *Entry, c structs.Customer, share float64, queue int) Response {
 	body, _ := json.Marshal(structs.Contract{
 		Customer: c, LatencyTarget: structs.Duration(2 * time.Second), BatchQueue: queue, Share: share,
