--- a/sessions/soak/deployment_test.go
+++ b/sessions/soak/deployment_test.go
@@ -21,7 +21,8 @@
 const (
 	entries = 3
 	hosts   = 4
-	// firstPort is the first port of each process, on an address of its own.
+	// firstPort is the first port of each process; each process has its own IP
+	// address.
 	firstPort = 21700
 	heartbeat = 500 * time.Millisecond
 	// workerRestartDelay is the time from a worker's crash by a run to its
@@ -132,8 +133,8 @@
 	}
 }
 
-// outcome makes a task run for 0.2 to 1 s, the same in each run; the first task
-// of a job of the crashing client crashes its worker.
+// outcome makes a task run for 0.2 to 1 s, the same time in each run. In jobs
+// of the crashing client, the first task of each step crashes its worker.
 func outcome(r workload.RunID) machines.Outcome {
 	return machines.Outcome{
 		For:     time.Duration(200+100*((r.Task.Index*7+r.Task.Step*3)%9)) * time.Millisecond,
@@ -152,7 +153,7 @@
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		if info, alive := s.current().Info(); alive {
 			reportCtx, cancel := context.WithTimeout(ctx, time.Second)
-			_ = standin.Report(reportCtx, s.agent.Reports(), info, n) // sent again at the next heartbeat
+			_ = standin.Report(reportCtx, s.agent.Reports(), info, n) // the next heartbeat sends another report
 			cancel()
 		}
 		time.Sleep(heartbeat)
--- a/sessions/soak/process_test.go
+++ b/sessions/soak/process_test.go
@@ -15,8 +15,8 @@
 // processRestartDelay is the time from the exit of a process to its restart.
 const processRestartDelay = 300 * time.Millisecond
 
-// process is one program on its machine. It is restarted whenever it exits, as
-// on the users' machines.
+// process is one program on a simulated machine. It is restarted whenever it
+// exits, as on the users' machines.
 type process struct {
 	standin.Machine
 	t       *testing.T
@@ -70,7 +70,7 @@
 		}
 		p.cmd = cmd
 		p.mu.Unlock()
-		_ = cmd.Wait() // the signals sent and the log show why it ended
+		_ = cmd.Wait() // the signals sent and the log show why the process ended
 		p.mu.Lock()
 		p.exits++
 		p.mu.Unlock()
@@ -83,7 +83,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may have just exited
+		_ = p.cmd.Process.Signal(s) // the process may have just exited
 	}
 }
 
--- a/sessions/soak/relay_test.go
+++ b/sessions/soak/relay_test.go
@@ -14,8 +14,8 @@
 	healthy relayState = iota
 	// delayed forwards all data after forwardDelay.
 	delayed
-	// dropOutbound drops the data that the process sends, dropInbound the data
-	// that is sent to it, dropAll both; the connections stay open.
+	// dropOutbound drops data sent by the process, dropInbound data sent to the
+	// process, dropAll both; connections stay open.
 	dropOutbound
 	dropInbound
 	dropAll
@@ -91,9 +91,9 @@
 	r.forward(client, server, dropInbound)
 }
 
-// forward copies one direction and drops the data in the states dropping and
+// forward copies data in one direction, and drops it in the states dropping and
 // dropAll. A connection that has dropped data is closed only when the state
-// changes, as a real one fails only after the network recovers.
+// changes, as a real connection fails only after the network recovers.
 func (r *relay) forward(to, from net.Conn, dropping relayState) {
 	defer to.Close()
 	defer from.Close()
--- a/sessions/soak/soak_test.go
+++ b/sessions/soak/soak_test.go
@@ -24,17 +24,17 @@
 
 const (
 	clients = 4
-	// crashingClient is the client whose jobs crash their workers, one each
-	// crashInterval.
+	// crashingClient is the number of the client whose jobs crash their
+	// workers. It submits a job every crashInterval.
 	crashingClient = 97
 	crashInterval  = 4 * time.Second
 	// settleTime is the time after the last fault within which every accepted
-	// job finishes: the last leases of unresponsive workers expire, and the
-	// tasks waiting for them run.
+	// job must finish. In this time the last leases of unresponsive workers
+	// expire, and the tasks that waited for the expiry run.
 	settleTime = 30 * time.Second
 )
 
-// entryProgram and agentProgram are the built programs.
+// entryProgram and agentProgram are the paths of the built programs.
 var entryProgram, agentProgram string
 
 func TestMain(m *testing.M) {
@@ -156,8 +156,8 @@
 	return accepted
 }
 
-// countRunning returns the number of running tasks of a job. It polls for up to
-// settleTime until there are 3: a task may be between two runs.
+// countRunning returns the number of a job's running tasks. It polls for up to
+// settleTime until 3 run, because a task may be between two runs.
 func (d *deployment) countRunning(id workload.JobID) int {
 	for started := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		n := 0
@@ -181,10 +181,10 @@
 	return workload.Job{ID: id, Queue: queue, Payload: "p" + string(id), Steps: []workload.Step{s, next}}
 }
 
-// clientOf returns the client that is encoded in the ID of a job by jobID.
+// clientOf returns the client number that jobID encoded in a job's ID.
 func clientOf(id workload.JobID) int {
 	var seed, client int
-	_, _ = fmt.Sscanf(string(id), "%06x%04x", &seed, &client) // 0 for a job of another form
+	_, _ = fmt.Sscanf(string(id), "%06x%04x", &seed, &client) // 0 for an ID of another form
 	return client
 }
 
