--- a/sessions/golden_test.go
+++ b/sessions/golden_test.go
@@ -25,9 +25,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// transcript is a session with a record of its exchanges as callers, operators
-// and backend servers see them, and of the merged time line of a request or
-// job.
+// transcript is a session that records its exchanges, as callers, operators and
+// backend servers see them, and merged time lines of requests and jobs.
 type transcript struct {
 	*session
 	text strings.Builder
@@ -129,10 +128,10 @@
 
 func constant(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// Callers fill an instance of two slots and time out; the backend server keeps
-// working. A third caller is refused with proof; once the work has ended, a
-// fourth is served. Failure guarded against: a slot is freed when its caller
-// stops waiting, although the call still runs.
+// Guards against a slot that is freed when its caller stops waiting, although
+// the call still runs. Two callers fill an instance of two slots and time out;
+// the backend server keeps working. A third call must be refused with proof
+// that it did not run. Once the work has ended, a fourth call is served.
 func TestGoldenSlotsHeldAfterClientTimeout(t *testing.T) {
 	runGolden(t, "g1-slots", options{slots: 2, work: constant(2 * time.Second)}, func(s *transcript) {
 		for range 2 {
@@ -147,9 +146,9 @@
 	})
 }
 
-// A job's agent is frozen for longer than its lease, the job runs on another
-// instance, and the agent resumes. Other processes can't distinguish the pause
-// from a crash.
+// The agent that runs a job is frozen for longer than the agent's lease, so the
+// job is run on another instance. Then the agent resumes. Other processes can't
+// distinguish the pause from a crash.
 func TestGoldenFrozenAgent(t *testing.T) {
 	runGolden(t, "g2-frozen", options{slots: 2, lease: randomLease}, func(s *transcript) {
 		id := s.submit(s.entries[0], 300, 200*time.Millisecond)
@@ -167,9 +166,9 @@
 	})
 }
 
-// An instance is stopped as planned while a job runs on it. The job is
-// checkpointed, evicted and resumed on another instance, once, without
-// repeating its first part.
+// A job runs on an instance during a planned stop. The job must be
+// checkpointed, evicted and resumed once, on another instance, without
+// repeating the work before the checkpoint.
 func TestGoldenEvictedJobResumes(t *testing.T) {
 	runGolden(t, "g3-resume", options{slots: 2, lease: randomLease}, func(s *transcript) {
 		id := s.submit(s.entries[0], 50, 200*time.Millisecond)
@@ -185,8 +184,9 @@
 }
 
 // The connection to a backend server is cut in the middle of the body. An
-// idempotent check is answered completely by another instance; a claim is not
-// run again, and its caller is informed that the outcome is unknown.
+// idempotent call is answered completely by another instance. A call that is
+// not idempotent is not run again, and its caller is informed that the outcome
+// is unknown.
 func TestGoldenTruncatedBody(t *testing.T) {
 	runGolden(t, "g4-cut", options{instances: 2, slots: 2}, func(s *transcript) {
 		cutOnce := func() {
@@ -207,9 +207,9 @@
 	})
 }
 
-// A claim's request is lost at each stage: before the agent, between agent and
-// backend server, and after admission. Only refusals that prove it say "not
-// run", and the count of executed claims agrees.
+// A call that is not idempotent is lost at each stage: before the agent,
+// between agent and backend server, and after admission. A refusal may say "not
+// run" only if that is certain, and the count of executions must agree.
 func TestGoldenAccurateRefusals(t *testing.T) {
 	runGolden(t, "g5-refusals", options{slots: 2}, func(s *transcript) {
 		for _, fault := range []inproc.Fault{inproc.Unsent, inproc.LoseRequest, inproc.LoseAnswer} {
@@ -231,10 +231,10 @@
 	})
 }
 
-// The answer to a claim is lost. Its caller repeats it under the same key
-// through the other entry, then during a store outage. The claim is never run
-// again, and an undecidable request is refused immediately with a Retry-After
-// header.
+// The answer to a call is lost, and the call is repeated under the same
+// idempotency key through the other entry. A second call is sent during a store
+// outage and repeated afterwards. Neither may run twice. While the store can't
+// record a key, a call is refused immediately with a Retry-After header.
 func TestGoldenClaimOnce(t *testing.T) {
 	runGolden(t, "g6-once", options{entries: 2, slots: 2}, func(s *transcript) {
 		s.Net.Script(func(m inproc.Message) inproc.Fault {
@@ -260,8 +260,8 @@
 	})
 }
 
-// A backend server leaves while the store is down for all processes. Within a
-// few seconds it receives no more calls; the other instance serves them all.
+// A backend server leaves while the store is down for all processes. Once it
+// has left, it must receive no calls; the other instance serves them all.
 func TestGoldenLeavingServer(t *testing.T) {
 	runGolden(t, "g7-leaving", options{instances: 2, slots: 2}, func(s *transcript) {
 		s.entries[0].Store.Cut(true)
@@ -280,8 +280,8 @@
 }
 
 // An entry is stopped as planned while a call is in progress. The call gets its
-// complete answer; a new one is refused with proof that it did not run, and the
-// other entry serves it.
+// complete answer. A new call is refused with proof that it did not run, and
+// the other entry serves that call.
 func TestGoldenPlannedStop(t *testing.T) {
 	runGolden(t, "g8-stop", options{entries: 2, slots: 2, work: constant(time.Second)}, func(s *transcript) {
 		early := make(chan inproc.Response, 1)
@@ -298,10 +298,10 @@
 	})
 }
 
-// Two operators change one contract from the same revision, a third repeats a
-// change, and an entry is frozen meanwhile. One operator's change is accepted,
-// the other is sent the revision; the resumed entry decides its first request
-// under the newest contract.
+// Two operators change one contract from the same revision: one change is
+// accepted, the other refused with the current revision. A third operator
+// repeats a change. Meanwhile the other entry is frozen; once resumed, it must
+// decide its first request under the newest contract.
 func TestGoldenConfiguration(t *testing.T) {
 	runGolden(t, "g9-config", options{entries: 2, slots: 2}, func(s *transcript) {
 		path := "/v1/admin/contracts/kowhai"
--- a/sessions/learning_test.go
+++ b/sessions/learning_test.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// A service is slow on a new instance minutes after the same kind of task
-// slowed it on another. One instance runs the interfering pair and its agent
-// measures it; then two more start, and the one with that service is the
-// tighter fit. Without measurements in heartbeats only the first agent has data
-// on the pair, and the next noisy task is placed beside the service.
+// Guards against a task that is placed beside a service that it slows, although
+// the slowdown was measured on another instance. It comes about when heartbeats
+// carry no measurements: only the agent that ran the pair has data on it. Of
+// the two instances that start later, the one with the service is the tighter
+// fit.
 func TestMeasuredSlowdownIsAvoidedOnOtherInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := inproc.NewCluster(1, zerolog.Nop())
--- a/sessions/planned_test.go
+++ b/sessions/planned_test.go
@@ -75,7 +75,7 @@
 	return plannedStep{
 		Checks: rapid.IntRange(0, 5).Draw(t, "checks"),
 		Jobs:   rapid.IntRange(0, 3).Draw(t, "jobs"),
-		// Claims with equal numbers are repeats under the same key.
+		// Claims with equal numbers are repeats under the same idempotency key.
 		Keyed:    rapid.SliceOfN(rapid.IntRange(0, 30), 0, 2).Draw(t, "keyed"),
 		Plain:    rapid.SliceOfN(rapid.Just(0), 0, 2).Draw(t, "plain"),
 		Samples:  rapid.IntRange(1, 20).Draw(t, "samples"),
@@ -88,7 +88,7 @@
 	}
 }), 1, maxPlannedSteps)
 
-// failureLog collects failures until the session's bubble has ended.
+// failureLog collects failures until the session's synctest bubble has ended.
 type failureLog struct {
 	mu     sync.Mutex
 	errors []string
@@ -113,10 +113,10 @@
 	return len(n.errors) > 0
 }
 
-// The session of TestRandomisedFaults, with its requests, faults and times
-// drawn by rapid before it starts; a failing plan shrinks. Rapid ends a failed
-// check by a panic, which can't leave the bubble of fake time, so failures are
-// collected and reported when the bubble has ended.
+// Runs sessions like those of TestRandomisedFaults. Rapid draws the requests,
+// faults and times beforehand, so that it can shrink a failing plan. Rapid ends
+// a failed check by a panic, which can't leave a synctest bubble; failures are
+// therefore collected and reported after the bubble has ended.
 func TestPlannedFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -26,7 +26,7 @@
 	randomSteps    = 60
 	randomMaxPause = 1500
 	// maxParallelSessions leaves cores for the other tests; a session uses
-	// about one.
+	// about one core.
 	maxParallelSessions = 2
 )
 
@@ -34,12 +34,12 @@
 // of all kinds occur at any moment: entries and agents are killed, frozen,
 // disconnected and stopped as planned; the store is down or slow, loses answers
 // and delays writes; messages and HTTP answers are lost or late. Afterwards
-// each caller's answer is true, no claim was executed twice, no instance ever
-// exceeded its slots, no task ran in two places, and each job has one
-// final state.
+// each answer to a caller must be true, no claim may have been executed twice,
+// no instance may have exceeded its slots, no task may have run in two places,
+// and each job must have one final state.
 //
-// The seeds are fixed; -seed and -seeds select others. TestPlannedFaults draws
-// sessions that shrink.
+// The seeds are fixed; -seed and -seeds select others. TestPlannedFaults runs
+// sessions that can be shrunk.
 func TestRandomisedFaults(t *testing.T) {
 	t.Parallel()
 	tokens := make(chan struct{}, maxParallelSessions)
@@ -53,8 +53,9 @@
 	}
 }
 
-// TestRegressionSeeds runs seeds that have found faults. 5311: a start that was
-// never sent was requeued while its repeat arrived, and the task ran twice.
+// TestRegressionSeeds runs seeds that have found faults. Seed 5311: a start
+// order that was never sent was requeued while its repetition arrived, so that
+// the task ran twice.
 func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{5311} {
@@ -181,8 +182,9 @@
 	})
 }
 
-// sendRandomClaim sends a claim that is not idempotent: a new one, or an
-// earlier one again under its key, perhaps through another entry.
+// sendRandomClaim sends a claim, which is a call that is not idempotent. It
+// sends a new claim, or repeats an earlier claim under its idempotency key,
+// perhaps through another entry.
 func (c *chaos) sendRandomClaim() {
 	keyed := c.draw(2) == 0
 	id := c.claims
@@ -424,7 +426,7 @@
 	}
 }
 
-// overcommitWindow is the part of the agent's time line that is printed before
+// overcommitWindow is the length of the agent's time line that is printed up to
 // an overcommit.
 const overcommitWindow = 10 * time.Second
 
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -42,11 +42,11 @@
 	instances      []*inproc.Instance
 	backends       []*inproc.Backend
 	executedClaims *sample.Lodgements
-	// overcommits counts the starts by which an instance really ran more than
-	// its slots.
+	// overcommits counts the starts after which an instance ran more calls and
+	// tasks than it has slots.
 	overcommits atomic.Int64
-	// overcommitNote lists the work that ran at the first overcommit, at
-	// overcommittedAt.
+	// overcommitNote lists the work that ran at the first overcommit;
+	// overcommittedAt is the time of that overcommit.
 	overcommitNote  string
 	overcommittedAt time.Time
 	// overlap holds the registry's log line on the first overlap of two runs.
@@ -108,7 +108,8 @@
 	return s
 }
 
-// handler works before it answers, even if its caller has timed out.
+// handler returns a handler that spends the time of work before inner answers,
+// even if the caller has timed out.
 func (s *session) handler(f *occupancy, inner http.Handler, work func() time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer s.enter(f, "call "+r.Header.Get(backend.HeaderRequest))()
@@ -126,7 +127,7 @@
 	return e.Do(ctx, "POST", "/v1/services/"+string(service)+"/call", inproc.CustomerKey(customer), body, header...)
 }
 
-// request sends another request of the customer.
+// request sends any other request of the customer.
 func (s *session) request(e *inproc.Entry, method, path, body string, header ...string) inproc.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
