--- a/sessions/machines/client.go
+++ b/sessions/machines/client.go
@@ -122,7 +122,7 @@
 }
 
 // Await polls the states of jobs until all are final or the time within has
-// passed, and returns the jobs that are not final.
+// passed, and returns the jobs whose state is not final.
 func (c *Client) Await(ids []workload.JobID, within time.Duration) map[workload.JobID]workload.State {
 	deadline := time.Now().Add(within)
 	open := map[workload.JobID]workload.State{}
--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -135,8 +135,8 @@
 	observed.late = late
 }
 
-// observedOf returns the observations of an entry's process p; p is nil while
-// the entry is down. The observations of a new process are empty.
+// observedOf returns the observations of an entry's process p, empty for a new
+// process; p is nil while the entry is down.
 func (c *configWatch) observedOf(e *Entry, p *entryProcess) *observedConfig {
 	if c.observed[e] == nil || c.observed[e].process != p {
 		c.observed[e] = &observedConfig{process: p}
@@ -144,7 +144,6 @@
 	return c.observed[e]
 }
 
-// setCalm records whether the entry is free of faults.
 func (s *observedConfig) setCalm(calm bool, now time.Time) {
 	switch {
 	case !calm:
--- a/sessions/machines/config_test.go
+++ b/sessions/machines/config_test.go
@@ -29,7 +29,7 @@
 }
 
 // changeInASlowStore confirms two changes in a slow store that becomes fast
-// again before the second one is read. phase shifts the moments of the changes.
+// again before the second one is read. phase shifts the times of the changes.
 func changeInASlowStore(t *testing.T, size, phase int) {
 	simulate(t, Options{Seed: uint64(phase), Entries: 6, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetRate(slowLink)
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against an entry that starts during a slow store and has no
-// configuration until the store is fast.
+// Guards against an entry that starts while the store is slow and has no
+// configuration until the store is fast again.
 func TestEntryThatStartsInASlowStoreGetsTheConfiguration(t *testing.T) {
 	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Configure(1, largeConfig)
@@ -82,7 +82,7 @@
 	})
 }
 
-// Guards against a change during a cut that is not in force soon after the
+// Guards against a change during a cut that comes into force long after the
 // machine is reconnected.
 func TestChangeDuringACutIsInForceSoonAfterIt(t *testing.T) {
 	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
@@ -103,8 +103,8 @@
 	})
 }
 
-// Guards against a configuration that can't be parsed and that replaces the
-// previous one or blocks the next.
+// Guards against an unparsable configuration that replaces the previous
+// configuration or blocks the next.
 func TestUnreadableConfigurationChangesNothing(t *testing.T) {
 	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Configure(1, 0)
@@ -121,8 +121,8 @@
 	})
 }
 
-// Guards against late changes when one connection after another stops
-// answering.
+// Guards against late changes when one connection to the store after another
+// stops answering.
 func TestChangeIsInForceThoughReadsGetNoAnswer(t *testing.T) {
 	simulate(t, Options{Seed: 1, Entries: 3, Machines: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetRate(slowLink)
--- a/sessions/machines/crash.go
+++ b/sessions/machines/crash.go
@@ -56,7 +56,6 @@
 	}
 }
 
-// scheduleCrash makes a run crash the worker after crashTime.
 func (w *Worker) scheduleCrash(x *activeRun) *time.Timer {
 	return time.AfterFunc(crashTime, func() {
 		w.mu.Lock()
@@ -80,7 +79,7 @@
 }
 
 // SetCapacity changes the offered capacity; the worker's next report contains
-// the new capacity.
+// it.
 func (w *Worker) SetCapacity(c workload.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/sessions/machines/crash_test.go
+++ b/sessions/machines/crash_test.go
@@ -70,8 +70,7 @@
 	})
 }
 
-// Guards against a crashing task of a special kind, such as a gang's, that is
-// restarted forever.
+// Guards against a crashing task of a special kind that is restarted forever.
 func TestCrashingTaskOfAnyKindIsAbandoned(t *testing.T) {
 	kinds := map[string]func(*workload.Job){
 		"gang":    func(j *workload.Job) { j.Steps[0].Gang = true },
@@ -105,8 +104,8 @@
 	}
 }
 
-// Guards against crash counts that are lost when the scheduler or agents are
-// killed or the store's answers are lost.
+// Guards against crash counts that are lost when processes are killed or the
+// store's answers are lost.
 func TestCrashesAreKeptThroughRestarts(t *testing.T) {
 	disturb := map[string]func(sim *Simulation){
 		"scheduler killed": func(sim *Simulation) {
--- a/sessions/machines/drain_test.go
+++ b/sessions/machines/drain_test.go
@@ -27,7 +27,6 @@
 	}
 }
 
-// runningIn returns the number of runs in a data centre.
 func (sim *Simulation) runningIn(dataCentre string) int {
 	n := 0
 	for i, a := range sim.Agents() {
@@ -125,8 +124,8 @@
 }
 
 // Guards against agents that refuse all starts forever. It comes about when a
-// drain is revoked while every entry is down: the agents still know of the
-// drain, but the restarted entries don't.
+// drain is revoked while every entry is down: the agents know of the drain, the
+// restarted entries don't.
 func TestDrainRevokedWhileEntriesAreDown(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Drain(drained, true)
@@ -164,9 +163,9 @@
 	})
 }
 
-// Guards against a worker that executes a start order after its data centre was
-// drained. It comes about when the worker does not answer, its agent repeats
-// the order, and the drain begins before the worker answers again.
+// Guards against a start in a drained data centre by an old order: a worker
+// does not answer, its agent repeats the order, and the drain begins before the
+// worker answers again.
 func TestDrainCancelsOrdersInFlight(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Agents()[0].Worker().SetDark(true)
--- a/sessions/machines/entry.go
+++ b/sessions/machines/entry.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/infra/wait"
 )
 
-// Entry is the machine of an entry.
+// Entry is the simulated machine of an entry process.
 type Entry struct {
 	simulation *Simulation
 	Node       string
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// nodeStore is a machine's access to the store; its calls fail while the
-// machine is cut off.
+// nodeStore is a machine's access to the store; it fails while the machine is
+// cut off.
 type nodeStore struct {
 	rowstore.Store
 	simulation *Simulation
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -106,7 +106,7 @@
 }
 
 // Guards against a submission that waits for the client's whole time-out
-// because the store stops answering during it. After 1.4 s the store counts as
+// because the store stops answering. After 1.4 s the store counts as
 // unavailable, and later calls are refused at once; the submission in flight
 // must fail then, too.
 func TestSubmissionFailsSoonWhenStoreStopsAnswering(t *testing.T) {
@@ -132,11 +132,10 @@
 }
 
 // A quarter of the answers of every second worker are lost. Guards against
-// short jobs that end late. It comes about when the agent abandons a listing
-// with a lost answer only after half a second, the time that a listing waits
-// for a run to end: in a step of 13 tasks, one end is nearly always reported
-// that late. A client expects its job within 1.5 times the work of its
-// successive steps plus 250 ms.
+// short jobs that end late. A listing waits half a second for a run to end. If
+// a listing with a lost answer is abandoned only after this wait, an end in a
+// step of 13 tasks is nearly always reported that late. A client expects its
+// job within 1.5 times the work of its successive steps plus 250 ms.
 func TestLostAnswersDoNotMakeShortJobsLate(t *testing.T) {
 	const work, jobs = 640 * time.Millisecond, 150
 	opt := Options{Entries: 2, Machines: 60, Outcome: func(workload.RunID) Outcome { return Outcome{For: work} }}
@@ -172,9 +171,9 @@
 }
 
 // The store is 70 times slower than usual while ten jobs per second are
-// submitted. Guards against clients that wait for their whole time-out. It
-// comes about when the store has few partitions: each executes one transaction
-// at a time, in 560 ms, so writes queue, time out and are repeated.
+// submitted. A partition of the store executes one transaction at a time, in
+// 560 ms. Guards against too few partitions: writes queue, time out and are
+// repeated, and clients wait for their whole time-out.
 func TestSlowStoreAcceptsAllSubmissions(t *testing.T) {
 	simulate(t, Options{Entries: 4, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Store.SetSlow(70)
@@ -254,9 +253,8 @@
 }
 
 // All runs that start on one worker make no progress, while the worker's
-// reports and answers stay normal. These tasks must move to other workers
-// within two seconds, and later tasks must not start there while the fault
-// lasts.
+// reports and answers stay normal. The tasks must move to other workers within
+// two seconds, and no later tasks start there while the fault lasts.
 func TestTasksMoveFromHangingWorker(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		sim.Agents()[1].Worker().SetHangs(true)
@@ -291,7 +289,7 @@
 	})
 }
 
-// In a deployment of one worker a failed task has no other worker to run on.
+// A deployment has only one worker. A failed task must run again on it.
 func TestTaskThatFailedRunsAgainOnTheOnlyWorker(t *testing.T) {
 	first := func(r workload.RunID) Outcome { return Outcome{For: second, Fails: r.Run == 1} }
 	simulate(t, Options{Entries: 2, Machines: 1, Outcome: first}, func(t *testing.T, sim *Simulation, c *Client) {
@@ -317,7 +315,7 @@
 
 // Half of all start orders get no answer, and are executed seconds later or not
 // at all. Each must be repeated soon, so that jobs are hardly delayed. An order
-// that is executed late finds its run started or ended, and has no effect.
+// executed late finds its run started or ended, and has no effect.
 func TestLostStartsAreRepeatedSoon(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
--- a/sessions/machines/logs_test.go
+++ b/sessions/machines/logs_test.go
@@ -100,8 +100,8 @@
 		return Outcome{For: second, Fails: r.Run == 1 && r.Task.Index == 3}
 	}}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
-		// The lines of a starting fleet are not about jobs. The number of lines
-		// dropped there is logged with the first job.
+		// The lines of a starting fleet are not about jobs. The number of those
+		// that were dropped is logged with the first job.
 		submit(t, c, job(jobs, 1))
 		await(t, c, JobID(jobs), workload.Completed, 10*second)
 		log.reset()
--- a/sessions/machines/policy.go
+++ b/sessions/machines/policy.go
@@ -13,7 +13,6 @@
 )
 
 const (
-	// ticketLifetime is the time for which a ticket is valid.
 	ticketLifetime = 3 * time.Second
 	// An answer takes decisionTime plus timePerWorker for each worker.
 	decisionTime  = 20 * time.Millisecond
--- a/sessions/machines/power_loss_test.go
+++ b/sessions/machines/power_loss_test.go
@@ -15,7 +15,6 @@
 // ten agents accept orders, however many there are.
 const agentsReadyWithin = 500 * time.Millisecond
 
-// busyWorkers returns the number of workers with at least one run.
 func busyWorkers(sim *Simulation) int {
 	n := 0
 	for _, a := range sim.Agents() {
--- a/sessions/machines/power_test.go
+++ b/sessions/machines/power_test.go
@@ -77,8 +77,6 @@
 	})
 }
 
-// powers returns the powers of a fleet with a few strong and many weak
-// machines.
 func powers(strong, weak int) []float64 {
 	var all []float64
 	for range weak {
@@ -142,11 +140,10 @@
 	})
 }
 
-// All entries are killed at once, repeatedly, and restart together, as after a
-// power loss. Guards against a lease that goes to its first reader. This is
-// mostly a weak machine, which takes a second to read a fleet's jobs and hands
-// the lease over two seconds later. Weak machines must leave the lease to
-// strong machines.
+// All entries are killed repeatedly and restart together, as after a power
+// loss. Guards against a lease that goes to its first reader, mostly a weak
+// machine, which takes a second to read a fleet's jobs and hands the lease over
+// two seconds later. Weak machines must leave the lease to strong ones.
 func TestStrongMachineSchedulesAfterAPowerLoss(t *testing.T) {
 	opt := Options{Entries: 24, Machines: 4, Power: powers(2, 22)}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -68,7 +68,6 @@
 	return rand.New(rand.NewPCG(seed, h.Sum64())).Float64() < share
 }
 
-// day is one random day.
 type day struct {
 	sim *Simulation
 	rng *rand.Rand
--- a/sessions/machines/rules.go
+++ b/sessions/machines/rules.go
@@ -44,13 +44,13 @@
 	// acknowledged holds the tasks for which an agent has acknowledged an end
 	// of kind done.
 	acknowledged map[workload.TaskID]bool
-	// failed holds each task's failed runs; the value is true once the end is
-	// acknowledged. failedBefore holds, for each start of a task, the runs that
-	// had failed before that start.
+	// failed holds each task's failed runs, true once the end is acknowledged.
+	// failedBefore holds, for each start of a task, the runs that had failed by
+	// then.
 	failed       map[workload.TaskID]map[int]bool
 	failedBefore map[workload.TaskID][][]int
-	// doneRuns holds each task's runs that ended done; the value is true if the
-	// task has started again since.
+	// doneRuns holds each task's runs that ended done, true once the task has
+	// started again.
 	doneRuns map[workload.TaskID]map[int]bool
 	// For each task, workersLost counts the workers that crashed while they ran
 	// it, crashes those that the task caused to crash, and startsAfterCrashes
@@ -151,7 +151,7 @@
 }
 
 // mayFail reports whether a task of the job has failed as often as the job's
-// queue allows, or at least two workers have crashed during its runs.
+// queue allows, or at least two workers have crashed while they ran one task.
 func (j *jobRecord) mayFail() bool {
 	for _, runs := range j.failed {
 		if n := j.spec.Queue.MaxAttempts; n > 0 && len(runs) >= n {
@@ -178,9 +178,9 @@
 	// cancelGrace is the time after a cancellation during which a start may
 	// still occur.
 	cancelGrace = 3 * time.Second
-	// contactTime is the time for which machines must have been reachable
-	// before a violation counts as a breach: an order that a network cut
-	// delayed may arrive when the cut heals.
+	// contactTime is how long machines must have been reachable before a
+	// violation counts: an order that a network cut delayed may arrive when the
+	// cut heals.
 	contactTime = 3 * time.Second
 )
 
@@ -222,7 +222,7 @@
 	return r.lastStartAfterDrain
 }
 
-// checkDrain checks a start against the drains.
+// checkDrain checks a start against drainBound.
 func (r *Rules) checkDrain(w *Worker, o workerctl.StartOrder) {
 	since, ok := r.drained[w.info.DataCentre]
 	if !ok {
@@ -284,8 +284,7 @@
 }
 
 // checkCapacity checks, after the start of x, the worker's capacity and the
-// step's Spread (its limit of tasks per worker). The caller holds the worker's
-// lock.
+// step's Spread (tasks per worker). The caller holds the worker's lock.
 func (r *Rules) checkCapacity(w *Worker, x *activeRun) {
 	var sum workload.Resources
 	ofStep := 0
@@ -307,7 +306,6 @@
 	}
 }
 
-// isLasting reports whether a run belongs to a lasting task.
 func (r *Rules) isLasting(run workload.RunID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -394,7 +392,6 @@
 	return run
 }
 
-// member is a run of a gang and its worker.
 type member struct {
 	run workload.RunID
 	on  *Worker
@@ -421,8 +418,6 @@
 	return others
 }
 
-// inBrokenGang reports whether the run belongs to a gang that has lost a
-// member.
 func (r *Rules) inBrokenGang(run workload.RunID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -27,7 +27,6 @@
 }
 
 const (
-	// answerTime is the time that a worker takes to answer.
 	answerTime = time.Millisecond
 	// callTimeout is the time that a caller waits for a missing answer.
 	callTimeout = 500 * time.Millisecond
@@ -115,7 +114,6 @@
 	return w
 }
 
-// clock reads the worker's own clock.
 func (w *Worker) clock() workerctl.Clock {
 	return workerctl.Clock(float64(time.Since(w.began).Milliseconds())*w.clockRate) + 1000
 }
@@ -175,8 +173,8 @@
 	w.lost = share
 }
 
-// answerLost reports whether the answer to a call is lost. If so, it first
-// waits for the caller's time-out.
+// answerLost reports whether the answer to a call is lost, and if so, waits for
+// the caller's time-out.
 func (w *Worker) answerLost(ctx context.Context) bool {
 	w.mu.Lock()
 	lost := w.rng.Float64() < w.lost
@@ -214,8 +212,7 @@
 }
 
 // receive simulates the delay of a call and returns an error if the call is
-// lost or refused. For an order that is to be executed late, it calls do after
-// 2 to 12 s.
+// lost or refused. For a late order it calls do after 2 to 12 s.
 func (w *Worker) receive(ctx context.Context, incarnation workload.WorkerID, order bool, do func()) error {
 	w.mu.Lock()
 	unanswered := w.unresponsive || !w.alive
@@ -242,7 +239,7 @@
 	return nil
 }
 
-// fence records the highest token and refuses lower ones.
+// fence records the highest token and refuses lower tokens.
 func (w *Worker) fence(token uint64) error {
 	if token < w.token {
 		return &workerctl.RefusedError{Reason: workerctl.RefusedFence}
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -54,7 +54,6 @@
 	LogLines int
 }
 
-// defaultRestartDelay is the default of Options.RestartDelay.
 const defaultRestartDelay = 3 * time.Second
 
 func (o Options) restartDelay() time.Duration { return cmp.Or(o.RestartDelay, defaultRestartDelay) }
@@ -78,8 +77,8 @@
 	hidden       map[string]bool
 	incarnations int
 	closed       bool
-	// configs checks whether entries serve the confirmed configurations; nil
-	// before the first confirmation.
+	// configs checks that entries serve the confirmed configurations; nil
+	// before the first one.
 	configs *configWatch
 }
 
@@ -102,7 +101,8 @@
 // to read the operator's rows.
 const configIdleTimeout = 10 * time.Second
 
-// grant is the length of the scheduler's grants to agents.
+// grant is the time after an agent's last contact for which its worker's lease
+// may last.
 const grant = 6 * time.Second
 
 // New returns a simulation with all its programs running.
@@ -129,7 +129,6 @@
 	return sim
 }
 
-// newLog returns the log of a new process on a machine.
 func (sim *Simulation) newLog(node string) zerolog.Logger {
 	log := sim.log.With().Str("process", node).Logger()
 	if sim.opt.LogLines == 0 {
@@ -186,8 +185,8 @@
 // Agents returns the agents.
 func (sim *Simulation) Agents() []*Agent { return sim.agents }
 
-// HideOperatorRows sets whether a machine can't read the operator's rows,
-// though it reaches the rest of the store.
+// HideOperatorRows sets whether a machine can't read the operator's rows. The
+// machine can still read the rest of the store.
 func (sim *Simulation) HideOperatorRows(node string, hidden bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -253,7 +252,6 @@
 	return nil
 }
 
-// power returns the processor capacity of an entry's machine.
 func (sim *Simulation) power(e *Entry) float64 {
 	for i, x := range sim.entries {
 		if x == e && i < len(sim.opt.Power) {
@@ -263,7 +261,6 @@
 	return 0
 }
 
-// now is the clock of the simulation.
 func (sim *Simulation) now() time.Duration { return time.Since(sim.began) + time.Second }
 
 // Cut cuts a machine off from all others, or reconnects it.
--- a/sessions/machines/world_test.go
+++ b/sessions/machines/world_test.go
@@ -12,7 +12,6 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// second is the unit of time in the tests.
 const second = time.Second
 
 var capacity = workload.Resources{CPU: 16000, Memory: 64000}
@@ -110,9 +109,8 @@
 	})
 }
 
-// The scheduling entry is killed. The other entries find that its address
-// refuses connections, and one takes over within two seconds. No task runs
-// twice.
+// The scheduling entry is killed. Its address refuses connections, so another
+// entry takes over within two seconds. No task runs twice.
 func TestKilledSchedulerIsReplaced(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, job(1, 6))
@@ -124,10 +122,10 @@
 	})
 }
 
-// Guards against a stopped scheduler whose lease is not released, so that
-// clients wait until another entry takes over the lease after two seconds or
-// more without a change. It comes about when the stop aborts a transaction in
-// flight: the release then meets a newer version of the lease and is refused.
+// Guards against a stopped scheduler that does not release its lease, so that
+// clients wait until another entry takes over a lease that is unchanged for two
+// seconds or more. It comes about when the stop aborts a transaction: the
+// release then meets a newer version of the lease and is refused.
 func TestStoppedSchedulerHandsOver(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 10 {
@@ -198,7 +196,7 @@
 	})
 }
 
-// An agent is killed while its worker keeps running, and is restarted. The new
+// An agent is killed and restarted while its worker keeps running. The new
 // process must fence the old one, whose orders may still be in flight, and
 // learn the current runs without stopping them.
 func TestNewAgentTakesOverWhatRuns(t *testing.T) {
@@ -304,7 +302,7 @@
 	})
 }
 
-// The store refuses or does not answer the scheduler's machine and serves the
+// The store refuses or does not answer the scheduler's machine but serves
 // others. Clients of the scheduling entry must not be refused, and jobs must
 // still run.
 func TestStoreThatRefusesOneMachine(t *testing.T) {
@@ -388,7 +386,7 @@
 	})
 }
 
-// The store drops its history: every feed must restart.
+// The store drops its history, so every feed of changes must restart.
 func TestJobsCompleteAfterStoreCompaction(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		for n := range 5 {
@@ -456,9 +454,8 @@
 	})
 }
 
-// More work is submitted than the workers have capacity for. Accepted jobs end
-// in time, and no worker ever exceeds its capacity, even with starts and stops
-// in flight.
+// More work is submitted than fits. Accepted jobs end in time, and no worker
+// exceeds its capacity, even with starts and stops in flight.
 func TestWorkBeyondCapacityWaits(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 5000, Memory: 64000}}, func(t *testing.T, sim *Simulation, c *Client) {
 		var ids []workload.JobID
