--- a/sessions/inproc/network.go
+++ b/sessions/inproc/network.go
@@ -26,8 +26,7 @@
 type Fault int
 
 // The faults of a message. With LoseAnswer the receiver handles the message,
-// but the answer is lost. With Late, the message is handled after a delay, and
-// the answer is lost, too.
+// but its answer is lost; Late delays the message, too.
 const (
 	Deliver Fault = iota
 	Unsent
@@ -55,7 +54,7 @@
 	script func(Message) Fault
 	random *rand.Rand
 	// chance is the probability of each fault of a message; random draws the
-	// faults from the seed.
+	// faults.
 	chance    map[Fault]float64
 	lateDelay time.Duration
 }
@@ -103,7 +102,7 @@
 	}
 }
 
-// Freeze holds all messages to and from a process until Thaw.
+// Freeze delays all messages to and from a process until Thaw.
 func (n *Network) Freeze(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,8 +121,8 @@
 	}
 }
 
-// ServeAgent makes the named process reachable at address and replaces the
-// process that was reachable there.
+// ServeAgent makes the named process reachable at address, in place of any
+// other.
 func (n *Network) ServeAgent(address, name string, a wire.AgentAPI, clock wire.Clock) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,7 +136,6 @@
 	n.entries[address], n.owner[address], n.clocks[name] = e, name, clock
 }
 
-// ownerOf returns the name of the process at an address.
 func (n *Network) ownerOf(address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,7 +229,7 @@
 	err   error
 }
 
-// receive runs the receiver's side of an exchange.
+// receive performs the receiver's side of an exchange.
 func receive[Q, R any](n *Network, m Message, to string, fault Fault, request Q, handle func(Q, *R) error) answer[R] {
 	var reply R
 	time.Sleep(latency)
--- a/sessions/inproc/peers.go
+++ b/sessions/inproc/peers.go
@@ -20,7 +20,6 @@
 // Entry implements wire.Dialer.
 func (d dialer) Entry(address string) wire.EntryPeer { return entryPeer{peer{d, address}} }
 
-// peer is the connection from one process to another.
 type peer struct {
 	dialer
 	to string
@@ -88,7 +87,6 @@
 	return callAgent(ctx, p, "Agent.Events", r, func(a wire.AgentAPI) func(wire.EventsRequest, *wire.EventsReply) error { return a.Events })
 }
 
-// entryPeer is the connection from a process to an entry.
 type entryPeer struct{ p peer }
 
 func (e entryPeer) Hello(ctx context.Context, r wire.HelloRequest) (wire.HelloReply, error) {
--- a/sessions/inproc/web.go
+++ b/sessions/inproc/web.go
@@ -24,8 +24,7 @@
 	WebCutBody
 )
 
-// Web is a simulated HTTP network that routes requests to handlers by host
-// name.
+// Web routes HTTP requests to handlers by host name.
 type Web struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -67,8 +66,7 @@
 }
 
 // RoundTrip implements http.RoundTripper. The handler keeps running after the
-// client times out, as in a server that does not check whether its connection
-// is still open.
+// client times out, as in a server that does not notice closed connections.
 func (w *Web) RoundTrip(r *http.Request) (*http.Response, error) {
 	handler, fault := w.route(r)
 	if fault == WebRefuse {
--- a/sessions/inproc/world.go
+++ b/sessions/inproc/world.go
@@ -22,7 +22,7 @@
 	"persimmonrock.example/structs"
 )
 
-// API keys in a Cluster: the operator's key and the prefix of each customer's.
+// API keys in a Cluster: the operator's, and the prefix of each customer's.
 const (
 	OperatorKey = "operator-key"
 	customerKey = "key-of-"
@@ -42,11 +42,10 @@
 	Objects  *memory.Objects
 	Registry *memory.RunRegistry
 	Log      zerolog.Logger
-	// AgentLease and WorkerLease are the lease durations of agents that are
-	// started later.
+	// AgentLease and WorkerLease are the lease durations of agents started
+	// later.
 	AgentLease, WorkerLease time.Duration
-	// Kinds holds the programs of workers that are started later, by kind of
-	// task.
+	// Kinds holds the programs of workers started later, by kind of task.
 	Kinds map[structs.Kind]memory.Program
 
 	mu        sync.Mutex
@@ -150,7 +149,7 @@
 }
 
 // Do sends one request to the entry's HTTP interface. If the entry is killed or
-// frozen, the caller gets no answer, and Do returns status 0 when ctx ends.
+// frozen, Do returns status 0 when ctx ends.
 func (e *Entry) Do(ctx context.Context, method, path, key, body string, header ...string) Response {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -218,7 +217,7 @@
 	return i
 }
 
-// StartAgent starts an agent that replaces any earlier agent of the instance.
+// StartAgent starts an agent in place of any earlier one.
 func (i *Instance) StartAgent() *Agent {
 	w := i.cluster
 	address := string(i.ID)
