--- a/sessions/soak/deployment_test.go
+++ b/sessions/soak/deployment_test.go
@@ -25,8 +25,8 @@
 	// address.
 	firstPort = 21700
 	heartbeat = 500 * time.Millisecond
-	// workerRestartDelay is the time from a worker's crash by a run to its
-	// restart.
+	// workerRestartDelay is the time until a worker that a run has crashed
+	// restarts.
 	workerRestartDelay = 1500 * time.Millisecond
 )
 
--- a/sessions/soak/process_test.go
+++ b/sessions/soak/process_test.go
@@ -12,7 +12,6 @@
 	"persimmonrock.example/platform/standin"
 )
 
-// processRestartDelay is the time from the exit of a process to its restart.
 const processRestartDelay = 300 * time.Millisecond
 
 // process is one program on a simulated machine. It is restarted whenever it
--- a/sessions/soak/relay_test.go
+++ b/sessions/soak/relay_test.go
@@ -21,7 +21,7 @@
 	dropAll
 )
 
-// forwardDelay is the delay of each block of data in a delayed relay.
+// forwardDelay is the delay of each block of data in the state delayed.
 const forwardDelay = 300 * time.Millisecond
 
 // relay forwards the connections of one process to one address.
--- a/sessions/soak/soak_test.go
+++ b/sessions/soak/soak_test.go
@@ -24,13 +24,13 @@
 
 const (
 	clients = 4
-	// crashingClient is the number of the client whose jobs crash their
-	// workers. It submits a job every crashInterval.
+	// crashingClient is the number of the client whose jobs, one every
+	// crashInterval, crash their workers.
 	crashingClient = 97
 	crashInterval  = 4 * time.Second
 	// settleTime is the time after the last fault within which every accepted
-	// job must finish. In this time the last leases of unresponsive workers
-	// expire, and the tasks that waited for the expiry run.
+	// job must finish, even if its tasks wait until the last lease of an
+	// unresponsive worker expires.
 	settleTime = 30 * time.Second
 )
 
