--- a/sessions/golden_test.go
+++ b/sessions/golden_test.go
@@ -56,7 +56,6 @@
 	return s.exchange(e, inproc.CustomerKey(customer), "POST", "/v1/services/"+string(service)+"/call", body, header...)
 }
 
-// printTimeline records the time line of a request or a job.
 func (s *transcript) printTimeline(request structs.RequestID, job structs.JobID) {
 	timeline := s.Timeline(request, job)
 	if job != "" {
@@ -130,8 +129,8 @@
 
 // Guards against a slot that is freed when its caller stops waiting, although
 // the call still runs. Two callers fill an instance of two slots and time out;
-// the backend server keeps working. A third call must be refused with proof
-// that it did not run. Once the work has ended, a fourth call is served.
+// the backend server keeps working. A third call is refused with proof that it
+// did not run; once the work has ended, a fourth is served.
 func TestGoldenSlotsHeldAfterClientTimeout(t *testing.T) {
 	runGolden(t, "g1-slots", options{slots: 2, work: constant(2 * time.Second)}, func(s *transcript) {
 		for range 2 {
@@ -146,9 +145,9 @@
 	})
 }
 
-// The agent that runs a job is frozen for longer than the agent's lease, so the
-// job is run on another instance. Then the agent resumes. Other processes can't
-// distinguish the pause from a crash.
+// The agent that runs a job is frozen for longer than its lease, the job runs
+// on another instance, and the agent resumes. Other processes can't distinguish
+// the pause from a crash.
 func TestGoldenFrozenAgent(t *testing.T) {
 	runGolden(t, "g2-frozen", options{slots: 2, lease: randomLease}, func(s *transcript) {
 		id := s.submit(s.entries[0], 300, 200*time.Millisecond)
@@ -185,8 +184,8 @@
 
 // The connection to a backend server is cut in the middle of the body. An
 // idempotent call is answered completely by another instance. A call that is
-// not idempotent is not run again, and its caller is informed that the outcome
-// is unknown.
+// not idempotent is not run again, and its caller is told that the outcome is
+// unknown.
 func TestGoldenTruncatedBody(t *testing.T) {
 	runGolden(t, "g4-cut", options{instances: 2, slots: 2}, func(s *transcript) {
 		cutOnce := func() {
@@ -207,9 +206,9 @@
 	})
 }
 
-// A call that is not idempotent is lost at each stage: before the agent,
-// between agent and backend server, and after admission. A refusal may say "not
-// run" only if that is certain, and the count of executions must agree.
+// A call that is not idempotent is lost before the agent, between agent and
+// backend server, and after admission. A refusal may say "not run" only if that
+// is certain, and the count of executions must agree.
 func TestGoldenAccurateRefusals(t *testing.T) {
 	runGolden(t, "g5-refusals", options{slots: 2}, func(s *transcript) {
 		for _, fault := range []inproc.Fault{inproc.Unsent, inproc.LoseRequest, inproc.LoseAnswer} {
@@ -231,10 +230,10 @@
 	})
 }
 
-// The answer to a call is lost, and the call is repeated under the same
-// idempotency key through the other entry. A second call is sent during a store
-// outage and repeated afterwards. Neither may run twice. While the store can't
-// record a key, a call is refused immediately with a Retry-After header.
+// The answer to a call is lost, and the call is repeated under its idempotency
+// key through the other entry. A second call is sent during a store outage and
+// repeated afterwards. Neither may run twice. A call whose key can't be stored
+// is refused immediately with a Retry-After header.
 func TestGoldenClaimOnce(t *testing.T) {
 	runGolden(t, "g6-once", options{entries: 2, slots: 2}, func(s *transcript) {
 		s.Net.Script(func(m inproc.Message) inproc.Fault {
--- a/sessions/learning_test.go
+++ b/sessions/learning_test.go
@@ -17,9 +17,9 @@
 	"persimmonrock.example/structs"
 )
 
-// interferenceSession is a session in which tasks of kind "noisy" slow the
-// assay check on the same instance and nothing else, and tasks of kind "calm"
-// slow nothing.
+// interferenceSession is a session in which a task of kind "noisy" slows only
+// the service sample.AssayCheck on its instance, and a task of kind "calm"
+// slows nothing.
 type interferenceSession struct {
 	*session
 	noisyTasks map[structs.InstanceID]*atomic.Int64
@@ -77,9 +77,9 @@
 
 // Guards against a task that is placed beside a service that it slows, although
 // the slowdown was measured on another instance. It comes about when heartbeats
-// carry no measurements: only the agent that ran the pair has data on it. Of
-// the two instances that start later, the one with the service is the tighter
-// fit.
+// carry no measurements: only the agent that ran the task beside the service
+// has data on the slowdown. Of the two instances that start later, the one with
+// the service is the tighter fit.
 func TestMeasuredSlowdownIsAvoidedOnOtherInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := inproc.NewCluster(1, zerolog.Nop())
--- a/sessions/planned_test.go
+++ b/sessions/planned_test.go
@@ -113,10 +113,10 @@
 	return len(n.errors) > 0
 }
 
-// Runs sessions like those of TestRandomisedFaults. Rapid draws the requests,
-// faults and times beforehand, so that it can shrink a failing plan. Rapid ends
-// a failed check by a panic, which can't leave a synctest bubble; failures are
-// therefore collected and reported after the bubble has ended.
+// Runs sessions like those of TestRandomisedFaults. Rapid draws requests,
+// faults and times beforehand, so that it can shrink a failing plan. It ends a
+// failed check by a panic, which can't leave a synctest bubble, so failures are
+// collected and reported after the bubble has ended.
 func TestPlannedFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -34,9 +34,8 @@
 // of all kinds occur at any moment: entries and agents are killed, frozen,
 // disconnected and stopped as planned; the store is down or slow, loses answers
 // and delays writes; messages and HTTP answers are lost or late. Afterwards
-// each answer to a caller must be true, no claim may have been executed twice,
-// no instance may have exceeded its slots, no task may have run in two places,
-// and each job must have one final state.
+// every answer must be true, no claim executed twice, no instance ever beyond
+// its slots, no task run in two places, and each job in one final state.
 //
 // The seeds are fixed; -seed and -seeds select others. TestPlannedFaults runs
 // sessions that can be shrunk.
@@ -54,8 +53,8 @@
 }
 
 // TestRegressionSeeds runs seeds that have found faults. Seed 5311: a start
-// order that was never sent was requeued while its repetition arrived, so that
-// the task ran twice.
+// order that was never sent was requeued while its repeat arrived, and the task
+// ran twice.
 func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{5311} {
@@ -75,7 +74,6 @@
 	Failed() bool
 }
 
-// chaos is one session with faults.
 type chaos struct {
 	t    reporter
 	seed uint64
@@ -109,7 +107,7 @@
 	c.finish()
 }
 
-// finish removes all faults, checks the session and closes it.
+// finish removes all faults, checks the invariants and closes the session.
 func (c *chaos) finish() {
 	c.heal()
 	c.wait.Wait()
@@ -172,7 +170,8 @@
 	c.checkSample(e, sampleID, time.Duration(5+c.draw(3000))*time.Millisecond)
 }
 
-// checkSample checks one sample; a successful answer must be about it.
+// checkSample sends a call about one sample; a successful answer must match the
+// sample.
 func (c *chaos) checkSample(e *inproc.Entry, sampleID string, timeout time.Duration) {
 	c.wait.Go(func() {
 		r := c.s.call(e, sample.AssayCheck, fmt.Sprintf(`{"sample":%q}`, sampleID), timeout)
@@ -182,9 +181,9 @@
 	})
 }
 
-// sendRandomClaim sends a claim, which is a call that is not idempotent. It
-// sends a new claim, or repeats an earlier claim under its idempotency key,
-// perhaps through another entry.
+// sendRandomClaim sends a claim (a call that is not idempotent): a new claim,
+// or an earlier one again under its idempotency key, perhaps through another
+// entry.
 func (c *chaos) sendRandomClaim() {
 	keyed := c.draw(2) == 0
 	id := c.claims
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -42,11 +42,11 @@
 	instances      []*inproc.Instance
 	backends       []*inproc.Backend
 	executedClaims *sample.Lodgements
-	// overcommits counts the starts after which an instance ran more calls and
-	// tasks than it has slots.
+	// overcommits counts the starts after which an instance ran more work than
+	// it has slots.
 	overcommits atomic.Int64
-	// overcommitNote lists the work that ran at the first overcommit;
-	// overcommittedAt is the time of that overcommit.
+	// overcommitNote lists the work that ran at the first overcommit,
+	// overcommittedAt is its time.
 	overcommitNote  string
 	overcommittedAt time.Time
 	// overlap holds the registry's log line on the first overlap of two runs.
@@ -108,8 +108,8 @@
 	return s
 }
 
-// handler returns a handler that spends the time of work before inner answers,
-// even if the caller has timed out.
+// handler spends the time of work before inner answers, even if the caller has
+// timed out.
 func (s *session) handler(f *occupancy, inner http.Handler, work func() time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer s.enter(f, "call "+r.Header.Get(backend.HeaderRequest))()
@@ -145,7 +145,6 @@
 	return job.ID
 }
 
-// job reads a job's row.
 func (s *session) job(id string) structs.Job {
 	var j structs.Job
 	row, err := s.Table.Get(context.Background(), structs.JobKey(structs.ShardOf(customer), structs.JobID(id)))
