--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -34,10 +34,11 @@
 	Entries  int
 	Machines int
 	// Power is the processor capacity of each entry's machine in cores; entries
-	// beyond its length report none.
+	// beyond the end of the slice report none.
 	Power []float64
-	// DataCentres is the number of data centres, named dc-0 and so on, among
-	// which the workers are distributed in turn; with 0 they belong to none.
+	// DataCentres is the number of data centres, named dc-0 and so on, to which
+	// the workers are assigned round-robin; with 0, workers belong to no data
+	// centre.
 	DataCentres int
 	// Capacity is the capacity of each worker.
 	Capacity workload.Resources
@@ -53,7 +54,6 @@
 	LogLines int
 }
 
-// defaultRestartDelay is the default of Options.RestartDelay.
 const defaultRestartDelay = 3 * time.Second
 
 func (o Options) restartDelay() time.Duration { return cmp.Or(o.RestartDelay, defaultRestartDelay) }
@@ -77,17 +77,18 @@
 	hidden       map[string]bool
 	incarnations int
 	closed       bool
-	// configs watches the confirmed configurations; nil before the first one.
+	// configs checks that entries serve the confirmed configurations; nil
+	// before the first one.
 	configs *configWatch
 }
 
-// server serves an address.
+// server is the RPC server of one address.
 type server struct {
 	rpc   *rpc.Server
 	conns map[net.Conn]bool
 }
 
-// Service is the service of all workers of a simulation.
+// Service is the name of the service of all simulated workers.
 const Service = "svc"
 
 // dialTimeout is the time after which a dial to an unreachable machine fails.
@@ -100,7 +101,8 @@
 // to read the operator's rows.
 const configIdleTimeout = 10 * time.Second
 
-// grant is the length of the scheduler's grants to agents.
+// grant is the time after an agent's last contact for which its worker's lease
+// may last.
 const grant = 6 * time.Second
 
 // New returns a simulation with all its programs running.
@@ -127,7 +129,6 @@
 	return sim
 }
 
-// newLog returns the log of a new process on a machine.
 func (sim *Simulation) newLog(node string) zerolog.Logger {
 	log := sim.log.With().Str("process", node).Logger()
 	if sim.opt.LogLines == 0 {
@@ -154,7 +155,7 @@
 		a.Kill()
 		a.Worker().Crash()
 	}
-	// Calls in flight end within the longest time-out.
+	// Wait for calls in flight, which end within the longest time-out.
 	time.Sleep(time.Minute)
 }
 
@@ -184,8 +185,8 @@
 // Agents returns the agents.
 func (sim *Simulation) Agents() []*Agent { return sim.agents }
 
-// HideOperatorRows sets whether a machine can't read the operator's rows,
-// though it reaches the rest of the store.
+// HideOperatorRows sets whether a machine can't read the operator's rows. The
+// machine can still read the rest of the store.
 func (sim *Simulation) HideOperatorRows(node string, hidden bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -228,8 +229,8 @@
 	return nil
 }
 
-// leaderExcept is Leader without one entry, which is cut off and may not have
-// noticed the end of its term.
+// leaderExcept is like Leader but ignores one entry, which is cut off and may
+// not have noticed the end of its term.
 func (sim *Simulation) leaderExcept(excluded *Entry) *Entry {
 	for _, e := range sim.entries {
 		if p := e.current(); e != excluded && p != nil && p.elector.Term() != nil {
@@ -239,7 +240,7 @@
 	return nil
 }
 
-// agentRunning returns the machine of a run of the job, or nil.
+// agentRunning returns an agent whose worker runs a task of the job, or nil.
 func (sim *Simulation) agentRunning(id workload.JobID) *Agent {
 	for _, a := range sim.agents {
 		for _, r := range a.Worker().Running() {
@@ -251,7 +252,6 @@
 	return nil
 }
 
-// power returns the processor capacity of an entry's machine.
 func (sim *Simulation) power(e *Entry) float64 {
 	for i, x := range sim.entries {
 		if x == e && i < len(sim.opt.Power) {
@@ -261,7 +261,6 @@
 	return 0
 }
 
-// now is the clock of the simulation.
 func (sim *Simulation) now() time.Duration { return time.Since(sim.began) + time.Second }
 
 // Cut cuts a machine off from all others, or reconnects it.
@@ -318,7 +317,7 @@
 	return near, nil
 }
 
-// listen serves an address, replacing the server that it had.
+// listen starts a server at an address and replaces any earlier one.
 func (sim *Simulation) listen(address string, r *rpc.Server) *server {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -327,7 +326,7 @@
 	return s
 }
 
-// unlisten ends a server, but not a later one at the same address.
+// unlisten ends a server. A later server at the same address continues.
 func (sim *Simulation) unlisten(address string, s *server) {
 	if s == nil {
 		return
