--- a/cmd/internal/client/admin.go
+++ b/cmd/internal/client/admin.go
@@ -40,17 +40,17 @@
 	return out, a.header.Get("ETag"), err
 }
 
-// Apply writes a contract and returns the revision that accepted it. An empty
-// match requires that the customer has no contract yet; otherwise it is the
-// ETag of the contract that the change was made from. operation makes a repeat
-// safe: it names the intent and is the same for each attempt.
+// Apply writes a contract and returns the revision that accepted it. match is
+// the ETag of the contract that the change is based on; an empty match requires
+// that the customer has no contract yet. operation identifies the change and is
+// the same for each attempt, so that a repeat is safe.
 func (c *Client) Apply(ctx context.Context, contract structs.Contract, match, operation string) (structs.Revision, error) {
 	a, err := c.do(ctx, request{
-		method: http.MethodPut,
-		path:   contractPath(contract.Customer),
-		header: changeHeader(match, operation),
-		body:   contract,
-		repeat: true,
+		method:     http.MethodPut,
+		path:       contractPath(contract.Customer),
+		header:     changeHeader(match, operation),
+		body:       contract,
+		idempotent: true,
 	}, nil)
 	return revisionOf(a), err
 }
@@ -58,10 +58,10 @@
 // Delete ends a contract and returns the revision that accepted it.
 func (c *Client) Delete(ctx context.Context, customer structs.Customer, match, operation string) (structs.Revision, error) {
 	a, err := c.do(ctx, request{
-		method: http.MethodDelete,
-		path:   contractPath(customer),
-		header: changeHeader(match, operation),
-		repeat: true,
+		method:     http.MethodDelete,
+		path:       contractPath(customer),
+		header:     changeHeader(match, operation),
+		idempotent: true,
 	}, nil)
 	return revisionOf(a), err
 }
@@ -82,7 +82,7 @@
 	return structs.Revision(n)
 }
 
-// Config returns which revision is in force where.
+// Config returns the revision that is in force in each process.
 func (c *Client) Config(ctx context.Context) (Config, error) {
 	var out Config
 	_, err := c.get(ctx, adminPath+"/config", &out)
@@ -105,29 +105,29 @@
 
 // Stop begins the planned stop of an instance.
 func (c *Client) Stop(ctx context.Context, id structs.InstanceID) (Instance, error) {
-	return c.instance(ctx, "/instances/"+url.PathEscape(string(id))+"/stop")
+	return c.postInstance(ctx, "/instances/"+url.PathEscape(string(id))+"/stop")
 }
 
-// Resume takes an instance back into use.
+// Resume puts a stopped instance back into use.
 func (c *Client) Resume(ctx context.Context, id structs.InstanceID) (Instance, error) {
-	return c.instance(ctx, "/instances/"+url.PathEscape(string(id))+"/resume")
+	return c.postInstance(ctx, "/instances/"+url.PathEscape(string(id))+"/resume")
 }
 
 // Retire takes one service of an instance out of use.
 func (c *Client) Retire(ctx context.Context, id structs.InstanceID, s structs.Service) (Instance, error) {
-	return c.instance(ctx, "/backends/"+url.PathEscape(string(id))+"/"+url.PathEscape(string(s))+"/retire")
+	return c.postInstance(ctx, "/backends/"+url.PathEscape(string(id))+"/"+url.PathEscape(string(s))+"/retire")
 }
 
-// instance posts to an instance. Each of these requests sets a state, so that
-// repeating it is safe.
-func (c *Client) instance(ctx context.Context, path string) (Instance, error) {
+// postInstance sends a POST request about an instance. Each of these requests
+// sets a state, so that repeating it is safe.
+func (c *Client) postInstance(ctx context.Context, path string) (Instance, error) {
 	var out Instance
-	_, err := c.do(ctx, request{method: http.MethodPost, path: adminPath + path, repeat: true}, &out)
+	_, err := c.do(ctx, request{method: http.MethodPost, path: adminPath + path, idempotent: true}, &out)
 	return out, err
 }
 
-// Events returns the merged time line of the request or job, or of all, after
-// a logical time.
+// Events returns the merged time line of a request or a job, or of all of them,
+// after a logical time.
 func (c *Client) Events(ctx context.Context, r structs.RequestID, j structs.JobID, after uint64) (TimeLine, error) {
 	q := url.Values{}
 	if r != "" {
--- a/cmd/internal/client/client.go
+++ b/cmd/internal/client/client.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is kept in memory, in bytes.
+	// maxAnswer bounds the part of an answer that is read into memory, in
+	// bytes.
 	maxAnswer = 256 << 20
-	// attempts and pause bound the repeats of a request that is safe to
-	// repeat; the pause is doubled each time.
-	attempts = 3
-	pause    = 200 * time.Millisecond
+	// maxAttempts and firstDelay bound the repeats of an idempotent request;
+	// the delay doubles with each repeat.
+	maxAttempts = 3
+	firstDelay  = 200 * time.Millisecond
 )
 
 // Names of the headers that entries use besides the standard ones.
@@ -33,15 +34,16 @@
 	headerRevision  = "Persimmonrock-Revision"
 )
 
-// Client talks to one entry, or to the balancer before all.
+// Client sends requests to one entry or to the balancer in front of all
+// entries.
 type Client struct {
 	server string
 	key    string
 	http   *http.Client
 }
 
-// New returns a client of the entry at the base URL server that shows key.
-// transport may be nil.
+// New returns a client of the entry at the base URL server that authenticates
+// with key. transport may be nil.
 func New(server, key string, transport http.RoundTripper) *Client {
 	return &Client{
 		server: strings.TrimRight(server, "/"),
@@ -56,11 +58,12 @@
 	path   string
 	header http.Header
 	body   any
-	// repeat says that sending it twice does what sending it once does.
-	repeat bool
+	// idempotent marks a request that has the same effect when it is sent
+	// twice.
+	idempotent bool
 }
 
-// answer is a whole success.
+// answer is a successful response that was read to its end.
 type answer struct {
 	header http.Header
 	body   []byte
@@ -76,7 +79,7 @@
 		}
 		body = encoded
 	}
-	a, err := c.repeat(ctx, r, body)
+	a, err := c.sendWithRetries(ctx, r, body)
 	if err != nil || out == nil {
 		return a, err
 	}
@@ -86,23 +89,23 @@
 	return a, nil
 }
 
-// repeat sends r until it is answered, a few times at most. A request that
-// can't be repeated safely is sent once: its lost answer may belong to a
-// change that took effect.
-func (c *Client) repeat(ctx context.Context, r request, body []byte) (answer, error) {
-	wait := pause
+// sendWithRetries sends r until it is answered, at most maxAttempts times. A
+// request that isn't idempotent is sent once, because a change whose answer was
+// lost may have taken effect.
+func (c *Client) sendWithRetries(ctx context.Context, r request, body []byte) (answer, error) {
+	delay := firstDelay
 	for attempt := 1; ; attempt++ {
 		a, err := c.send(ctx, r, body)
 		var refused *structs.Refusal
-		if err == nil || errors.As(err, &refused) || !r.repeat || attempt == attempts {
+		if err == nil || errors.As(err, &refused) || !r.idempotent || attempt == maxAttempts {
 			return a, err
 		}
 		select {
 		case <-ctx.Done():
 			return a, err
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait *= 2
+		delay *= 2
 	}
 }
 
@@ -134,5 +137,5 @@
 }
 
 func (c *Client) get(ctx context.Context, path string, out any) (answer, error) {
-	return c.do(ctx, request{method: http.MethodGet, path: path, repeat: true}, out)
+	return c.do(ctx, request{method: http.MethodGet, path: path, idempotent: true}, out)
 }
--- a/cmd/internal/client/jobs.go
+++ b/cmd/internal/client/jobs.go
@@ -15,21 +15,21 @@
 	Job        = api.Job
 )
 
-// listPage is the least number of jobs in an answer that has a next page.
+// listPage is the minimum number of jobs in an answer that has a next page.
 const listPage = 200
 
 func jobPath(id structs.JobID) string { return "/v1/jobs/" + url.PathEscape(string(id)) }
 
-// Submit hands in a job. key is its Idempotency-Key: a repeat with the same
-// key gives the same job.
+// Submit submits a job. key is its Idempotency-Key: a repeat with the same key
+// returns the same job.
 func (c *Client) Submit(ctx context.Context, r JobRequest, key string) (Job, error) {
 	var out Job
 	_, err := c.do(ctx, request{
-		method: http.MethodPost,
-		path:   "/v1/jobs",
-		header: http.Header{"Idempotency-Key": {key}},
-		body:   r,
-		repeat: true,
+		method:     http.MethodPost,
+		path:       "/v1/jobs",
+		header:     http.Header{"Idempotency-Key": {key}},
+		body:       r,
+		idempotent: true,
 	}, &out)
 	return out, err
 }
@@ -58,10 +58,10 @@
 	return out, err
 }
 
-// Cancel asks for the end of a job.
+// Cancel requests the cancellation of a job.
 func (c *Client) Cancel(ctx context.Context, id structs.JobID) (Job, error) {
 	var out Job
-	_, err := c.do(ctx, request{method: http.MethodDelete, path: jobPath(id), repeat: true}, &out)
+	_, err := c.do(ctx, request{method: http.MethodDelete, path: jobPath(id), idempotent: true}, &out)
 	return out, err
 }
 
@@ -71,8 +71,9 @@
 	return a.body, err
 }
 
-// Release puts a parked job back into the queue. It takes an operator's key.
-// It is sent once: a repeat might meet the job when it is parked anew.
+// Release puts a parked job back into the queue. It requires an operator's key.
+// It is sent once, because a repeat might release the job after it was parked
+// again.
 func (c *Client) Release(ctx context.Context, customer structs.Customer, id structs.JobID) (Job, error) {
 	var out Job
 	path := adminPath + "/jobs/" + url.PathEscape(string(customer)) + "/" + url.PathEscape(string(id)) + "/release"
