--- a/cmd/node/agent.go
+++ b/cmd/node/agent.go
@@ -55,7 +55,7 @@
 	return n, nil
 }
 
-// Serving is the number of backend servers that calls are admitted to now.
+// Serving returns the number of backend servers that calls are admitted to now.
 func (a *Agent) Serving() int { return a.agent.Serving() }
 
 // backendTransport keeps one idle connection for each slot, so that a call
--- a/cmd/node/cluster.go
+++ b/cmd/node/cluster.go
@@ -114,8 +114,8 @@
 		{sample.ReceiptCheck, true, http.HandlerFunc(sample.Receipt)},
 		{sample.LodgeClaim, false, s.Lodgements},
 	}
-	for _, one := range services {
-		b, err := StartBackend(ctx, "http://"+n.HTTPAddress(), one.name, one.idempotent, sampleSlots, one.handler)
+	for _, service := range services {
+		b, err := StartBackend(ctx, "http://"+n.HTTPAddress(), service.name, service.idempotent, sampleSlots, service.handler)
 		if err != nil {
 			return err
 		}
--- a/cmd/node/command.go
+++ b/cmd/node/command.go
@@ -24,8 +24,8 @@
 	exitUsage = 2
 )
 
-// RunEntry is the command that runs an entry from a settings file until
-// SIGTERM or SIGINT; it returns the exit status.
+// RunEntry runs an entry from a settings file until SIGTERM or SIGINT, and
+// returns the exit status.
 func RunEntry(ctx context.Context, args []string, stderr io.Writer) int {
 	s := settings.DefaultEntry()
 	usage := "Run an entry process. Example:\n\n    persimmonrock entry -settings entry.json\n\nFlags:"
@@ -38,7 +38,7 @@
 	})
 }
 
-// RunAgent is the command that runs an agent, like RunEntry.
+// RunAgent runs an agent, as RunEntry runs an entry.
 func RunAgent(ctx context.Context, args []string, stderr io.Writer) int {
 	s := settings.DefaultAgent()
 	usage := "Run the agent of one instance. Example:\n\n    persimmonrock-agent -settings agent.json\n\nFlags:"
@@ -53,8 +53,8 @@
 	return run(ctx, log, func() (Process, error) { return StartAgent(s, p, log) })
 }
 
-// load reads the settings that -settings names into s and reports whether
-// they are right; else it has said on stderr what is wrong.
+// load reads the settings file that -settings names into s and reports whether
+// the settings are valid. If they aren't, it prints the reason to stderr.
 func load[T any](name, usage string, args []string, stderr io.Writer, s *T, check func(*T) []settings.Problem) bool {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(stderr)
--- a/cmd/node/entry.go
+++ b/cmd/node/entry.go
@@ -53,7 +53,8 @@
 	return n, nil
 }
 
-// operatorOnly keeps counters and events from callers.
+// operatorOnly returns a guard that refuses requests without an operator's key,
+// so that callers can't read counters and events.
 func operatorOnly(hashes []string) func(*http.Request) *structs.Refusal {
 	return func(r *http.Request) *structs.Refusal {
 		if keys.Match(hashes, keys.Bearer(r)) {
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -21,15 +21,15 @@
 	"persimmonrock.example/wire"
 )
 
-// Platform is the platform's services as one process reaches them. Worker is
-// only used by agents.
+// Platform holds the clients of the platform's services that one process uses.
+// Only agents use Worker.
 type Platform struct {
 	Table   infra.Table
 	Objects infra.Objects
 	Worker  infra.Worker
-	// AnnounceEvery is the time between two announcements of a backend server
-	// beside the agent; 0 is the agent's own choice. A new agent admits nothing
-	// for twice as long.
+	// AnnounceEvery is the interval between two announcements of a backend
+	// server beside the agent; 0 selects the agent's default. A new agent
+	// admits no calls for twice this interval.
 	AnnounceEvery time.Duration
 }
 
@@ -57,16 +57,16 @@
 	l.rpc.Close()
 }
 
-// advertised is the address that other processes use: the one set, or the one
-// that was listened at, whose port may have been chosen by the system.
-func advertised(set string, l net.Listener) string {
-	if set != "" {
-		return set
+// advertised returns the address that other processes use: the configured one,
+// or the listener's, whose port may have been chosen by the system.
+func advertised(configured string, l net.Listener) string {
+	if configured != "" {
+		return configured
 	}
 	return l.Addr().String()
 }
 
-// common is what entries and agents have alike.
+// common holds the state that entries and agents share.
 type common struct {
 	log     zerolog.Logger
 	sockets listeners
@@ -75,17 +75,17 @@
 	client  *wire.Client
 	ring    *events.Ring
 	bytes   *wire.ByteCount
-	// peerTLS is nil where the processes talk without it.
+	// peerTLS is nil if the processes communicate without TLS.
 	peerTLS  *certs.Certificate
 	cancel   context.CancelFunc
 	ended    chan error
 	shutdown time.Duration
 }
 
-// newCommon opens the sockets and makes the peers' client and server.
+// newCommon opens the sockets and creates the peers' client and server.
 func newCommon(name string, peers settings.Peers, h settings.HTTP, r settings.RPC, ring int, shutdown time.Duration, log zerolog.Logger) (common, error) {
 	c := common{log: log, ring: events.New(name, ring), bytes: &wire.ByteCount{}, shutdown: shutdown}
-	if err := c.meetPeers(peers); err != nil {
+	if err := c.setUpPeers(peers); err != nil {
 		return common{}, err
 	}
 	sockets, err := listen(h.Listen, r.Listen)
@@ -96,8 +96,8 @@
 	return c, nil
 }
 
-// meetPeers makes the client and the server of the peers' protocol.
-func (c *common) meetPeers(peers settings.Peers) error {
+// setUpPeers creates the client and the server of the peers' protocol.
+func (c *common) setUpPeers(peers settings.Peers) error {
 	secret, err := peers.Load()
 	if err != nil {
 		return eris.Wrap(err, "read the peers' secret")
@@ -106,55 +106,56 @@
 	if err != nil {
 		return eris.Wrap(err, "read the peers' second secret")
 	}
-	var dialling *tls.Config
+	var clientTLS *tls.Config
 	if peers.TLS != nil {
 		c.peerTLS, err = certs.New(peers.TLS.Files())
 		if err != nil {
 			return err
 		}
-		dialling = c.peerTLS.Client()
+		clientTLS = c.peerTLS.Client()
 	}
-	c.client = wire.NewClient(secret, dialling, c.bytes).WithClock(c.ring)
+	c.client = wire.NewClient(secret, clientTLS, c.bytes).WithClock(c.ring)
 	c.rpc = wire.NewServer(secret, c.bytes).WithClock(c.ring).AlsoAccept(second)
 	return nil
 }
 
 // serveRPC serves the peers' protocol until its listener is closed.
 func (c *common) serveRPC() {
-	var accepting *tls.Config
+	var serverTLS *tls.Config
 	if c.peerTLS != nil {
-		accepting = c.peerTLS.Server()
+		serverTLS = c.peerTLS.Server()
 	}
-	_ = c.rpc.Serve(c.sockets.rpc, accepting)
+	_ = c.rpc.Serve(c.sockets.rpc, serverTLS)
 }
 
-// HTTPAddress is where the process serves HTTP.
+// HTTPAddress returns the address at which the process serves HTTP.
 func (c *common) HTTPAddress() string { return c.sockets.http.Addr().String() }
 
-// RPCAddress is where the process serves its peers.
+// RPCAddress returns the address at which the process serves its peers.
 func (c *common) RPCAddress() string { return c.sockets.rpc.Addr().String() }
 
-// Ended is closed, after one error, when the process can't go on by itself.
+// Ended returns a channel that receives an error when the process can't
+// continue by itself.
 func (c *common) Ended() <-chan error { return c.ended }
 
-// start begins serving and the background work.
+// start starts the servers and the background work.
 func (c *common) start(run func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	c.ended = make(chan error, 3)
 	go c.serveRPC()
-	go func() { c.end(c.http.Serve(c.sockets.http)) }()
-	go func() { c.end(run(ctx)) }()
+	go func() { c.reportEnd(c.http.Serve(c.sockets.http)) }()
+	go func() { c.reportEnd(run(ctx)) }()
 }
 
-func (c *common) end(err error) {
+func (c *common) reportEnd(err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, context.Canceled) {
 		c.ended <- err
 	}
 }
 
-// stop carries out a planned stop. drain refuses new work and waits for what
-// is in progress; only then are the sockets closed, so that no answer is cut.
+// stop carries out a planned stop. drain refuses new work and waits for work in
+// progress; only then are the sockets closed, so that no answer is truncated.
 func (c *common) stop(ctx context.Context, drain func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.shutdown)
 	defer cancel()
@@ -175,8 +176,8 @@
 	c.client.Close()
 }
 
-// peerVars is what /debug/vars shows of the traffic between the system's own
-// processes, and who was turned away.
+// peerVars is the part of /debug/vars about the traffic between the system's
+// own processes and about rejected connections.
 type peerVars struct {
 	In           int64 `json:"in_bytes"`
 	Out          int64 `json:"out_bytes"`
@@ -201,7 +202,7 @@
 }
 
 // Wait returns after a planned stop, which begins when ctx ends, or with the
-// error with which the process ended by itself.
+// error that ended the process before.
 func Wait(ctx context.Context, p Process) error {
 	select {
 	case err := <-p.Ended():
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	oldSecret = "the secret of last year"
-	newSecret = "the secret of this year"
-	meetBound = 10 * time.Second
+	oldSecret      = "the secret of last year"
+	newSecret      = "the secret of this year"
+	connectTimeout = 10 * time.Second
 )
 
-// meetings starts one entry and the agents given, and returns the agents that
-// the entry hears and can call back.
-func meetings(t *testing.T, entry settings.Peers, agents map[structs.InstanceID]settings.Peers, want int) map[structs.InstanceID]bool {
+// connectedAgents starts one entry and the agents given, and returns the agents
+// that are known to the entry and answer its calls.
+func connectedAgents(t *testing.T, entry settings.Peers, agents map[structs.InstanceID]settings.Peers, want int) map[structs.InstanceID]bool {
 	t.Helper()
 	table, objects := memory.NewTable(), memory.NewObjects()
 	s := settings.DefaultEntry()
@@ -47,19 +47,19 @@
 		t.Cleanup(a.Kill)
 		byAddress[a.RPCAddress()] = name
 	}
-	met := make(map[structs.InstanceID]bool)
-	for end := time.Now().Add(meetBound); time.Now().Before(end) && len(met) < want; time.Sleep(20 * time.Millisecond) {
+	connected := make(map[structs.InstanceID]bool)
+	for end := time.Now().Add(connectTimeout); time.Now().Before(end) && len(connected) < want; time.Sleep(20 * time.Millisecond) {
 		for address, name := range byAddress {
 			hello, err := e.client.Agent(address).Load(t.Context())
-			if err == nil && hello.Instance == name && heard(e, name) {
-				met[name] = true
+			if err == nil && hello.Instance == name && agentKnown(e, name) {
+				connected[name] = true
 			}
 		}
 	}
-	return met
+	return connected
 }
 
-func heard(e *Entry, name structs.InstanceID) bool {
+func agentKnown(e *Entry, name structs.InstanceID) bool {
 	for _, event := range e.ring.Select("", "", 0) {
 		if event.Peer == string(name) && event.Step == "agent-known" {
 			return true
@@ -68,10 +68,10 @@
 	return false
 }
 
-// The secret is changed one process after the other. At each step old and new
-// processes must hear each other, or calls stop in the middle of the change; a
-// process that knows neither secret is never heard.
-func TestSecretIsChangedWithoutAGap(t *testing.T) {
+// The secret is changed in one process after the other. At each step processes
+// with the old and the new secret must connect to each other, or calls fail
+// during the change; a process that knows neither secret must never connect.
+func TestSecretRotationKeepsConnections(t *testing.T) {
 	dir := t.TempDir()
 	with := func(own, also string) settings.Peers {
 		p := settings.Peers{Secret: own}
@@ -82,23 +82,23 @@
 		return p
 	}
 	for name, c := range map[string]struct{ entry, agent settings.Peers }{
-		"agents accept the new one":   {with(oldSecret, ""), with(oldSecret, newSecret)},
-		"entries use the new one":     {with(newSecret, oldSecret), with(oldSecret, newSecret)},
-		"agents use the new one":      {with(newSecret, oldSecret), with(newSecret, oldSecret)},
-		"entries forget the old one":  {with(newSecret, ""), with(newSecret, oldSecret)},
-		"everybody has the old alone": {with(oldSecret, ""), with(oldSecret, "")},
+		"agents accept the new one":  {with(oldSecret, ""), with(oldSecret, newSecret)},
+		"entries use the new one":    {with(newSecret, oldSecret), with(oldSecret, newSecret)},
+		"agents use the new one":     {with(newSecret, oldSecret), with(newSecret, oldSecret)},
+		"entries drop the old one":   {with(newSecret, ""), with(newSecret, oldSecret)},
+		"all have the old one alone": {with(oldSecret, ""), with(oldSecret, "")},
 	} {
-		met := meetings(t, c.entry, map[structs.InstanceID]settings.Peers{"a": c.agent, "stranger": with("a guess of the secret", "")}, 1)
-		if !met["a"] || met["stranger"] {
-			t.Errorf("%s: heard %v, want a alone", name, met)
+		connected := connectedAgents(t, c.entry, map[structs.InstanceID]settings.Peers{"a": c.agent, "stranger": with("a guess of the secret", "")}, 1)
+		if !connected["a"] || connected["stranger"] {
+			t.Errorf("%s: connected %v, want a alone", name, connected)
 		}
 	}
 }
 
-// All processes know the secret, and one of them has no certificate, or one of
-// another authority. What it says and hears must not cross the network in the
-// clear, so it isn't heard at all.
-func TestProcessesTalkOverTLSAlone(t *testing.T) {
+// All processes know the secret, but one of them has no certificate, and one
+// has that of another authority. Neither may connect: messages between
+// processes must not cross the network in the clear.
+func TestPeersRequireTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	peers := func(a *certs.Authority, name string) settings.Peers {
 		files, err := a.Issue(t.TempDir(), name, time.Hour)
@@ -107,11 +107,11 @@
 		}
 		return settings.Peers{Secret: oldSecret, TLS: &files}
 	}
-	met := meetings(t, peers(ours, "entry"), map[structs.InstanceID]settings.Peers{
+	connected := connectedAgents(t, peers(ours, "entry"), map[structs.InstanceID]settings.Peers{
 		"a": peers(ours, "a"), "plain": {Secret: oldSecret}, "foreign": peers(theirs, "foreign"),
 	}, 1)
-	if len(met) != 1 || !met["a"] {
-		t.Errorf("heard %v, want a alone", met)
+	if len(connected) != 1 || !connected["a"] {
+		t.Errorf("connected %v, want a alone", connected)
 	}
 }
 
