--- a/cmd/persimmonrock-agent/main.go
+++ b/cmd/persimmonrock-agent/main.go
@@ -1,5 +1,5 @@
-// Command persimmonrock-agent runs beside one backend server and decides what
-// its instance admits.
+// Command persimmonrock-agent runs beside the backend servers of one instance
+// and decides which calls and tasks the instance admits.
 package main
 
 import (
