--- a/cmd/sample/sample.go
+++ b/cmd/sample/sample.go
@@ -53,7 +53,7 @@
 	answer(w, map[string]any{"receipt": q.Receipt, "valid": q.Receipt != "" && q.Cents > 0, "credit_cents": q.Cents / 3})
 }
 
-// Lodgements counts how often each claim was lodged; once is right.
+// Lodgements counts how often each claim was lodged; more than once is a fault.
 type Lodgements struct {
 	mu    sync.Mutex
 	count map[string]int
