--- a/cmd/machine/agent.go
+++ b/cmd/machine/agent.go
@@ -11,8 +11,8 @@
 	"persimmonrock.example/platform/worker"
 )
 
-// RunAgent runs an agent with the settings of the machine until it is told to
-// stop, and returns the exit status.
+// RunAgent runs an agent with the settings of the machine until SIGTERM or
+// SIGINT, and returns the exit status.
 func RunAgent(ctx context.Context, stderr io.Writer) int {
 	p, err := newProgram()
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	defer p.flush()
 	if err := p.runAgent(ctx); err != nil {
-		p.log.Error().Err(err).Msg("agent ends")
+		p.log.Error().Err(err).Msg("agent failed")
 		return exitError
 	}
 	return exitOK
@@ -46,11 +46,11 @@
 	if _, err := p.serveHTTP(p.settings.WorkerListen, worker.ReportHandler(reports{r})); err != nil {
 		return err
 	}
-	token, before, err := registration.Register(ctx)
+	token, former, err := registration.Register(ctx)
 	if err != nil {
 		return err
 	}
-	r.Registered(token, before)
+	r.Registered(token, former)
 	server := rpc.NewServer()
 	if err := server.RegisterName("Agent", runner.NewRPC(ctx, r)); err != nil {
 		return err
@@ -61,6 +61,6 @@
 	p.serveMetrics(map[string]func() any{"agent": func() any { return r.Counters() }})
 	p.log.Info().Uint64("token", token).Str("peers", p.peerAddress()).Str("worker", p.settings.WorkerAddress).Msg("agent started")
 	r.Run(ctx)
-	p.log.Info().Msg("agent stops")
+	p.log.Info().Msg("agent stopped")
 	return nil
 }
--- a/cmd/machine/common.go
+++ b/cmd/machine/common.go
@@ -1,5 +1,5 @@
-// Package machine runs both programs on the users' machines: it joins the
-// adapter with the product.
+// Package machine runs the entry and the agent on the users' machines: it
+// connects the platform adapter with the product.
 package machine
 
 import (
@@ -34,27 +34,28 @@
 )
 
 const (
-	// logLines is the number of lines that wait for a slow reader; more are
-	// dropped and counted.
+	// logLines is the number of log lines that are buffered for a slow reader;
+	// further lines are dropped and counted.
 	logLines = 2000
-	// logsPerSecond bounds the lines of a process.
+	// logsPerSecond bounds the log lines of a process.
 	logsPerSecond = 1000
-	// logPoll is how often waiting lines are written.
+	// logPoll is the interval at which buffered lines are written.
 	logPoll = 20 * time.Millisecond
-	// startDigits is the length of the name that each start of a process gives
-	// itself in its lines.
+	// startDigits is the length of the random ID that distinguishes the starts
+	// of a process in its log lines.
 	startDigits = 8
-	// memoryShare is the part of the memory limit that the runtime's own
-	// limit is set to; the rest is for stacks and what the kernel counts.
+	// memoryShare is the part of the memory limit that the Go runtime's own
+	// limit is set to; the rest is for stacks and for memory that the kernel
+	// counts.
 	memoryShare = 0.75
 	// headerTimeout bounds the reading of a call's header.
 	headerTimeout = 5 * time.Second
 )
 
-// Configured reports whether the machine hands its settings to the process.
+// Configured reports whether the machine passes settings to the process.
 func Configured() bool { return os.Getenv(boot.PathVariable) != "" }
 
-// program is what both programs share.
+// program holds the state that the entry and the agent share.
 type program struct {
 	settings boot.Settings
 	log      zerolog.Logger
@@ -73,7 +74,7 @@
 		dropped.Warn().Int("lines", missed).Msg("log lines dropped")
 	})
 	limit := &logs.Limit{PerSecond: logsPerSecond}
-	log := zerolog.New(w).With().Timestamp().Str("process", settings.Node).Str("start_id", rand.Text()[:startDigits]).Logger().Hook(steadyTime{})
+	log := zerolog.New(w).With().Timestamp().Str("process", settings.Node).Str("start_id", rand.Text()[:startDigits]).Logger().Hook(bootTimeHook{})
 	limit.Tell = logs.TellLeftOut(log)
 	log = log.Hook(limit)
 	dropped = zerolog.New(os.Stderr).With().Timestamp().Str("process", settings.Node).Logger()
@@ -81,12 +82,13 @@
 	return &program{settings: settings, log: log, limit: limit, flush: func() { _ = w.Close() }}, nil
 }
 
-// peerAddress is where the process takes the calls of the other processes.
+// peerAddress returns the address at which the process accepts calls of the
+// other processes.
 func (p *program) peerAddress() string {
 	return net.JoinHostPort(p.settings.IP.String(), strconv.Itoa(p.settings.FirstPort))
 }
 
-// listen opens addresses; an empty one is left out.
+// listen opens a TCP listener at address.
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	return l, eris.Wrapf(err, "listen on %s", address)
@@ -100,7 +102,7 @@
 	}
 	go func() {
 		err := dispatch.Serve(l, server)
-		p.log.Error().Err(err).Msg("no more calls of other processes")
+		p.log.Error().Err(err).Msg("stopped serving calls of other processes")
 	}()
 	return nil
 }
@@ -114,18 +116,18 @@
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	go func() {
 		if err := s.Serve(l); err != nil && err != http.ErrServerClosed {
-			p.log.Error().Err(err).Str("address", address).Msg("no more calls")
+			p.log.Error().Err(err).Str("address", address).Msg("http server failed")
 		}
 	}()
 	return s, nil
 }
 
-// metricsPort is where each process shows its counters; the deploy file names
-// it, too.
+// metricsPort is the port at which each process serves its counters; the deploy
+// file names it, too.
 const metricsPort = 9464
 
-// serveMetrics shows the figures of a process. They are of use even where the
-// port can't be had, so that is only logged.
+// serveMetrics serves the counters of a process. They aren't needed for its
+// work, so a port that can't be opened is only logged.
 func (p *program) serveMetrics(figures map[string]func() any) {
 	vars := serve.NewVars()
 	vars.Func("log_lines_skipped", func() any { return p.limit.Skipped() })
@@ -136,12 +138,12 @@
 	mux.Handle("GET /debug/vars", vars)
 	address := net.JoinHostPort(p.settings.IP.String(), strconv.Itoa(metricsPort))
 	if _, err := p.serveHTTP(address, mux); err != nil {
-		p.log.Warn().Err(err).Str("address", address).Msg("no metrics")
+		p.log.Warn().Err(err).Str("address", address).Msg("metrics not served")
 	}
 }
 
-// stopSignal returns a context that ends with SIGTERM. SIGHUP tells that the
-// settings file has changed.
+// stopSignal returns a context that is cancelled by SIGTERM or SIGINT. SIGHUP
+// signals that the settings file has changed.
 func (p *program) stopSignal(ctx context.Context) (context.Context, context.CancelFunc) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -153,32 +155,32 @@
 	return signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 }
 
-// reload reads the settings file again. Addresses hold for the life of a
-// process; a changed one is only told.
+// reload reads the settings file again. Addresses are fixed while a process
+// runs, so a change is only logged.
 func (p *program) reload() {
 	s, err := boot.Load()
 	if err != nil {
-		p.log.Error().Err(err).Msg("settings not read again; the former stay in force")
+		p.log.Error().Err(err).Msg("could not reload settings; former settings stay in force")
 		return
 	}
-	p.log.Info().Bool("changed", s != p.settings).Msg("settings read again")
+	p.log.Info().Bool("changed", s != p.settings).Msg("settings reloaded")
 }
 
-// steadyTime adds the steady clock to each line, in microseconds: the wall clock
-// may jump, and lines of one process are put in order by this one.
-type steadyTime struct{}
+// bootTimeHook adds the boot-time clock to each line, in microseconds: the wall
+// clock may jump, and the lines of one process are ordered by this value.
+type bootTimeHook struct{}
 
 // Run implements zerolog.Hook.
-func (steadyTime) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+func (bootTimeHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Int64("steady_us", sinceBoot().Microseconds())
 }
 
-// sinceBoot is a clock that goes on while the machine is suspended, unlike
-// the steady clock of package time.
+// sinceBoot returns the time since the machine's start. Unlike the monotonic
+// clock of package time, it also advances while the machine is suspended.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock is part of every kernel that the program runs on.
+		// Every kernel that the program runs on has this clock.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
--- a/cmd/machine/docs_test.go
+++ b/cmd/machine/docs_test.go
@@ -17,10 +17,10 @@
 	"persimmonrock.example/entry/scheduler"
 )
 
-// operations is the page that names the counters, from this folder.
+// operations is the path of the page that names the counters, from this folder.
 const operations = "../../docs/OPERATIONS.md"
 
-// keys returns the names that v shows as JSON, with the prefix.
+// keys returns the names of the JSON fields of v, with the prefix.
 func keys(t *testing.T, prefix string, v any) []string {
 	t.Helper()
 	text, err := json.Marshal(v)
@@ -73,9 +73,9 @@
 	return intake.NewFollower(nil, intake.ConfigSource{}, zerolog.Nop(), clock)
 }
 
-// An engineer looks a counter up in the page and does not find it, or looks
-// for one that is gone. Each counter that an entry or an agent shows stands in
-// the table of docs/OPERATIONS.md, and no other.
+// Guards against a page that lacks a counter or names a removed one: the table
+// of docs/OPERATIONS.md names each counter that an entry or an agent shows, and
+// no other.
 func TestPageNamesEachCounter(t *testing.T) {
 	var shown []string
 	shown = append(shown, keys(t, "intake", (&intake.Counters{}).Figures())...)
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -25,18 +25,18 @@
 const (
 	// grantShare is the part of the longest lease that a scheduler grants.
 	grantShare = 0.6
-	// lingerAfterStop is how long a stopping entry serves calls on open
-	// connections, while the balancer learns that it is not ready.
+	// lingerAfterStop is the time for which a stopping entry serves calls on
+	// open connections, while the balancer detects that it is not ready.
 	lingerAfterStop = 1200 * time.Millisecond
-	// configSilence bounds the silence of the store in one attempt to read the
-	// operator's rows. Others are made beside it.
-	configSilence = 10 * time.Second
-	// stopReserve is kept of the time to the kill.
+	// configTimeout bounds the wait for the store in one attempt to read the
+	// operator's rows. Further attempts run at the same time.
+	configTimeout = 10 * time.Second
+	// stopReserve is the part of the grace period that is kept before the kill.
 	stopReserve = 700 * time.Millisecond
 )
 
-// RunEntry runs an entry with the settings of the machine until it is told to
-// stop, and returns the exit status.
+// RunEntry runs an entry with the settings of the machine until SIGTERM or
+// SIGINT, and returns the exit status.
 func RunEntry(ctx context.Context, stderr io.Writer) int {
 	p, err := newProgram()
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	defer p.flush()
 	if err := p.runEntry(ctx); err != nil {
-		p.log.Error().Err(err).Msg("entry ends")
+		p.log.Error().Err(err).Msg("entry failed")
 		return exitError
 	}
 	return exitOK
@@ -55,10 +55,10 @@
 	ctx, cancel := p.stopSignal(ctx)
 	defer cancel()
 	direct := store.New(p.settings.StoreAddress)
-	around := relay.New(direct, p.peerAddress(), dispatch.NewLink, p.log)
-	rows := settle.New(around)
+	relayed := relay.New(direct, p.peerAddress(), dispatch.NewLink, p.log)
+	rows := settle.New(relayed)
 	clock := intake.NewStoreClock(sinceBoot)
-	config := intake.NewFollower(around.Reader(direct.Patient(configSilence)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
+	config := intake.NewFollower(relayed.Reader(direct.Patient(configTimeout)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
 	counters := &scheduler.Counters{}
 	elector := scheduler.NewElector(scheduler.Config{
 		Node: p.settings.Node, Process: rand.Text(), Address: p.peerAddress(), Power: p.settings.Cores,
@@ -69,7 +69,7 @@
 	if err := server.RegisterName("Scheduler", &scheduler.Service{Elector: elector}); err != nil {
 		return err
 	}
-	if err := server.RegisterName("Relay", around.Service()); err != nil {
+	if err := server.RegisterName("Relay", relayed.Service()); err != nil {
 		return err
 	}
 	if err := p.servePeers(server); err != nil {
@@ -86,29 +86,31 @@
 		"intake":       func() any { return service.Counters.Figures() },
 		"queue_config": func() any { return config.Figures() },
 		"scheduler":    func() any { return counters.Figures() },
-		"store":        func() any { return map[string]int64{"calls": direct.Calls(), "relayed": around.Relayed()} },
+		"store":        func() any { return map[string]int64{"calls": direct.Calls(), "relayed": relayed.Relayed()} },
 	})
 	p.log.Info().Str("clients", p.settings.ClientListen).Str("peers", p.peerAddress()).Msg("entry started")
-	// The configuration is followed while open calls are still answered.
-	go around.Run(context.WithoutCancel(ctx), p.settings.Node)
+	// The configuration is still read while open calls are answered after a
+	// stop.
+	go relayed.Run(context.WithoutCancel(ctx), p.settings.Node)
 	go config.Run(context.WithoutCancel(ctx))
 	elector.Run(ctx)
 	go elector.Follow(context.WithoutCancel(ctx))
 	return p.stopEntry(service, clients)
 }
 
-// stopEntry serves open connections for a moment, then ends them where no
-// call is open.
+// stopEntry serves open connections for lingerAfterStop, then closes each one
+// that has no open call.
 func (p *program) stopEntry(service *intake.Service, clients *http.Server) error {
 	service.Stop()
-	p.log.Info().Msg("entry stops")
+	p.log.Info().Msg("entry stopping")
 	time.Sleep(lingerAfterStop)
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Grace-lingerAfterStop-stopReserve)
 	defer cancel()
 	return clients.Shutdown(ctx)
 }
 
-// advisor is the policy service, or nil where there is none.
+// advisor returns the client of the policy service, or nil if none is
+// configured.
 func (p *program) advisor() policy.Advisor {
 	if p.settings.PolicyAddress == "" {
 		return nil
