--- a/cmd/persimmonrock/access_test.go
+++ b/cmd/persimmonrock/access_test.go
@@ -17,27 +17,28 @@
 	"persimmonrock.example/structs"
 )
 
-// site is a running deployment as somebody on the network sees it.
-type site struct {
+// deployment is a running deployment as a client on the network sees it.
+type deployment struct {
 	t    *testing.T
 	base string
 }
 
-// ask returns status and body of a request. It comes back, as it is told to,
-// while the customer's queue shard moves from one entry to another.
-func (s site) ask(method, path, authorization, body string) (int, []byte) {
+// request returns status and body of a request. It repeats the request, as the
+// refusal demands, while the customer's queue shard moves from one entry to
+// another.
+func (s deployment) request(method, path, authorization, body string) (int, []byte) {
 	s.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		status, text, refused := s.once(method, path, authorization, body)
+		status, text, refused := s.requestOnce(method, path, authorization, body)
 		if refused == nil || refused.Type != structs.RefusedNotOwner || time.Now().After(end) {
 			return status, text
 		}
 	}
 }
 
-// once makes one request. Every refusal must be a problem document that proves
-// that nothing ran.
-func (s site) once(method, path, authorization, body string) (int, []byte, *structs.Refusal) {
+// requestOnce sends one request. Every refusal must be a problem document that
+// proves that nothing ran.
+func (s deployment) requestOnce(method, path, authorization, body string) (int, []byte, *structs.Refusal) {
 	s.t.Helper()
 	r, err := http.NewRequest(method, s.base+path, strings.NewReader(body))
 	if err != nil {
@@ -62,23 +63,23 @@
 	return answer.StatusCode, text, refused
 }
 
-func (s site) customer(operator string, name structs.Customer) (bearer string) {
+func (s deployment) addCustomer(operator string, name structs.Customer) (bearer string) {
 	s.t.Helper()
 	key := keys.Generate()
 	contract, _ := json.Marshal(structs.Contract{
 		Customer: name, LatencyTarget: structs.Duration(time.Second), BatchQueue: 10, Share: 0.4, KeyHashes: []string{keys.Hash(key)},
 	})
-	if status, text := s.ask("PUT", "/v1/admin/contracts/"+string(name), operator, string(contract)); status != http.StatusOK {
+	if status, text := s.request("PUT", "/v1/admin/contracts/"+string(name), operator, string(contract)); status != http.StatusOK {
 		s.t.Fatalf("contract: %d %s", status, text)
 	}
 	return "Bearer " + key
 }
 
-// submit hands in a job, once an entry owns the customer's queue shard.
-func (s site) submit(customer string) (job struct{ ID string }) {
+// submit submits a job, once an entry owns the customer's queue shard.
+func (s deployment) submit(customer string) (job struct{ ID string }) {
 	s.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		status, text := s.ask("POST", "/v1/jobs", customer, `{"kind":"grade-report","payload":{"samples":1}}`)
+		status, text := s.request("POST", "/v1/jobs", customer, `{"kind":"grade-report","payload":{"samples":1}}`)
 		if json.Unmarshal(text, &job); status == http.StatusAccepted && job.ID != "" {
 			return job
 		}
@@ -89,7 +90,7 @@
 
 // An operator retires one service of an instance. Calls of it must go
 // elsewhere, and the instance's other services must stay in use: an agent that
-// took the word for the whole instance would evict all its batch tasks.
+// retired the whole instance would evict all its batch tasks.
 func TestRetireTakesOneServiceOutOfUse(t *testing.T) {
 	running, err := node.StartSample(zerolog.Nop())
 	if err != nil {
@@ -122,18 +123,19 @@
 	}
 }
 
-// Somebody without a key, with a wrong one, or with another customer's tries
-// every path. None may open, and none may tell whether a job exists.
-func TestNobodyGetsInWithoutTheRightKey(t *testing.T) {
+// Requests without a key, with a wrong one or with another customer's are sent
+// to every path. Every path must refuse them, and no answer may reveal whether
+// a job exists.
+func TestEveryPathRequiresItsKey(t *testing.T) {
 	running, err := node.StartSample(zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer running.Stop(t.Context())
 	defer http.DefaultClient.CloseIdleConnections()
-	s := site{t, "http://" + running.Entries[0].HTTPAddress()}
+	s := deployment{t, "http://" + running.Entries[0].HTTPAddress()}
 	operator := "Bearer " + running.OperatorKey
-	granite, kowhai := s.customer(operator, "granite"), s.customer(operator, "kowhai")
+	granite, kowhai := s.addCustomer(operator, "granite"), s.addCustomer(operator, "kowhai")
 	job := s.submit(granite)
 	customerPaths := []string{"POST /v1/services/assay-check/call", "POST /v1/jobs", "GET /v1/jobs",
 		"GET /v1/jobs/" + job.ID, "GET /v1/jobs/" + job.ID + "/result", "DELETE /v1/jobs/" + job.ID}
@@ -142,34 +144,34 @@
 		"POST /v1/admin/instances/instance-1/stop", "POST /v1/admin/instances/instance-1/resume",
 		"POST /v1/admin/backends/instance-1/assay-check/retire", "GET /v1/admin/events",
 		"POST /v1/admin/jobs/granite/" + job.ID + "/release", "GET /debug/vars", "GET /debug/events"}
-	strangers := []string{"", "Bearer ", "Bearer " + keys.Generate(), "Basic " + strings.TrimPrefix(granite, "Bearer "),
+	invalidKeys := []string{"", "Bearer ", "Bearer " + keys.Generate(), "Basic " + strings.TrimPrefix(granite, "Bearer "),
 		"Bearer " + keys.Hash(strings.TrimPrefix(granite, "Bearer ")), strings.ToUpper(granite), granite + "x"}
-	for _, who := range strangers {
+	for _, authorization := range invalidKeys {
 		for _, path := range append(customerPaths, operatorPaths...) {
 			method, path, _ := strings.Cut(path, " ")
-			if status, text := s.ask(method, path, who, "{}"); status != http.StatusUnauthorized {
-				t.Errorf("%s %s with %q: %d %s", method, path, who, status, text)
+			if status, text := s.request(method, path, authorization, "{}"); status != http.StatusUnauthorized {
+				t.Errorf("%s %s with %q: %d %s", method, path, authorization, status, text)
 			}
 		}
 	}
 	for _, path := range operatorPaths {
 		method, path, _ := strings.Cut(path, " ")
-		if status, text := s.ask(method, path, granite, "{}"); status != http.StatusForbidden && status != http.StatusUnauthorized {
+		if status, text := s.request(method, path, granite, "{}"); status != http.StatusForbidden && status != http.StatusUnauthorized {
 			t.Errorf("%s %s with a customer's key: %d %s", method, path, status, text)
 		}
 	}
 	for _, path := range customerPaths[3:] {
 		method, path, _ := strings.Cut(path, " ")
-		status, foreign := s.ask(method, path, kowhai, "")
-		_, absent := s.ask(method, strings.Replace(path, job.ID, "j-absent", 1), kowhai, "")
+		status, foreign := s.request(method, path, kowhai, "")
+		_, absent := s.request(method, strings.Replace(path, job.ID, "j-absent", 1), kowhai, "")
 		if status != http.StatusNotFound || !bytes.Equal(bytes.ReplaceAll(foreign, []byte(job.ID), []byte("j-absent")), absent) {
 			t.Errorf("%s %s by another customer: %d %s, an absent job: %s", method, path, status, foreign, absent)
 		}
 	}
-	if _, list := s.ask("GET", "/v1/jobs", kowhai, ""); strings.Contains(string(list), job.ID) {
+	if _, list := s.request("GET", "/v1/jobs", kowhai, ""); strings.Contains(string(list), job.ID) {
 		t.Errorf("another customer's list: %s", list)
 	}
-	if status, text := s.ask("GET", "/v1/jobs/"+job.ID, granite, ""); status != http.StatusOK || strings.Contains(string(text), "cancelled") {
+	if status, text := s.request("GET", "/v1/jobs/"+job.ID, granite, ""); status != http.StatusOK || strings.Contains(string(text), "cancelled") {
 		t.Errorf("afterwards: %d %s", status, text)
 	}
 }
--- a/cmd/persimmonrock/commands.go
+++ b/cmd/persimmonrock/commands.go
@@ -6,16 +6,15 @@
 	"io"
 )
 
-// command is one word of the command line and what it runs. run returns the
-// process's exit status.
+// command is one word of the command line and the function that it runs. run
+// returns the process's exit status.
 type command struct {
 	name    string
 	summary string
 	run     func(ctx context.Context, args []string, stdout, stderr io.Writer) int
 }
 
-// commands lists what the binary can do. It is a function, since the help of
-// some commands refers to the list.
+// commands lists the commands of the binary.
 func commands() []command {
 	return []command{
 		{"entry", "run an entry process", runEntry},
--- a/cmd/persimmonrock/commands_test.go
+++ b/cmd/persimmonrock/commands_test.go
@@ -22,14 +22,14 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// step is one command line of a session, after what the fake is told.
+// step is one command line of a session; before prepares the fake entry.
 type step struct {
 	line   string
 	before func(*fakeEntry)
 }
 
-// golden runs the steps against one fake entry and compares the transcript.
-func golden(t *testing.T, name string, steps []step) {
+// runGolden runs the steps against one fake entry and compares the transcript.
+func runGolden(t *testing.T, name string, steps []step) {
 	t.Helper()
 	fake := &fakeEntry{contracts: map[string]structs.Contract{}, accepted: map[string]structs.Revision{}, revision: 6}
 	server := httptest.NewServer(fake)
@@ -75,7 +75,7 @@
 }
 
 func TestContractSession(t *testing.T) {
-	golden(t, "contract", []step{
+	runGolden(t, "contract", []step{
 		{line: "contract apply broken.json"},
 		{line: "contract apply -dry-run granite.json"},
 		{line: "contract apply granite.json", before: func(f *fakeEntry) { f.behind = 1 }},
@@ -93,12 +93,12 @@
 	})
 }
 
-// An operator's change is accepted, but the answer is lost on the way. The
-// command repeats it under the same operation ID and must report the revision
-// of the first acceptance, not a conflict with itself. A second operator's
-// change that comes between the look and the change must win instead.
+// An operator's change is accepted, but the answer is lost. The command repeats
+// it under the same operation ID and must report the revision of the first
+// acceptance, not a conflict with itself. A second operator's change between
+// the read and the change must win instead.
 func TestContractApplyWithLostAnswerAndRace(t *testing.T) {
-	golden(t, "contract_faults", []step{
+	runGolden(t, "contract_faults", []step{
 		{line: "contract apply granite.json", before: func(f *fakeEntry) { f.loseAnswer = true }},
 		{line: "contract list"},
 		{line: "contract apply granite-larger.json", before: func(f *fakeEntry) { f.race = true }},
@@ -107,7 +107,7 @@
 }
 
 func TestOperationSession(t *testing.T) {
-	golden(t, "operations", []step{
+	runGolden(t, "operations", []step{
 		{line: "instance list", before: func(f *fakeEntry) { f.busy = 2 }},
 		{line: "instance stop instance-1 -wait", before: func(f *fakeEntry) { f.busy = 2 }},
 		{line: "instance resume instance-1"},
@@ -129,7 +129,7 @@
 	ends := func(states ...structs.JobState) func(*fakeEntry) {
 		return func(f *fakeEntry) { f.state = states }
 	}
-	golden(t, "job", []step{
+	runGolden(t, "job", []step{
 		{line: "job submit"},
 		{line: "job submit -kind grade-report -payload broken.json"},
 		{line: "job submit -kind grade-report -payload payload.json -runtime 2h"},
@@ -146,7 +146,7 @@
 	})
 }
 
-// Every command explains itself by example, and no command is without help.
+// Every command has a help text with an example.
 func TestHelp(t *testing.T) {
 	groups := map[string][]spec{
 		"contract": contractCommands, "backend": backendCommands, "instance": instanceCommands,
@@ -167,8 +167,8 @@
 	}
 }
 
-// The server's certificate is signed by nobody that the system trusts: the
-// command must refuse to show it the key, unless it is told whom to trust.
+// The server's certificate is signed by an authority that the system does not
+// trust: the command must not send it the key unless -ca names that authority.
 func TestKeyAndCertificateFiles(t *testing.T) {
 	server := httptest.NewTLSServer(&fakeEntry{})
 	defer server.Close()
--- a/cmd/persimmonrock/contract.go
+++ b/cmd/persimmonrock/contract.go
@@ -100,7 +100,7 @@
 	return c, err
 }
 
-// applied is what "contract apply -json" and "delete -json" print.
+// applied is the output of "contract apply -json" and "delete -json".
 type applied struct {
 	Customer structs.Customer `json:"customer"`
 	Changed  bool             `json:"changed"`
@@ -120,7 +120,7 @@
 	result := applied{Customer: wanted.Customer, Changes: compareContracts(current, wanted), Revision: current.Revision}
 	s.showChanges(result)
 	if dryRun {
-		return s.finish(result)
+		return s.printResult(result)
 	}
 	if len(result.Changes) > 0 {
 		result.Changed = true
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	return s.settle(ctx, result, wait)
+	return s.reportResult(ctx, result, wait)
 }
 
 func deleteContract(ctx context.Context, s *session, customer structs.Customer, wait bool) error {
@@ -143,12 +143,12 @@
 		return err
 	}
 	s.showChanges(result)
-	return s.settle(ctx, result, wait)
+	return s.reportResult(ctx, result, wait)
 }
 
-// settle says where the result's revision is in force, at once or when every
-// process has it.
-func (s *session) settle(ctx context.Context, result applied, wait bool) error {
+// reportResult prints the result and the processes in which its revision is in
+// force. With wait, it first waits until every process has the revision.
+func (s *session) reportResult(ctx context.Context, result applied, wait bool) error {
 	if !s.json {
 		word := "accepted at"
 		if !result.Changed {
@@ -160,7 +160,7 @@
 	if wait {
 		result.InForce, err = s.waitInForce(ctx, result.Revision)
 	} else {
-		result.InForce, err = s.lookInForce(ctx, result.Revision)
+		result.InForce, err = s.readInForce(ctx, result.Revision)
 	}
 	if err != nil {
 		return err
@@ -168,10 +168,10 @@
 	if !s.json {
 		fmt.Fprintln(s.stdout, result.InForce)
 	}
-	return s.finish(result)
+	return s.printResult(result)
 }
 
-func (s *session) finish(result applied) error {
+func (s *session) printResult(result applied) error {
 	if !s.json {
 		return nil
 	}
--- a/cmd/persimmonrock/contract_change.go
+++ b/cmd/persimmonrock/contract_change.go
@@ -10,8 +10,8 @@
 	"persimmonrock.example/structs"
 )
 
-// shownHash is how many digits of a key's hash are shown in a difference.
-const shownHash = 12
+// hashDigits is the number of digits of a key's hash that a difference shows.
+const hashDigits = 12
 
 // change is one line of the difference between two contracts.
 type change struct {
@@ -22,7 +22,7 @@
 
 // compareContracts lists the keys in which the contracts differ.
 func compareContracts(old, wanted structs.Contract) []change {
-	before, after := lines(old), lines(wanted)
+	before, after := contractKeys(old), contractKeys(wanted)
 	out := []change{}
 	for i, c := range after {
 		if old.Customer == "" {
@@ -34,7 +34,7 @@
 	return out
 }
 
-func lines(c structs.Contract) []change {
+func contractKeys(c structs.Contract) []change {
 	return []change{
 		{Key: "latency_target", New: c.LatencyTarget.Std().String()},
 		{Key: "batch_queue", New: fmt.Sprint(c.BatchQueue)},
@@ -49,7 +49,7 @@
 	}
 	var short []string
 	for _, h := range hashes {
-		short = append(short, h[:min(shownHash, len(h))]+"…")
+		short = append(short, h[:min(hashDigits, len(h))]+"…")
 	}
 	return strings.Join(short, ", ")
 }
@@ -68,17 +68,17 @@
 	}
 }
 
-// inForce says how many processes have a revision.
+// inForce counts the processes that have a revision.
 type inForce struct {
 	Revision  structs.Revision `json:"revision"`
 	Processes int              `json:"processes"`
 	Have      int              `json:"have"`
-	// Lacking names the processes that don't have it, or didn't answer.
+	// Lacking names the processes that don't have it or didn't answer.
 	Lacking []string `json:"lacking,omitempty"`
 }
 
-// shownLacking is how many lacking processes are named on one line.
-const shownLacking = 4
+// maxNamedLacking is the number of lacking processes that one line names.
+const maxNamedLacking = 4
 
 // String implements fmt.Stringer.
 func (f *inForce) String() string {
@@ -86,7 +86,7 @@
 	if len(f.Lacking) == 0 {
 		return text
 	}
-	named := f.Lacking[:min(shownLacking, len(f.Lacking))]
+	named := f.Lacking[:min(maxNamedLacking, len(f.Lacking))]
 	text += "; not yet in " + strings.Join(named, ", ")
 	if more := len(f.Lacking) - len(named); more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
@@ -94,7 +94,7 @@
 	return text
 }
 
-func inForceOf(r structs.Revision, c client.Config) *inForce {
+func countInForce(r structs.Revision, c client.Config) *inForce {
 	f := &inForce{Revision: r, Processes: len(c.Processes)}
 	for _, p := range c.Processes {
 		if !p.Unknown && p.Revision >= r {
@@ -106,19 +106,19 @@
 	return f
 }
 
-func (s *session) lookInForce(ctx context.Context, r structs.Revision) (*inForce, error) {
+func (s *session) readInForce(ctx context.Context, r structs.Revision) (*inForce, error) {
 	config, err := s.client.Config(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return inForceOf(r, config), nil
+	return countInForce(r, config), nil
 }
 
 // waitInForce returns when every known process has revision r.
 func (s *session) waitInForce(ctx context.Context, r structs.Revision) (*inForce, error) {
 	var f *inForce
 	err := s.waitFor(ctx, func() (bool, string, error) {
-		seen, err := s.lookInForce(ctx, r)
+		seen, err := s.readInForce(ctx, r)
 		if err != nil {
 			return false, "", err
 		}
@@ -145,6 +145,6 @@
 		rows = append(rows, []string{p.Kind, p.Process, p.Address, revision, p.Age.Std().Round(time.Millisecond).String()})
 	}
 	printTable(s.stdout, []string{"KIND", "PROCESS", "ADDRESS", "REVISION", "AGE"}, rows)
-	fmt.Fprintln(s.stdout, inForceOf(config.Revision, config))
+	fmt.Fprintln(s.stdout, countInForce(config.Revision, config))
 	return nil
 }
--- a/cmd/persimmonrock/counters_test.go
+++ b/cmd/persimmonrock/counters_test.go
@@ -13,8 +13,8 @@
 	"persimmonrock.example/cmd/node"
 )
 
-// An operator looks a counter up in docs/OPERATIONS.md. Every one that an
-// entry or agent shows must stand there.
+// An operator looks a counter up in docs/OPERATIONS.md, so the page must name
+// every counter that an entry or agent shows.
 func TestEveryCounterIsInOperations(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	if err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// counterNames lists the dotted names below v. What agents tell entries, and
-// the rows of the shards, are one thing each.
+// counterNames lists the dotted names below v. The load that agents report to
+// entries and the rows of the shards count as one name each.
 func counterNames(prefix string, v any) []string {
 	inner, ok := v.(map[string]any)
 	if !ok || strings.HasSuffix(prefix, ".load") || strings.HasSuffix(prefix, ".shards") {
--- a/cmd/persimmonrock/dev.go
+++ b/cmd/persimmonrock/dev.go
@@ -27,8 +27,8 @@
 const (
 	// devReadyTimeout bounds the wait for the sample services.
 	devReadyTimeout = 15 * time.Second
-	// devReadyPause is the time between two looks.
-	devReadyPause = 20 * time.Millisecond
+	// devReadyInterval is the time between two attempts.
+	devReadyInterval = 20 * time.Millisecond
 	// devCallTimeout bounds one sample call, which takes milliseconds.
 	devCallTimeout = 500 * time.Millisecond
 )
@@ -58,7 +58,7 @@
 		return exitError
 	}
 	call := func(ctx context.Context) (int, error) { return callSample(ctx, s, key) }
-	if err := awaitAnswered(ctx, s.Serving, call); err != nil && ctx.Err() == nil {
+	if err := waitUntilAnswered(ctx, s.Serving, call); err != nil && ctx.Err() == nil {
 		fmt.Fprintln(stderr, err)
 		return exitError
 	}
@@ -104,24 +104,24 @@
 	return key, nil
 }
 
-// awaitAnswered returns when every instance admits calls and the urgent call
-// that printWelcome shows has been answered.
+// waitUntilAnswered returns when every instance admits calls and the urgent
+// call that printWelcome shows has been answered.
 //
-// Failure guarded against: an agent that starts admits nothing for a while,
-// since calls that an earlier agent admitted may still run; a user who copies
-// the printed line before that is told not-ready, and takes the product to be
-// broken. Instances become ready one after the other, so one answer does not
-// tell that the next call, which may go to another, is answered, too. A call
-// that gets no answer is given up and made again, so that one alone does not
-// keep the user waiting.
-func awaitAnswered(ctx context.Context, serving func() bool, call func(context.Context) (int, error)) error {
+// An agent that starts admits nothing for a while, since calls that an earlier
+// agent admitted may still run; a user who copies the printed line before that
+// gets not-ready and concludes that the product is broken. Instances become
+// ready one after the other, so one answer does not show that the next call,
+// which may go to another instance, is answered, too. A call without an answer
+// is cancelled and repeated, so that the user does not wait for that call
+// alone.
+func waitUntilAnswered(ctx context.Context, serving func() bool, call func(context.Context) (int, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	var last error
 	for {
 		if serving() {
-			one, stop := context.WithTimeout(bounded, devCallTimeout)
-			status, err := call(one)
+			callCtx, stop := context.WithTimeout(bounded, devCallTimeout)
+			status, err := call(callCtx)
 			stop()
 			if err == nil && status == http.StatusOK {
 				return nil
@@ -131,7 +131,7 @@
 		select {
 		case <-bounded.Done():
 			return fmt.Errorf("the sample services don't answer within %v: %w", devReadyTimeout, errors.Join(last, bounded.Err()))
-		case <-time.After(devReadyPause):
+		case <-time.After(devReadyInterval):
 		}
 	}
 }
--- a/cmd/persimmonrock/dev_test.go
+++ b/cmd/persimmonrock/dev_test.go
@@ -30,24 +30,25 @@
 	return o.text.String()
 }
 
-// devWithin is how soon after its start `dev` has to print its welcome.
-const devWithin = 3 * time.Second
+// maxDevStart is the maximum time from the start of `dev` to its welcome.
+const maxDevStart = 3 * time.Second
 
-// awaitOutput waits until o holds want, for as long as this process has run for
-// at most limit, and returns for how long it did. Where the loop itself stood
-// still for longer than a tenth of a second the process, and with it what it
-// tests, did not run: on a busy machine it has not for 2.8 s at a time.
+// awaitOutput waits until o contains want, for at most limit of this process's
+// running time, and returns that time. A step of the loop that takes longer
+// than a tenth of a second is not counted: the process, and with it the tested
+// code, did not run. On a busy machine it stood still for up to 2.8 s at a
+// time.
 func awaitOutput(t *testing.T, o *output, want string, limit time.Duration) time.Duration {
 	t.Helper()
-	const look, still = 5 * time.Millisecond, 100 * time.Millisecond
+	const pollDelay, maxStep = 5 * time.Millisecond, 100 * time.Millisecond
 	ran, last := time.Duration(0), time.Now()
 	for !strings.Contains(o.String(), want) {
 		if ran > limit {
 			t.Fatalf("nothing printed after this process has run for %v", ran)
 		}
-		time.Sleep(look)
+		time.Sleep(pollDelay)
 		now := time.Now()
-		if step := now.Sub(last); step < still {
+		if step := now.Sub(last); step < maxStep {
 			ran += step
 		}
 		last = now
@@ -58,10 +59,10 @@
 // urgentLine finds the key and the address in the printed urgent call.
 var urgentLine = regexp.MustCompile(`(?s)An urgent call:\s+curl -s -H 'Authorization: (Bearer \S+)' -d '(\S+)' (\S+)`)
 
-// A new user copies the first line that dev prints. The line was printed
-// while the sample agents did not serve yet, and for its first two seconds it
-// was answered with 503 not-ready: the product seemed not to work.
-func TestDevPrintsALineThatIsAnswered(t *testing.T) {
+// A new user copies the first call that dev prints. If dev prints it before the
+// sample agents serve, it is answered with 503 not-ready for the first two
+// seconds.
+func TestDevPrintsCallThatIsAnswered(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var stdout, stderr output
 	ended := make(chan int, 1)
@@ -73,23 +74,22 @@
 			t.Errorf("status %d: %s", status, stderr.String())
 		}
 	}()
-	ran := awaitOutput(t, &stdout, "Ctrl-C", devWithin)
+	ran := awaitOutput(t, &stdout, "Ctrl-C", maxDevStart)
 	t.Logf("printed after %v, of which this process ran %v", time.Since(began), ran)
 	found := urgentLine.FindStringSubmatch(stdout.String())
 	if found == nil {
 		t.Fatalf("no urgent call in:\n%s", stdout.String())
 	}
-	// Calls go to any of three instances; ten ask each of them, but for one
-	// start in twenty.
+	// Calls go to any of three instances; ten calls reach each of them, except
+	// in one start in twenty.
 	for range 10 {
-		copyLine(t, found[1], found[2], found[3])
+		makePrintedCall(t, found[1], found[2], found[3])
 	}
 }
 
-// The first sample call gets no answer, for whatever reason. The user saw
-// nothing printed until the call's deadline, though the next would have been
-// answered at once.
-func TestDevDoesNotWaitForOneCall(t *testing.T) {
+// The first sample call gets no answer. dev must repeat the call instead of
+// waiting for its deadline, since the next call is answered at once.
+func TestDevRetriesUnansweredCall(t *testing.T) {
 	calls := 0
 	call := func(ctx context.Context) (int, error) {
 		calls++
@@ -100,16 +100,16 @@
 		return http.StatusOK, nil
 	}
 	begun := time.Now()
-	if err := awaitAnswered(t.Context(), func() bool { return true }, call); err != nil {
+	if err := waitUntilAnswered(t.Context(), func() bool { return true }, call); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(begun); took > devWithin {
+	if took := time.Since(begun); took > maxDevStart {
 		t.Errorf("%d calls took %v", calls, took)
 	}
 }
 
-// copyLine makes the printed call as a user would.
-func copyLine(t *testing.T, authorization, body, url string) {
+// makePrintedCall makes the printed call as a user would.
+func makePrintedCall(t *testing.T, authorization, body, url string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
--- a/cmd/persimmonrock/drains.go
+++ b/cmd/persimmonrock/drains.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// figuresTimeout bounds the question to one entry.
-	figuresTimeout = 2 * time.Second
-	// figuresBytes bounds its answer.
-	figuresBytes = 4 << 20
+	// metricsTimeout bounds the request to one entry.
+	metricsTimeout = 2 * time.Second
+	// maxMetrics bounds its answer in bytes.
+	maxMetrics = 4 << 20
 )
 
 var drainsCommand = spec{
@@ -34,8 +34,8 @@
 	define: func(*flag.FlagSet) action { return showDrains },
 }
 
-// figures is the part of an entry's metrics that tells of drains.
-type figures struct {
+// drainMetrics is the part of an entry's metrics that describes drains.
+type drainMetrics struct {
 	Scheduler struct {
 		Agents int                           `json:"agents"`
 		Drains []scheduler.DrainedDataCentre `json:"drains"`
@@ -44,7 +44,7 @@
 
 func showDrains(ctx context.Context, s *session, addresses []string) error {
 	for _, address := range addresses {
-		f, err := readFigures(ctx, address)
+		f, err := readMetrics(ctx, address)
 		if err != nil {
 			fmt.Fprintln(s.stderr, err)
 			continue
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// readFigures asks one entry.
-func readFigures(ctx context.Context, address string) (figures, error) {
-	ctx, cancel := context.WithTimeout(ctx, figuresTimeout)
+// readMetrics reads the metrics of one entry.
+func readMetrics(ctx context.Context, address string) (drainMetrics, error) {
+	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
 	}
-	var f figures
+	var f drainMetrics
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/debug/vars", nil)
 	if err != nil {
 		return f, eris.Wrapf(err, "metrics of %s", address)
@@ -92,6 +92,6 @@
 	if answer.StatusCode != http.StatusOK {
 		return f, eris.Errorf("metrics of %s: status %d", address, answer.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, figuresBytes)).Decode(&f)
+	err = json.NewDecoder(io.LimitReader(answer.Body, maxMetrics)).Decode(&f)
 	return f, eris.Wrapf(err, "metrics of %s", address)
 }
--- a/cmd/persimmonrock/drains_test.go
+++ b/cmd/persimmonrock/drains_test.go
@@ -9,8 +9,9 @@
 )
 
 // An operator asks several entries, of which one is down and one does not
-// schedule, and is told what the one that schedules knows.
-func TestDrainsAreToldByTheEntryThatSchedules(t *testing.T) {
+// schedule. The command must print the drains that the scheduling entry
+// reports.
+func TestDrainsComeFromSchedulingEntry(t *testing.T) {
 	serve := func(text string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }))
 		t.Cleanup(s.Close)
--- a/cmd/persimmonrock/explain.go
+++ b/cmd/persimmonrock/explain.go
@@ -20,7 +20,7 @@
 )
 
 // explainCommand reads the log files of all processes, since an engineer who
-// asks what became of a job has nothing else.
+// traces a job has no other source.
 func explainCommand() command {
 	return command{"explain", "print the story of a job from the log files of all processes", runExplain}
 }
@@ -55,7 +55,7 @@
 		flags.Usage()
 		return exitUsage
 	}
-	lines, gaps, err := readStory(flags.Arg(0), flags.Args()[1:])
+	lines, gaps, err := readHistory(flags.Arg(0), flags.Args()[1:])
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitError
@@ -72,7 +72,7 @@
 	return exitOK
 }
 
-// printGaps tells of lines that processes left out: the story may lack some.
+// printGaps lists the lines that report gaps: the history may lack some lines.
 func printGaps(w io.Writer, gaps []*logLine) {
 	if len(gaps) == 0 {
 		return
@@ -83,10 +83,10 @@
 	}
 }
 
-// runSummary prints where the time of jobs went.
+// runSummary prints how the time of jobs was spent.
 func runSummary(files []string, stdout, stderr io.Writer) int {
 	var all breakdown.Log
-	err := eachLog(files, all.Read)
+	err := readLogs(files, all.Read)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitError
@@ -99,8 +99,8 @@
 	return exitOK
 }
 
-// eachLog reads the files, or standard input if there are none.
-func eachLog(files []string, read func(io.Reader) error) error {
+// readLogs reads the files, or standard input if there are none.
+func readLogs(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return eris.Wrap(read(os.Stdin), "standard input")
 	}
@@ -121,8 +121,9 @@
 // logLine is one structured line.
 type logLine struct {
 	stamp logtime.Stamp
-	// at is where the line stands among those of all processes, in milliseconds;
-	// uncertain says that only its wall clock tells.
+	// at is the line's position in time among the lines of all processes, in
+	// milliseconds; uncertain marks a position that is known from the wall
+	// clock only.
 	at        float64
 	uncertain bool
 	Process   string `json:"process"`
@@ -136,8 +137,8 @@
 	fields     map[string]any
 }
 
-// about reports whether the line is about id: a job, or a task or run of it.
-func (l *logLine) about(id string) bool {
+// mentions reports whether the line is about id: a job, or a task or run of it.
+func (l *logLine) mentions(id string) bool {
 	if l.Job == id || isPartOf(l.Run, id) {
 		return true
 	}
@@ -155,10 +156,10 @@
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '#')
 }
 
-// gap reports whether the line tells that others are missing.
-func (l *logLine) gap() bool { return l.Message == logs.MessageLeftOut }
+// isGap reports whether the line says that others were left out.
+func (l *logLine) isGap() bool { return l.Message == logs.MessageLeftOut }
 
-// String gives the line as a person reads it.
+// String returns the line in a form for people.
 func (l *logLine) String() string {
 	var names []string
 	for name := range l.fields {
@@ -180,47 +181,47 @@
 	return text
 }
 
-// readStory returns the lines about id, and those that tell of gaps while it
-// lived, in the order of time.
-func readStory(id string, files []string) (lines, gaps []*logLine, err error) {
+// readHistory returns the lines about id, and those that report gaps during its
+// time, in the order of time.
+func readHistory(id string, files []string) (lines, gaps []*logLine, err error) {
 	var clocks logtime.Log
-	if err := eachLog(files, func(r io.Reader) error { return scanLog(r, id, &clocks, &lines, &gaps) }); err != nil {
+	if err := readLogs(files, func(r io.Reader) error { return scanLog(r, id, &clocks, &lines, &gaps) }); err != nil {
 		return nil, nil, err
 	}
 	axis := clocks.Axis()
 	for _, l := range slices.Concat(lines, gaps) {
 		l.at, l.uncertain = axis.Time(l.stamp), axis.Uncertain(l.stamp)
 	}
-	lines = sorted(lines)
+	lines = sortByTime(lines)
 	if len(lines) > 0 {
-		first, last := lines[0].at, lines[len(lines)-1].at+float64(gapLag.Milliseconds())
+		first, last := lines[0].at, lines[len(lines)-1].at+float64(maxGapDelay.Milliseconds())
 		gaps = slices.DeleteFunc(gaps, func(l *logLine) bool { return l.at < first || l.at > last })
 	}
-	return lines, sorted(gaps), nil
+	return lines, sortByTime(gaps), nil
 }
 
-// gapLag is how much later than the lines that are missing a process may tell
-// of them.
-const gapLag = 2 * time.Second
+// maxGapDelay is the maximum time after which a process reports the lines that
+// it left out.
+const maxGapDelay = 2 * time.Second
 
-func sorted(lines []*logLine) []*logLine {
+func sortByTime(lines []*logLine) []*logLine {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at < lines[j].at })
 	return lines
 }
 
-// scanLog adds the lines about id, and those that tell of gaps.
+// scanLog adds the lines about id, and those that report gaps.
 func scanLog(r io.Reader, id string, clocks *logtime.Log, lines, gaps *[]*logLine) error {
 	return logs.EachObject(r, func(object []byte) {
 		var l logLine
 		stamp, ok := clocks.Read(object)
 		l.stamp = stamp
-		if !ok || json.Unmarshal(object, &l) != nil || !l.gap() && !l.about(id) {
+		if !ok || json.Unmarshal(object, &l) != nil || !l.isGap() && !l.mentions(id) {
 			return
 		}
 		if json.Unmarshal(object, &l.fields) != nil {
 			return
 		}
-		if l.gap() {
+		if l.isGap() {
 			*gaps = append(*gaps, &l)
 			return
 		}
--- a/cmd/persimmonrock/explain_test.go
+++ b/cmd/persimmonrock/explain_test.go
@@ -18,7 +18,7 @@
 {"level":"info","process":"agent-1","run":"5c0e7a21d94b36f8.0.0.12#1","cpu":500,"time":1026,"message":"start"}
 `
 
-func TestExplainTellsTheStoryOfOneJob(t *testing.T) {
+func TestExplainPrintsHistoryOfJob(t *testing.T) {
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log")
 	for name, text := range map[string]string{a: entryLog, b: agentLog} {
@@ -57,10 +57,10 @@
 	}
 }
 
-// On hundreds of workers a line tells of all placements of a step in a plan,
-// and a process that would write too many lines says which it left out. Asked
-// for one task of the step, the command finds its placement, and it warns that
-// the story may lack lines.
+// On hundreds of workers one line lists all placements of a step in a plan, and
+// a process that would write too many lines reports the number that it left
+// out. For one task of the step, the command must find its placement and warn
+// that lines may be missing.
 func TestExplainReadsStepsAndGaps(t *testing.T) {
 	const text = `{"process":"entry-1","job":"5c0e7a21d94b36f8","occurrence":0,"step":1,"placements":["0#1@w-1","17#2@w-2"],"time":1020,"message":"placed"}
 {"process":"entry-1","lines":3,"kinds":{"placed":3},"time":1500,"message":"lines left out"}
--- a/cmd/persimmonrock/fake_test.go
+++ b/cmd/persimmonrock/fake_test.go
@@ -25,12 +25,13 @@
 	contracts map[string]structs.Contract
 	accepted  map[string]structs.Revision
 	revision  structs.Revision
-	// behind counts the looks at which agent-2 still has the old revision.
+	// behind counts the reads for which the agent of instance-2 still has the
+	// old revision.
 	behind int
-	// busy counts the looks at which an instance still has work.
+	// busy counts the reads for which an instance still has work.
 	busy  int
 	state []structs.JobState
-	// loseAnswer cuts the connection after the next change took effect.
+	// loseAnswer closes the connection after the next change took effect.
 	loseAnswer bool
 	// race changes the contract before the next change.
 	race bool
@@ -195,6 +196,6 @@
 func answerJSON(w http.ResponseWriter, v any) { json.NewEncoder(w).Encode(v) }
 
 func TestMain(m *testing.M) {
-	pollEvery = time.Millisecond
+	pollInterval = time.Millisecond
 	m.Run()
 }
--- a/cmd/persimmonrock/instance.go
+++ b/cmd/persimmonrock/instance.go
@@ -90,18 +90,18 @@
 
 // waitIdle returns when the stopping instance is idle. It repeats the request
 // to stop instead of reading the list: the answer then comes from the agent
-// itself, and an agent that was replaced in between is told too.
+// itself, and an agent that has replaced the former one is stopped, too.
 func (s *session) waitIdle(ctx context.Context, id structs.InstanceID, got client.Instance) (client.Instance, error) {
 	err := s.waitFor(ctx, func() (bool, string, error) {
 		if idle(got) {
 			return true, fmt.Sprintf("%s: nothing runs any more", id), nil
 		}
-		saw := fmt.Sprintf("%s: %d urgent calls and %d batch tasks still run", id, got.Urgent, got.Batch)
+		status := fmt.Sprintf("%s: %d urgent calls and %d batch tasks still run", id, got.Urgent, got.Batch)
 		next, err := s.client.Stop(ctx, id)
 		if err == nil {
 			got = next
 		}
-		return false, saw, err
+		return false, status, err
 	})
 	return got, err
 }
--- a/cmd/persimmonrock/main.go
+++ b/cmd/persimmonrock/main.go
@@ -1,4 +1,4 @@
-// Command persimmonrock runs entries and carries the operators' commands.
+// Command persimmonrock runs entries and the operators' commands.
 package main
 
 import (
--- a/cmd/persimmonrock/session.go
+++ b/cmd/persimmonrock/session.go
@@ -37,12 +37,12 @@
 	name    string
 	summary string
 	// arguments names the positional arguments; a last one that ends in "..."
-	// takes any number above none.
+	// stands for one or more.
 	arguments []string
 	example   string
-	// local says that the command talks to no entry.
+	// local marks a command that connects to no entry.
 	local bool
-	// define declares the command's own flags and returns what it runs.
+	// define declares the command's own flags and returns its action.
 	define func(*flag.FlagSet) action
 }
 
@@ -96,7 +96,7 @@
 		defer stop()
 		err = do(bounded, s, given)
 	}
-	return report(stderr, words, err)
+	return reportError(stderr, words, err)
 }
 
 // parseMixed lets flags stand after arguments, as in "job wait ID -json".
@@ -119,8 +119,8 @@
 
 func (p spec) checkArguments(given []string) error {
 	n := len(p.arguments)
-	open := n > 0 && strings.HasSuffix(p.arguments[n-1], "...")
-	if len(given) == n || open && len(given) > n {
+	variadic := n > 0 && strings.HasSuffix(p.arguments[n-1], "...")
+	if len(given) == n || variadic && len(given) > n {
 		return nil
 	}
 	want := "no argument"
@@ -146,7 +146,7 @@
 	return b.String()
 }
 
-// commonFlags are the flags of every command that talks to an entry.
+// commonFlags are the flags of every command that connects to an entry.
 type commonFlags struct {
 	server  *string
 	ca      *string
@@ -194,7 +194,8 @@
 	return client.New(server, key, transport), nil
 }
 
-// transportFor trusts the certificates in the file ca, or the system's for "".
+// transportFor returns a transport that trusts the certificates in the file ca,
+// or the system's for "".
 func transportFor(ca string) (http.RoundTripper, error) {
 	if ca == "" {
 		return http.DefaultTransport, nil
@@ -212,9 +213,9 @@
 	return transport, nil
 }
 
-// report prints err, if any, and returns the exit status: 2 for a wrong
+// reportError prints err, if any, and returns the exit status: 2 for a wrong
 // command line or file, 1 for everything else.
-func report(w io.Writer, words string, err error) int {
+func reportError(w io.Writer, words string, err error) int {
 	var refused *structs.Refusal
 	var file *settings.Error
 	switch {
@@ -227,15 +228,16 @@
 		fmt.Fprintln(w, file)
 		return exitUsage
 	case errors.As(err, &refused):
-		fmt.Fprintf(w, "%s: %s\n", words, describe(refused))
+		fmt.Fprintf(w, "%s: %s\n", words, refusalText(refused))
 	default:
 		fmt.Fprintf(w, "%s: %s\n", words, eris.ToString(err, false))
 	}
 	return exitError
 }
 
-// describe says what became of a refused request and whether to come back.
-func describe(r *structs.Refusal) string {
+// refusalText describes the outcome of a refused request and whether a repeat
+// helps.
+func refusalText(r *structs.Refusal) string {
 	text := fmt.Sprintf("refused (%s): %s", r.Type, r.Detail)
 	if r.Outcome == structs.NotRun {
 		text += "\nNothing was done."
--- a/cmd/persimmonrock/settings.go
+++ b/cmd/persimmonrock/settings.go
@@ -37,7 +37,7 @@
 
 func checkSettings(s *session, kind, path string) error {
 	if kind == "" {
-		kind = kindOf(path)
+		kind = detectKind(path)
 	}
 	var err error
 	switch kind {
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// kindOf tells by a key that only agents have. A file that can't be read is
-// left to the check.
-func kindOf(path string) string {
+// detectKind recognises the settings of an agent by a key that only agents
+// have. A file that can't be read is reported by the check.
+func detectKind(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return kindEntry
--- a/cmd/persimmonrock/table.go
+++ b/cmd/persimmonrock/table.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// lineWidth is the greatest width of a printed table in characters.
+	// lineWidth is the maximum width of a printed table in characters.
 	lineWidth = 100
 	columnGap = "  "
 )
 
-// printTable writes rows under a header. The widest columns are cut, with a
-// mark, until a line fits lineWidth.
+// printTable writes rows under a header. The widest columns are truncated, with
+// a mark, until a line fits lineWidth.
 func printTable(w io.Writer, header []string, rows [][]string) {
 	all := append([][]string{header}, rows...)
 	widths := make([]int, len(header))
@@ -26,7 +26,7 @@
 	for _, row := range all {
 		var line strings.Builder
 		for i, cell := range row {
-			cell = cutText(cell, widths[i])
+			cell = truncate(cell, widths[i])
 			line.WriteString(cell)
 			line.WriteString(strings.Repeat(" ", widths[i]-utf8.RuneCountInString(cell)))
 			line.WriteString(columnGap)
@@ -35,7 +35,7 @@
 	}
 }
 
-// fitWidths takes characters from the widest column until the line fits.
+// fitWidths shortens the widest column until the line fits.
 func fitWidths(widths []int) {
 	total := len(columnGap) * (len(widths) - 1)
 	for _, width := range widths {
@@ -52,7 +52,7 @@
 	}
 }
 
-func cutText(s string, width int) string {
+func truncate(s string, width int) string {
 	if utf8.RuneCountInString(s) <= width {
 		return s
 	}
--- a/cmd/persimmonrock/timeline.go
+++ b/cmd/persimmonrock/timeline.go
@@ -67,8 +67,8 @@
 	return 0, d, nil
 }
 
-// newest keeps the events of the last while before the newest one. It goes by
-// the wall clocks, so it is only as exact as those are.
+// newest returns the events of the given time before the newest one. It
+// compares wall clocks, so its result is only as exact as they are.
 func newest(list []structs.Event, last time.Duration) []structs.Event {
 	if last == 0 || len(list) == 0 {
 		return list
--- a/cmd/persimmonrock/version.go
+++ b/cmd/persimmonrock/version.go
@@ -14,7 +14,7 @@
 	define:  func(*flag.FlagSet) action { return printVersion },
 }
 
-// version is what is known of the binary.
+// version describes the binary.
 type version struct {
 	Version  string `json:"version"`
 	Commit   string `json:"commit,omitempty"`
--- a/cmd/persimmonrock/wait.go
+++ b/cmd/persimmonrock/wait.go
@@ -11,12 +11,12 @@
 	"persimmonrock.example/structs"
 )
 
-// pollEvery is the pause between two looks of a waiting command. Tests
+// pollInterval is the time between two polls of a waiting command. Tests
 // shorten it.
-var pollEvery = 500 * time.Millisecond
+var pollInterval = 500 * time.Millisecond
 
-// progress shows on one line what a command waits for. A terminal's line is
-// written over; elsewhere each change gives a line.
+// progress shows on one line the state that a command waits for. On a terminal
+// the line is overwritten; elsewhere each change is printed as a line.
 type progress struct {
 	w        io.Writer
 	terminal bool
@@ -38,37 +38,37 @@
 	}
 	p.last = text
 	if p.terminal {
-		fmt.Fprintf(p.w, "\r\x1b[K%s", cutText(text, lineWidth))
+		fmt.Fprintf(p.w, "\r\x1b[K%s", truncate(text, lineWidth))
 		return
 	}
 	fmt.Fprintln(p.w, text)
 }
 
-// end leaves the line so that what follows begins a new one.
-func (p *progress) end() {
+// endLine ends the line, so that the next output begins a new one.
+func (p *progress) endLine() {
 	if p.terminal && p.last != "" {
 		fmt.Fprintln(p.w)
 	}
 }
 
-// waitFor calls look until it says done. look also says what it saw. A failed
-// look doesn't end the wait, unless asking again can't help: entries are
-// replaced at any time, and the next one answers.
-func (s *session) waitFor(ctx context.Context, look func() (done bool, saw string, err error)) error {
+// waitFor calls poll until it returns done; status describes the state that
+// poll observed. A failed poll doesn't end the wait unless the error is
+// permanent: entries are replaced at any time, and the next one answers.
+func (s *session) waitFor(ctx context.Context, poll func() (done bool, status string, err error)) error {
 	p := newProgress(s.stderr)
-	defer p.end()
+	defer p.endLine()
 	for {
-		done, saw, err := look()
+		done, status, err := poll()
 		if ctx.Err() != nil {
 			return fmt.Errorf("gave up waiting (%w); last seen: %s", ctx.Err(), p.last)
 		}
 		switch {
-		case err != nil && final(err):
+		case err != nil && permanent(err):
 			return err
 		case err != nil:
 			p.show(fmt.Sprintf("no answer, asking again: %v", err))
 		default:
-			p.show(saw)
+			p.show(status)
 		}
 		if done && err == nil {
 			return nil
@@ -76,13 +76,13 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("gave up waiting (%w); last seen: %s", ctx.Err(), p.last)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// final reports whether err is a refusal that stays the same when asked again.
-func final(err error) bool {
+// permanent reports whether err is a refusal that a repeat can't change.
+func permanent(err error) bool {
 	var refused *structs.Refusal
 	return errors.As(err, &refused) && refused.Status >= 400 && refused.Status < 500 && refused.RetryAfter == 0
 }
