--- a/cmd/machine/common.go
+++ b/cmd/machine/common.go
@@ -1,5 +1,5 @@
 // Package machine runs the entry and the agent on the users' machines: it
-// connects the platform adapter with the product.
+// connects both to the clients of the users' platform.
 package machine
 
 import (
@@ -41,11 +41,11 @@
 	logsPerSecond = 1000
 	// logPoll is the interval at which buffered lines are written.
 	logPoll = 20 * time.Millisecond
-	// startDigits is the length of the random ID that distinguishes the starts
-	// of a process in its log lines.
+	// startDigits is the length of the random ID that identifies one start of a
+	// process in its log lines.
 	startDigits = 8
-	// memoryShare is the part of the memory limit that the Go runtime's own
-	// limit is set to; the rest is for stacks and for memory that the kernel
+	// memoryShare is the Go runtime's memory limit as a fraction of the
+	// process's limit; the rest is for stacks and for memory that the kernel
 	// counts.
 	memoryShare = 0.75
 	// headerTimeout bounds the reading of a call's header.
@@ -126,8 +126,8 @@
 // file names it, too.
 const metricsPort = 9464
 
-// serveMetrics serves the counters of a process. They aren't needed for its
-// work, so a port that can't be opened is only logged.
+// serveMetrics serves the counters of a process. The process works without
+// them, so a failure to open the port is only logged.
 func (p *program) serveMetrics(figures map[string]func() any) {
 	vars := serve.NewVars()
 	vars.Func("log_lines_skipped", func() any { return p.limit.Skipped() })
@@ -166,8 +166,8 @@
 	p.log.Info().Bool("changed", s != p.settings).Msg("settings reloaded")
 }
 
-// bootTimeHook adds the boot-time clock to each line, in microseconds: the wall
-// clock may jump, and the lines of one process are ordered by this value.
+// bootTimeHook adds the boot-time clock to each line, in microseconds. This
+// value orders the lines of one process, since the wall clock may jump.
 type bootTimeHook struct{}
 
 // Run implements zerolog.Hook.
--- a/cmd/machine/docs_test.go
+++ b/cmd/machine/docs_test.go
@@ -38,8 +38,8 @@
 	return names
 }
 
-// documented returns the counters in the page's table: in each row the first
-// name has its prefix, and the others share it.
+// documented returns the counters that the page's tables name under the
+// prefixes. Only the first name in a row is written with its prefix.
 func documented(t *testing.T, prefixes ...string) []string {
 	t.Helper()
 	page, err := os.ReadFile(operations)
@@ -73,9 +73,9 @@
 	return intake.NewFollower(nil, intake.ConfigSource{}, zerolog.Nop(), clock)
 }
 
-// Guards against a page that lacks a counter or names a removed one: the table
-// of docs/OPERATIONS.md names each counter that an entry or an agent shows, and
-// no other.
+// Guards against a page that lacks a counter or names a removed one. The table
+// of docs/OPERATIONS.md must name each counter that an entry or an agent shows,
+// and no other.
 func TestPageNamesEachCounter(t *testing.T) {
 	var shown []string
 	shown = append(shown, keys(t, "intake", (&intake.Counters{}).Figures())...)
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -23,15 +23,16 @@
 )
 
 const (
-	// grantShare is the part of the longest lease that a scheduler grants.
+	// grantShare is the fraction of the maximum lease that a scheduler grants.
 	grantShare = 0.6
 	// lingerAfterStop is the time for which a stopping entry serves calls on
-	// open connections, while the balancer detects that it is not ready.
+	// open connections, while the balancer detects that the entry is not ready.
 	lingerAfterStop = 1200 * time.Millisecond
 	// configTimeout bounds the wait for the store in one attempt to read the
 	// operator's rows. Further attempts run at the same time.
 	configTimeout = 10 * time.Second
-	// stopReserve is the part of the grace period that is kept before the kill.
+	// stopReserve is the last part of the grace period, left free before the
+	// process is killed.
 	stopReserve = 700 * time.Millisecond
 )
 
@@ -89,8 +90,8 @@
 		"store":        func() any { return map[string]int64{"calls": direct.Calls(), "relayed": relayed.Relayed()} },
 	})
 	p.log.Info().Str("clients", p.settings.ClientListen).Str("peers", p.peerAddress()).Msg("entry started")
-	// The configuration is still read while open calls are answered after a
-	// stop.
+	// Relaying and reading of the configuration continue after a stop, while
+	// open calls are answered.
 	go relayed.Run(context.WithoutCancel(ctx), p.settings.Node)
 	go config.Run(context.WithoutCancel(ctx))
 	elector.Run(ctx)
