--- a/cmd/persimmonrock/access_test.go
+++ b/cmd/persimmonrock/access_test.go
@@ -88,7 +88,7 @@
 	return job
 }
 
-// An operator retires one service of an instance. Calls of it must go
+// An operator retires one service of an instance. Calls of that service must go
 // elsewhere, and the instance's other services must stay in use: an agent that
 // retired the whole instance would evict all its batch tasks.
 func TestRetireTakesOneServiceOutOfUse(t *testing.T) {
@@ -123,9 +123,8 @@
 	}
 }
 
-// Requests without a key, with a wrong one or with another customer's are sent
-// to every path. Every path must refuse them, and no answer may reveal whether
-// a job exists.
+// Every path must refuse requests without a key, with a wrong key and with
+// another customer's key. No answer may reveal whether a job exists.
 func TestEveryPathRequiresItsKey(t *testing.T) {
 	running, err := node.StartSample(zerolog.Nop())
 	if err != nil {
--- a/cmd/persimmonrock/commands.go
+++ b/cmd/persimmonrock/commands.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// group makes one command of several that share their first word.
+// group returns a command that runs one of members, named by its next word.
 func group(name, summary string, members []spec) command {
 	return command{name, summary, func(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 		var list []command
--- a/cmd/persimmonrock/commands_test.go
+++ b/cmd/persimmonrock/commands_test.go
@@ -94,9 +94,9 @@
 }
 
 // An operator's change is accepted, but the answer is lost. The command repeats
-// it under the same operation ID and must report the revision of the first
-// acceptance, not a conflict with itself. A second operator's change between
-// the read and the change must win instead.
+// the change under the same operation ID and must report the revision of the
+// first acceptance, not a conflict with itself. Another operator's change
+// between the command's read and write must win instead.
 func TestContractApplyWithLostAnswerAndRace(t *testing.T) {
 	runGolden(t, "contract_faults", []step{
 		{line: "contract apply granite.json", before: func(f *fakeEntry) { f.loseAnswer = true }},
@@ -146,7 +146,7 @@
 	})
 }
 
-// Every command has a help text with an example.
+// The help text of a command must contain an example.
 func TestHelp(t *testing.T) {
 	groups := map[string][]spec{
 		"contract": contractCommands, "backend": backendCommands, "instance": instanceCommands,
@@ -168,7 +168,7 @@
 }
 
 // The server's certificate is signed by an authority that the system does not
-// trust: the command must not send it the key unless -ca names that authority.
+// trust. The command may send it the key only if -ca names that authority.
 func TestKeyAndCertificateFiles(t *testing.T) {
 	server := httptest.NewTLSServer(&fakeEntry{})
 	defer server.Close()
--- a/cmd/persimmonrock/contract.go
+++ b/cmd/persimmonrock/contract.go
@@ -146,8 +146,8 @@
 	return s.reportResult(ctx, result, wait)
 }
 
-// reportResult prints the result and the processes in which its revision is in
-// force. With wait, it first waits until every process has the revision.
+// reportResult prints the result and then the number of processes in which its
+// revision is in force; with wait, once every process has the revision.
 func (s *session) reportResult(ctx context.Context, result applied, wait bool) error {
 	if !s.json {
 		word := "accepted at"
--- a/cmd/persimmonrock/contract_change.go
+++ b/cmd/persimmonrock/contract_change.go
@@ -73,11 +73,12 @@
 	Revision  structs.Revision `json:"revision"`
 	Processes int              `json:"processes"`
 	Have      int              `json:"have"`
-	// Lacking names the processes that don't have it or didn't answer.
+	// Lacking names the processes that don't have the revision or didn't
+	// answer.
 	Lacking []string `json:"lacking,omitempty"`
 }
 
-// maxNamedLacking is the number of lacking processes that one line names.
+// maxNamedLacking is the maximum number of lacking processes on one line.
 const maxNamedLacking = 4
 
 // String implements fmt.Stringer.
--- a/cmd/persimmonrock/dev.go
+++ b/cmd/persimmonrock/dev.go
@@ -27,7 +27,7 @@
 const (
 	// devReadyTimeout bounds the wait for the sample services.
 	devReadyTimeout = 15 * time.Second
-	// devReadyInterval is the time between two attempts.
+	// devReadyInterval is the time between two checks of the sample services.
 	devReadyInterval = 20 * time.Millisecond
 	// devCallTimeout bounds one sample call, which takes milliseconds.
 	devCallTimeout = 500 * time.Millisecond
@@ -107,13 +107,12 @@
 // waitUntilAnswered returns when every instance admits calls and the urgent
 // call that printWelcome shows has been answered.
 //
-// An agent that starts admits nothing for a while, since calls that an earlier
-// agent admitted may still run; a user who copies the printed line before that
+// A starting agent admits no calls for a while, since calls that an earlier
+// agent admitted may still run. A user who copies the printed call too early
 // gets not-ready and concludes that the product is broken. Instances become
-// ready one after the other, so one answer does not show that the next call,
-// which may go to another instance, is answered, too. A call without an answer
-// is cancelled and repeated, so that the user does not wait for that call
-// alone.
+// ready one after the other, and the next call may go to another instance, so
+// one answer is not enough. An unanswered call is cancelled and repeated, since
+// the next one may be answered at once.
 func waitUntilAnswered(ctx context.Context, serving func() bool, call func(context.Context) (int, error)) error {
 	bounded, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
--- a/cmd/persimmonrock/dev_test.go
+++ b/cmd/persimmonrock/dev_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// output collects what a command prints while it still runs.
+// output collects the output of a running command.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -35,8 +35,8 @@
 
 // awaitOutput waits until o contains want, for at most limit of this process's
 // running time, and returns that time. A step of the loop that takes longer
-// than a tenth of a second is not counted: the process, and with it the tested
-// code, did not run. On a busy machine it stood still for up to 2.8 s at a
+// than a tenth of a second is not counted, since neither the process nor the
+// tested code ran meanwhile. On a busy machine they pause for up to 2.8 s at a
 // time.
 func awaitOutput(t *testing.T, o *output, want string, limit time.Duration) time.Duration {
 	t.Helper()
@@ -59,8 +59,8 @@
 // urgentLine finds the key and the address in the printed urgent call.
 var urgentLine = regexp.MustCompile(`(?s)An urgent call:\s+curl -s -H 'Authorization: (Bearer \S+)' -d '(\S+)' (\S+)`)
 
-// A new user copies the first call that dev prints. If dev prints it before the
-// sample agents serve, it is answered with 503 not-ready for the first two
+// A new user copies the first call that dev prints. If dev prints the call
+// before the sample agents serve, the user gets 503 not-ready for the first two
 // seconds.
 func TestDevPrintsCallThatIsAnswered(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,15 +80,15 @@
 	if found == nil {
 		t.Fatalf("no urgent call in:\n%s", stdout.String())
 	}
-	// Calls go to any of three instances; ten calls reach each of them, except
-	// in one start in twenty.
+	// Calls go to any of three instances. Ten calls reach all three, except in
+	// one start in twenty.
 	for range 10 {
 		makePrintedCall(t, found[1], found[2], found[3])
 	}
 }
 
-// The first sample call gets no answer. dev must repeat the call instead of
-// waiting for its deadline, since the next call is answered at once.
+// The first sample call gets no answer. dev must repeat the call after
+// devCallTimeout, since the next call is answered at once.
 func TestDevRetriesUnansweredCall(t *testing.T) {
 	calls := 0
 	call := func(ctx context.Context) (int, error) {
--- a/cmd/persimmonrock/drains.go
+++ b/cmd/persimmonrock/drains.go
@@ -19,7 +19,7 @@
 const (
 	// metricsTimeout bounds the request to one entry.
 	metricsTimeout = 2 * time.Second
-	// maxMetrics bounds its answer in bytes.
+	// maxMetrics bounds the entry's answer, in bytes.
 	maxMetrics = 4 << 20
 )
 
--- a/cmd/persimmonrock/explain.go
+++ b/cmd/persimmonrock/explain.go
@@ -19,8 +19,8 @@
 	"persimmonrock.example/ops/logtime"
 )
 
-// explainCommand reads the log files of all processes, since an engineer who
-// traces a job has no other source.
+// explainCommand returns the command that traces a job. It reads the log files
+// of all processes, since an engineer has no other source.
 func explainCommand() command {
 	return command{"explain", "print the story of a job from the log files of all processes", runExplain}
 }
@@ -72,7 +72,7 @@
 	return exitOK
 }
 
-// printGaps lists the lines that report gaps: the history may lack some lines.
+// printGaps prints the lines that report gaps: the history may be incomplete.
 func printGaps(w io.Writer, gaps []*logLine) {
 	if len(gaps) == 0 {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// runSummary prints how the time of jobs was spent.
+// runSummary prints a breakdown of the jobs' time.
 func runSummary(files []string, stdout, stderr io.Writer) int {
 	var all breakdown.Log
 	err := readLogs(files, all.Read)
@@ -99,7 +99,7 @@
 	return exitOK
 }
 
-// readLogs reads the files, or standard input if there are none.
+// readLogs passes each file to read, or standard input if no file is named.
 func readLogs(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return eris.Wrap(read(os.Stdin), "standard input")
@@ -118,26 +118,26 @@
 	return nil
 }
 
-// logLine is one structured line.
+// logLine is one structured log line.
 type logLine struct {
 	stamp logtime.Stamp
 	// at is the line's position in time among the lines of all processes, in
-	// milliseconds; uncertain marks a position that is known from the wall
-	// clock only.
+	// milliseconds. uncertain marks a position that only the wall clock gives.
 	at        float64
 	uncertain bool
 	Process   string `json:"process"`
 	Message   string `json:"message"`
 	Job       string `json:"job"`
 	Run       string `json:"run"`
-	// Placements are those of a step of the job; see logs.PlacedRun.
+	// Placements lists the placed runs of one step; see logs.PlacedRun.
 	Occurrence int      `json:"occurrence"`
 	Step       int      `json:"step"`
 	Placements []string `json:"placements"`
 	fields     map[string]any
 }
 
-// mentions reports whether the line is about id: a job, or a task or run of it.
+// mentions reports whether the line is about id, the name of a job, task or
+// run.
 func (l *logLine) mentions(id string) bool {
 	if l.Job == id || isPartOf(l.Run, id) {
 		return true
@@ -150,16 +150,16 @@
 	return false
 }
 
-// isPartOf reports whether run is id or a run of it.
+// isPartOf reports whether run is id, or a run of the job or task id.
 func isPartOf(run, id string) bool {
 	rest, ok := strings.CutPrefix(run, id)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '#')
 }
 
-// isGap reports whether the line says that others were left out.
+// isGap reports whether the line says that the process left out log lines.
 func (l *logLine) isGap() bool { return l.Message == logs.MessageLeftOut }
 
-// String returns the line in a form for people.
+// String returns the line in human-readable form.
 func (l *logLine) String() string {
 	var names []string
 	for name := range l.fields {
@@ -181,8 +181,8 @@
 	return text
 }
 
-// readHistory returns the lines about id, and those that report gaps during its
-// time, in the order of time.
+// readHistory returns the lines about id, and the lines that report gaps in the
+// same period. Both are ordered by time.
 func readHistory(id string, files []string) (lines, gaps []*logLine, err error) {
 	var clocks logtime.Log
 	if err := readLogs(files, func(r io.Reader) error { return scanLog(r, id, &clocks, &lines, &gaps) }); err != nil {
@@ -209,7 +209,8 @@
 	return lines
 }
 
-// scanLog adds the lines about id, and those that report gaps.
+// scanLog reads one log. It adds the lines about id to lines, and the lines
+// that report gaps to gaps.
 func scanLog(r io.Reader, id string, clocks *logtime.Log, lines, gaps *[]*logLine) error {
 	return logs.EachObject(r, func(object []byte) {
 		var l logLine
--- a/cmd/persimmonrock/explain_test.go
+++ b/cmd/persimmonrock/explain_test.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// On hundreds of workers one line lists all placements of a step in a plan, and
-// a process that would write too many lines reports the number that it left
-// out. For one task of the step, the command must find its placement and warn
-// that lines may be missing.
+// With hundreds of workers, one line lists all placements of a step in a plan.
+// A process at its limit of log lines reports the number that it left out. For
+// one task of the step, the command must find the placement and warn that lines
+// may be missing.
 func TestExplainReadsStepsAndGaps(t *testing.T) {
 	const text = `{"process":"entry-1","job":"5c0e7a21d94b36f8","occurrence":0,"step":1,"placements":["0#1@w-1","17#2@w-2"],"time":1020,"message":"placed"}
 {"process":"entry-1","lines":3,"kinds":{"placed":3},"time":1500,"message":"lines left out"}
--- a/cmd/persimmonrock/fake_test.go
+++ b/cmd/persimmonrock/fake_test.go
@@ -19,7 +19,7 @@
 	customerKey = "prk_granite"
 )
 
-// fakeEntry answers as an entry does, from a few tables.
+// fakeEntry answers as an entry does, from its fields.
 type fakeEntry struct {
 	mu        sync.Mutex
 	contracts map[string]structs.Contract
@@ -33,7 +33,7 @@
 	state []structs.JobState
 	// loseAnswer closes the connection after the next change took effect.
 	loseAnswer bool
-	// race changes the contract before the next change.
+	// race adds a revision of the contract before the next change is applied.
 	race bool
 }
 
--- a/cmd/persimmonrock/session.go
+++ b/cmd/persimmonrock/session.go
@@ -23,7 +23,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that replace missing flags.
 const (
 	envServer = "PERSIMMONROCK_SERVER"
 	envKey    = "PERSIMMONROCK_KEY"
@@ -36,8 +36,8 @@
 type spec struct {
 	name    string
 	summary string
-	// arguments names the positional arguments; a last one that ends in "..."
-	// stands for one or more.
+	// arguments names the positional arguments. If the last name ends in "...",
+	// it stands for one or more arguments.
 	arguments []string
 	example   string
 	// local marks a command that connects to no entry.
@@ -46,7 +46,7 @@
 	define func(*flag.FlagSet) action
 }
 
-// action is the work of a command once its flags are read.
+// action runs a command after its flags are parsed.
 type action func(ctx context.Context, s *session, args []string) error
 
 // session is one run of a command.
@@ -99,7 +99,7 @@
 	return reportError(stderr, words, err)
 }
 
-// parseMixed lets flags stand after arguments, as in "job wait ID -json".
+// parseMixed parses flags after arguments, too, as in "job wait ID -json".
 func parseMixed(flags *flag.FlagSet, args []string) ([]string, error) {
 	var given []string
 	for {
@@ -195,7 +195,7 @@
 }
 
 // transportFor returns a transport that trusts the certificates in the file ca,
-// or the system's for "".
+// or the system's certificates if ca is empty.
 func transportFor(ca string) (http.RoundTripper, error) {
 	if ca == "" {
 		return http.DefaultTransport, nil
@@ -214,7 +214,7 @@
 }
 
 // reportError prints err, if any, and returns the exit status: 2 for a wrong
-// command line or file, 1 for everything else.
+// command line or file, 1 for any other error.
 func reportError(w io.Writer, words string, err error) int {
 	var refused *structs.Refusal
 	var file *settings.Error
--- a/cmd/persimmonrock/timeline.go
+++ b/cmd/persimmonrock/timeline.go
@@ -67,8 +67,8 @@
 	return 0, d, nil
 }
 
-// newest returns the events of the given time before the newest one. It
-// compares wall clocks, so its result is only as exact as they are.
+// newest returns the newest event and the events at most last before it, or all
+// events if last is 0. Its result is only as exact as the wall clocks.
 func newest(list []structs.Event, last time.Duration) []structs.Event {
 	if last == 0 || len(list) == 0 {
 		return list
--- a/cmd/persimmonrock/wait.go
+++ b/cmd/persimmonrock/wait.go
@@ -15,8 +15,8 @@
 // shorten it.
 var pollInterval = 500 * time.Millisecond
 
-// progress shows on one line the state that a command waits for. On a terminal
-// the line is overwritten; elsewhere each change is printed as a line.
+// progress shows on one line the state that a waiting command observed. On a
+// terminal the line is overwritten; elsewhere each change is printed as a line.
 type progress struct {
 	w        io.Writer
 	terminal bool
@@ -51,9 +51,9 @@
 	}
 }
 
-// waitFor calls poll until it returns done; status describes the state that
-// poll observed. A failed poll doesn't end the wait unless the error is
-// permanent: entries are replaced at any time, and the next one answers.
+// waitFor calls poll until poll returns done; status describes the observed
+// state. A failed poll ends the wait only if its error is permanent: an entry
+// may be replaced at any time, and another one answers the next poll.
 func (s *session) waitFor(ctx context.Context, poll func() (done bool, status string, err error)) error {
 	p := newProgress(s.stderr)
 	defer p.endLine()
