--- a/cmd/node/cluster.go
+++ b/cmd/node/cluster.go
@@ -26,12 +26,13 @@
 	sampleInstances = 3
 	sampleSlots     = 8
 	loopback        = "127.0.0.1:0"
-	// sampleAnnounce is short, so that the sample serves soon after its start.
+	// sampleAnnounce, the announcement interval, lets the sample serve soon
+	// after its start.
 	sampleAnnounce = 100 * time.Millisecond
 )
 
-// Sample is a whole deployment in one process, with in-memory stand-ins for
-// the platform and sample services.
+// Sample is a whole deployment in one process, with sample services and
+// in-memory stand-ins for the platform.
 type Sample struct {
 	Entries     []*Entry
 	Agents      []*Agent
@@ -161,8 +162,8 @@
 	return &Backend{Address: "http://" + l.Addr().String(), HTTP: server, Guard: guard}, nil
 }
 
-// Stop stops everything in the order of a planned stop: agents hand their
-// batch tasks over while the entries still serve, then the entries stop.
+// Stop carries out a planned stop of the deployment. Agents stop first and hand
+// over their batch tasks while the entries still serve.
 func (s *Sample) Stop(ctx context.Context) error {
 	var errs []error
 	for _, a := range s.Agents {
--- a/cmd/node/command.go
+++ b/cmd/node/command.go
@@ -47,8 +47,8 @@
 	}
 	log := logs.New(stderr, string(s.Instance), s.LogLevel)
 	p := platformAt(s.Platform.Table, s.Platform.Objects, s.Platform.Timeout.Std())
-	// Stop and Fence answer only once the work has stopped, so the worker's
-	// client has no time-out of its own.
+	// The worker's Stop and Fence calls return only after the work has stopped,
+	// so their client has no timeout.
 	p.Worker = remote.NewWorker(s.Platform.Worker, &http.Client{})
 	return run(ctx, log, func() (Process, error) { return StartAgent(s, p, log) })
 }
--- a/cmd/node/entry.go
+++ b/cmd/node/entry.go
@@ -54,7 +54,7 @@
 }
 
 // operatorOnly returns a guard that refuses requests without an operator's key,
-// so that callers can't read counters and events.
+// so that customers can't read counters and events.
 func operatorOnly(hashes []string) func(*http.Request) *structs.Refusal {
 	return func(r *http.Request) *structs.Refusal {
 		if keys.Match(hashes, keys.Bearer(r)) {
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one entry or one agent with its listeners, from settings
-// to a planned stop. Both binaries and `persimmonrock dev` use it.
+// Package node runs one entry or one agent with its listeners, from reading its
+// settings to its planned stop. Both binaries and `persimmonrock dev` use it.
 package node
 
 import (
@@ -27,9 +27,9 @@
 	Table   infra.Table
 	Objects infra.Objects
 	Worker  infra.Worker
-	// AnnounceEvery is the interval between two announcements of a backend
-	// server beside the agent; 0 selects the agent's default. A new agent
-	// admits no calls for twice this interval.
+	// AnnounceEvery is the interval between a backend server's announcements to
+	// the agent; 0 selects the agent's default. A new agent admits no calls for
+	// twice this interval.
 	AnnounceEvery time.Duration
 }
 
@@ -134,8 +134,8 @@
 // RPCAddress returns the address at which the process serves its peers.
 func (c *common) RPCAddress() string { return c.sockets.rpc.Addr().String() }
 
-// Ended returns a channel that receives an error when the process can't
-// continue by itself.
+// Ended returns a channel that receives the error of a server or of background
+// work that failed.
 func (c *common) Ended() <-chan error { return c.ended }
 
 // start starts the servers and the background work.
@@ -155,7 +155,7 @@
 }
 
 // stop carries out a planned stop. drain refuses new work and waits for work in
-// progress; only then are the sockets closed, so that no answer is truncated.
+// progress. The sockets are closed afterwards, so that no answer is truncated.
 func (c *common) stop(ctx context.Context, drain func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.shutdown)
 	defer cancel()
@@ -183,7 +183,7 @@
 	Out          int64 `json:"out_bytes"`
 	Rejected     int64 `json:"rejected"`
 	AcceptFailed int64 `json:"accept_failed"`
-	// TLS counts readings of the certificate files; nil without TLS.
+	// TLS holds the counts of reads of the certificate files; nil without TLS.
 	TLS any `json:"tls,omitempty"`
 }
 
@@ -201,8 +201,8 @@
 	Ended() <-chan error
 }
 
-// Wait returns after a planned stop, which begins when ctx ends, or with the
-// error that ended the process before.
+// Wait waits until ctx ends, carries out a planned stop and returns its error.
+// If the process fails before, Wait returns that failure.
 func Wait(ctx context.Context, p Process) error {
 	select {
 	case err := <-p.Ended():
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -21,8 +21,9 @@
 	connectTimeout = 10 * time.Second
 )
 
-// connectedAgents starts one entry and the agents given, and returns the agents
-// that are known to the entry and answer its calls.
+// connectedAgents starts one entry and the given agents. It returns the agents
+// that the entry knows and can call, as soon as there are want of them or after
+// connectTimeout.
 func connectedAgents(t *testing.T, entry settings.Peers, agents map[structs.InstanceID]settings.Peers, want int) map[structs.InstanceID]bool {
 	t.Helper()
 	table, objects := memory.NewTable(), memory.NewObjects()
@@ -68,9 +69,10 @@
 	return false
 }
 
-// The secret is changed in one process after the other. At each step processes
-// with the old and the new secret must connect to each other, or calls fail
-// during the change; a process that knows neither secret must never connect.
+// Guards against failed calls while the secret is changed in one process after
+// the other. At each step, processes with the old and the new secret must
+// connect to each other. A process that knows neither secret must never
+// connect.
 func TestSecretRotationKeepsConnections(t *testing.T) {
 	dir := t.TempDir()
 	with := func(own, also string) settings.Peers {
@@ -95,9 +97,9 @@
 	}
 }
 
-// All processes know the secret, but one of them has no certificate, and one
-// has that of another authority. Neither may connect: messages between
-// processes must not cross the network in the clear.
+// All processes know the secret, but one has no certificate and another has a
+// foreign authority's. Neither may connect, since messages between processes
+// must not cross the network in the clear.
 func TestPeersRequireTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	peers := func(a *certs.Authority, name string) settings.Peers {
@@ -124,7 +126,8 @@
 	return a
 }
 
-// BenchmarkLoad asks an agent for its load over one connection.
+// BenchmarkLoad measures requests for an agent's load over one connection, with
+// and without TLS.
 func BenchmarkLoad(b *testing.B) {
 	authority, err := certs.NewAuthority("test", time.Hour)
 	if err != nil {
