--- a/cmd/internal/client/admin.go
+++ b/cmd/internal/client/admin.go
@@ -40,10 +40,10 @@
 	return out, a.header.Get("ETag"), err
 }
 
-// Apply writes a contract and returns the revision that accepted it. match is
-// the ETag of the contract that the change is based on; an empty match requires
-// that the customer has no contract yet. operation identifies the change and is
-// the same for each attempt, so that a repeat is safe.
+// Apply writes a contract and returns the revision at which it was accepted.
+// match is the ETag of the contract that the change is based on; an empty match
+// requires that the customer has no contract yet. operation identifies the
+// change and is the same for each attempt, so that a repeat is safe.
 func (c *Client) Apply(ctx context.Context, contract structs.Contract, match, operation string) (structs.Revision, error) {
 	a, err := c.do(ctx, request{
 		method:     http.MethodPut,
@@ -55,7 +55,7 @@
 	return revisionOf(a), err
 }
 
-// Delete ends a contract and returns the revision that accepted it.
+// Delete ends a contract. match, operation and the result are as in Apply.
 func (c *Client) Delete(ctx context.Context, customer structs.Customer, match, operation string) (structs.Revision, error) {
 	a, err := c.do(ctx, request{
 		method:     http.MethodDelete,
@@ -126,8 +126,8 @@
 	return out, err
 }
 
-// Events returns the merged time line of a request or a job, or of all of them,
-// after a logical time.
+// Events returns the merged events of all processes after a logical time, of
+// request r or job j if given.
 func (c *Client) Events(ctx context.Context, r structs.RequestID, j structs.JobID, after uint64) (TimeLine, error) {
 	q := url.Values{}
 	if r != "" {
--- a/cmd/internal/client/client.go
+++ b/cmd/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the typed client of an entry's HTTP interface, as the
-// operators' commands use it. A refusal comes back as a *structs.Refusal.
+// Package client is a typed client of an entry's HTTP interface for the
+// operators' commands. A refusal is returned as a *structs.Refusal.
 package client
 
 import (
