--- a/cmd/sample/sample.go
+++ b/cmd/sample/sample.go
@@ -53,7 +53,7 @@
 	answer(w, map[string]any{"receipt": q.Receipt, "valid": q.Receipt != "" && q.Cents > 0, "credit_cents": q.Cents / 3})
 }
 
-// Lodgements counts how often each claim was lodged; more than once is a fault.
+// Lodgements counts the lodgements of each claim; more than one is a fault.
 type Lodgements struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -77,7 +77,7 @@
 	answer(w, map[string]any{"claim": q.Claim, "lodged": n})
 }
 
-// Count returns how often a claim was lodged.
+// Count returns the number of lodgements of a claim.
 func (l *Lodgements) Count(claim string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
