--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -14,13 +14,13 @@
 	"persimmonrock.example/structs"
 )
 
-// Reports run on nine instances, and each agent loses links in its own way: to
-// the entries, to the store, to both or to its worker; the links are cut, held
-// open, or only their answers are held. A report whose agent can't renew its
-// lease must run again elsewhere; one whose agent lost only the entries must
-// continue. After the links are restored, each report has one result, and none
-// ran in two places at once (G2). Cause of a fault: an agent can't distinguish
-// a cut link from a slow one, and held messages arrive long after their time.
+// Reports run on nine instances while each agent loses its links to the
+// entries, to the store, to both or to its worker. The links are cut, held, or
+// held for answers only. A report whose agent can't renew its lease must run
+// again elsewhere; a report whose agent lost only the entries must continue.
+// After the links are restored, each report must have one result, and none may
+// have run in two places at once (G2). An agent can't distinguish a cut link
+// from a slow one, and held messages arrive late.
 func TestTasksOfDisconnectedAgentsRunOnce(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t)
@@ -122,16 +122,16 @@
 	count    *sample.Lodgements
 	mu       sync.Mutex
 	received map[string][]response
-	// latestAnswers are printed by a failed test.
+	// latestAnswers holds the last answers, which a failed test prints.
 	latestAnswers []string
 	calls         sync.WaitGroup
 }
 
-// keptAnswers is the number of the last answers that a failed test prints.
+// keptAnswers is the maximum length of latestAnswers.
 const keptAnswers = 12
 
-// startClaims announces one instance's service for lodging claims, which blocks
-// until its server is released.
+// startClaims announces a service for lodging claims on one instance. Its calls
+// block until the backend server is released.
 func (w *cluster) startClaims(i *instance, slots int64) *claims {
 	c := &claims{cluster: w, server: newBlockingServer(slots), count: sample.NewLodgements(), received: make(map[string][]response)}
 	c.announceClaims(i, c.server)
@@ -212,14 +212,13 @@
 	}
 }
 
-// Claims with and without a key are lodged through one entry while its link to
-// the agent is cut or held: before they are sent, during their work, and with
-// only the answer held. Each is repeated through another entry and once more
-// through the first after the link is restored. No claim may be lodged twice,
-// "not run" must hold even for held requests that arrive late, and a slot whose
-// caller has disconnected stays occupied until the backend server answers (G6,
-// G5, G1, G4). Cause of a fault: a sender can't see which messages a broken
-// link has delivered.
+// Claims with and without a key are lodged through one entry, and its link to
+// the agent is cut or held: after some calls have begun and before others are
+// sent. Keyed claims are repeated through another entry, and through the first
+// once its link is restored. No claim may be lodged twice, and "not run" must
+// hold even for held requests that arrive late. The slot of a disconnected
+// caller must stay occupied until the backend server answers (G6, G5, G1, G4).
+// A sender can't see which messages a broken link has delivered.
 func TestCallsOverBrokenLinksRunAtMostOnce(t *testing.T) {
 	for name, state := range map[string]linkState{"cut": linkCut, "held": linkHeld, "requests held": linkRequestsHeld, "answers held": linkAnswersHeld} {
 		t.Run(name, func(t *testing.T) {
@@ -262,8 +261,8 @@
 	}
 }
 
-// repeatKeyed lodges every keyed claim again under its key, with a timeout that
-// is long enough for its record to be read.
+// repeatKeyed lodges every keyed claim again under its key. The timeout is long
+// enough to read the claim's record.
 func (c *claims) repeatKeyed(e *process) {
 	c.mu.Lock()
 	var keyed []string
--- a/cmd/e2e/failure_test.go
+++ b/cmd/e2e/failure_test.go
@@ -27,7 +27,7 @@
 	return &blockingServer{slots: slots, release: make(chan struct{})}
 }
 
-// ServeHTTP blocks until the test releases it, even if the caller has
+// ServeHTTP blocks until the test closes release, even if the caller has
 // disconnected.
 func (b *blockingServer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	n := b.running.Add(1)
@@ -42,12 +42,11 @@
 
 const slowCheck structs.Service = "slow-check"
 
-// Callers fill an instance and time out; its agent is killed and restarted
-// while the backend server still works on their calls; then more callers
-// arrive. They must be refused with proof, since all slots are in use; after
-// the backend server has answered, they are served (G1). Cause of a fault: the
-// new agent knows only those of the old one's calls that the backend server
-// reports to it.
+// Callers fill an instance and time out. Its agent is killed and restarted
+// while the backend server still works on their calls. Further callers must be
+// refused with proof that nothing ran, since all slots are in use; they are
+// served after the backend server has answered (G1). The new agent knows a
+// former call only if the backend server reports it.
 func TestCallsOfKilledAgentKeepTheirSlots(t *testing.T) {
 	w := newCluster(t)
 	w.startEntry("entry-1")
@@ -92,10 +91,10 @@
 	return &instance{process: w.startAt(old.relay, "persimmonrock-agent", old.name, nil, config), control: old.control, worker: old.worker}
 }
 
-// A claim is lodged and its entry is killed after sending it; the client
-// repeats it several times under the same key through the other entry. The
-// claim must not be lodged twice, and no answer may say that it was not run
-// (G6, G5): the first entry's record says that the attempt began.
+// An entry is killed after it has sent a claim. The client repeats the claim
+// several times under the same key through the other entry. The claim must not
+// be lodged twice, and no answer may say that it was not run (G6, G5): the
+// first entry's record says that the attempt began.
 func TestClaimOfKilledEntryIsLodgedOnce(t *testing.T) {
 	w := newCluster(t)
 	w.startEntry("entry-1")
@@ -130,11 +129,10 @@
 	}
 }
 
-// A report's agent is stopped (SIGSTOP) for longer than its worker's lease and
-// the queue owner's timeout; the report runs elsewhere; then the agent is
+// A report's agent is frozen (SIGSTOP) for longer than its worker's lease and
+// the queue owner's timeout, the report runs elsewhere, and then the agent is
 // resumed (SIGCONT). The report must have one result and must never run in two
-// places at once (G2). Cause of a fault: the resumed agent can't detect that it
-// was stopped.
+// places at once (G2). The resumed agent can't detect that it was frozen.
 func TestFrozenAgentWakesAfterItsLease(t *testing.T) {
 	w := newCluster(t)
 	w.startEntry("entry-1")
@@ -162,9 +160,9 @@
 	w.checkInvariants(w.entries[0])
 }
 
-// The owner of the queue and an agent are killed while a batch of jobs is
-// claimed and run. Every job must be done once, through the entry that takes
-// over the queue (G2, G3).
+// The owner of the queue and an agent are killed while jobs are submitted and
+// run. Every job must be done once, through the entry that takes over the queue
+// (G2, G3).
 func TestKilledOwnerAndAgentLoseNoJob(t *testing.T) {
 	w := newCluster(t)
 	w.startEntry("entry-1")
--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -122,7 +122,7 @@
 	entries  []*process
 	agents   []*process
 	ctx      context.Context
-	// net has a relay for each link, if the test disturbs links.
+	// net has a relay for each link; nil unless the test breaks links.
 	net *network
 	// entryOverrides are added to the entries' default settings.
 	entryOverrides object
@@ -189,7 +189,8 @@
 	return p
 }
 
-// readLog keeps the log and reads the addresses from the line of the start.
+// readLog stores the process's log and reads the addresses from the log line of
+// the start.
 func (p *process) readLog(stderr io.Reader, started chan struct{}) {
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
--- a/cmd/e2e/measure_test.go
+++ b/cmd/e2e/measure_test.go
@@ -21,7 +21,8 @@
 
 var measured = flag.Int("measure", 300, "calls of each caller and jobs of each batch in the measurements; pages quote runs with 5000")
 
-// inForceLimit is the users' bound for a change of configuration.
+// inForceLimit is the users' bound on the time until a change of configuration
+// is in force in every process.
 const inForceLimit = 13 * time.Second
 
 // maxJobs bounds the batch of jobs, which runs on 24 slots.
@@ -30,9 +31,10 @@
 // callers is the number of concurrent callers in the measurements.
 const callers = 4
 
-// Measures the cost of the path: in one run, each caller calls the backend
-// server directly and through an entry in turn. The figures are printed; the
-// test checks only that idempotent calls leave no record in the store.
+// Measures the cost of the path through an entry: in one run, each caller calls
+// a backend server directly and through an entry in turn. The figures are
+// printed; the test checks only that idempotent calls leave no record in the
+// store.
 func TestMeasurePath(t *testing.T) {
 	w := newCluster(t)
 	w.startEntry("entry-1")
--- a/cmd/e2e/path_test.go
+++ b/cmd/e2e/path_test.go
@@ -16,7 +16,7 @@
 )
 
 // Two entries and three agents run as separate processes. Callers check samples
-// and lodge a claim through either entry, a job runs to its result, and then
+// and lodge a claim through either entry, and a job runs to its result. Then
 // every process is stopped with SIGTERM under load. No answer may be truncated:
 // each call is answered in full or refused with "not run".
 func TestWholePathAsSeparateProcesses(t *testing.T) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// callUntilStopped calls until stop as the platform's balancer would: an entry
-// that reports that it is draining gets no more calls, and another one does.
+// callUntilStopped calls entries until stop is closed. Like the platform's
+// balancer, it moves on from an entry that reports that it is draining.
 func (w *cluster) callUntilStopped(i int, key string, served, lost *atomic.Int64, stop chan struct{}) {
 	for _, e := range w.entries[i%len(w.entries):] {
 		for draining := false; !draining; {
--- a/cmd/e2e/random_test.go
+++ b/cmd/e2e/random_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// faultPeriod is the time during which faults are injected, maxFaultDelay
-	// the maximum time between two.
+	// faultPeriod is the time during which faults are injected, and
+	// maxFaultDelay is the maximum time between two faults.
 	faultPeriod   = 10 * time.Second
 	maxFaultDelay = 600 * time.Millisecond
 	// maxFreeze is longer than the leases of agents and of queue shards.
@@ -29,9 +29,9 @@
 
 // Two entries and three agents are killed, restarted, frozen and disconnected
 // from each other and from the store, while claims are lodged and reports run.
-// Afterwards no claim was lodged twice, no caller received a wrong answer, no
-// server had more calls than slots, no task ran in two places at once, and each
-// report is done. Cause of a fault: a process may fail after any step.
+// No claim may be lodged twice, no caller may receive a wrong answer, no server
+// may have more calls than slots, no task may run in two places at once, and
+// each report must be done. A process may fail after any step.
 func TestRandomisedProcesses(t *testing.T) {
 	for seed := *processSeed; seed < *processSeed+*processSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -130,7 +130,8 @@
 	start(p)
 }
 
-// freeze stops a process for span; the process may be killed meanwhile.
+// freeze stops a process (SIGSTOP) for span, unless the process is killed
+// before.
 func (c *faultRun) freeze(p *process, span time.Duration) {
 	p.signal(c.t, syscall.SIGSTOP)
 	c.resumes.Go(func() {
--- a/cmd/e2e/relay_test.go
+++ b/cmd/e2e/relay_test.go
@@ -20,8 +20,8 @@
 type linkState int
 
 // The states of a link. A cut link resets its connections and refuses new ones.
-// A held link leaves them open and keeps the data that is sent until the link
-// is up again.
+// A held link leaves its connections open and keeps the sent data until the
+// link is up again.
 const (
 	linkUp linkState = iota
 	linkCut
@@ -156,7 +156,8 @@
 	n.pump(p, server, client, linkAnswersHeld)
 }
 
-// pump copies one direction; the end of a connection is held like its data.
+// pump copies one direction of p; while the link is held, the end of a
+// connection is held like its data.
 func (n *network) pump(p *pipe, from, to net.Conn, held linkState) {
 	chunk := make([]byte, 1<<15)
 	for {
@@ -191,9 +192,9 @@
 const ownerTimeout = 2 * time.Second
 
 // owner returns the name of the process that holds the other end of c. All
-// processes use one loopback address, so the owner is found in the system's
-// table of sockets; a process that was just started may be missing from pids
-// for a moment.
+// processes use one loopback address, so the system's table of sockets is
+// searched. The search is repeated, since a process that was just started may
+// be missing from pids for a moment.
 func (n *network) owner(c net.Conn) string {
 	for end := time.Now().Add(ownerTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		inode := socketInode(c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port)
@@ -209,8 +210,9 @@
 	return ""
 }
 
-// socketInode finds one line of the system's table, which has tens of thousands
-// of lines while other tests open and close connections.
+// socketInode returns the inode of a connection. It does not split the system's
+// table into lines: the table has tens of thousands of lines while other tests
+// open and close connections.
 func socketInode(local, remote int) string {
 	table, _ := os.ReadFile("/proc/net/tcp")
 	ends := fmt.Appendf(nil, ":%04X 0100007F:%04X ", local, remote)
@@ -219,7 +221,7 @@
 		return ""
 	}
 	line, _, _ := bytes.Cut(table[at+len(ends):], []byte("\n"))
-	// State, queues, timer, retransmissions, user and time-out precede the
+	// State, queues, timer, retransmissions, user and timeout precede the
 	// inode.
 	if fields := bytes.Fields(line); len(fields) > 6 {
 		return string(fields[6])
--- a/cmd/e2e/stop_test.go
+++ b/cmd/e2e/stop_test.go
@@ -20,11 +20,11 @@
 )
 
 // An entry that owns queues and an agent with running reports are stopped while
-// the table service, or the object store, does not answer. No caller may get a
-// truncated answer, both processes must end within their shutdown time, and
-// after the store answers again each report is done once, elsewhere (G8, G2,
-// G3). Cause of a fault: a stopping process hands over its work through the
-// store, which may never answer.
+// the table service or the object store does not answer. No caller may get a
+// truncated answer, and both processes must end within their shutdown time.
+// After the store answers again, each report must be done once (G8, G2, G3). A
+// stopping process hands over its work through the store, which may never
+// answer.
 func TestStopsDuringOutageLoseNoCall(t *testing.T) {
 	for _, down := range []string{toTable, toObjects} {
 		t.Run(down, func(t *testing.T) {
