--- a/cmd/persimmonrock/explain.go
+++ b/cmd/persimmonrock/explain.go
@@ -19,8 +19,8 @@
 	"persimmonrock.example/ops/logtime"
 )
 
-// explainCommand reads the log files of all processes, since an engineer who
-// asks what became of a job has nothing else.
+// explainCommand returns the command that traces a job. It reads the log files
+// of all processes, since an engineer has no other source.
 func explainCommand() command {
 	return command{"explain", "print the story of a job from the log files of all processes", runExplain}
 }
@@ -55,7 +55,7 @@
 		flags.Usage()
 		return exitUsage
 	}
-	lines, gaps, err := readStory(flags.Arg(0), flags.Args()[1:])
+	lines, gaps, err := readHistory(flags.Arg(0), flags.Args()[1:])
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitError
@@ -72,7 +72,7 @@
 	return exitOK
 }
 
-// printGaps tells of lines that processes left out: the story may lack some.
+// printGaps prints the lines that report gaps: the history may be incomplete.
 func printGaps(w io.Writer, gaps []*logLine) {
 	if len(gaps) == 0 {
 		return
@@ -83,10 +83,10 @@
 	}
 }
 
-// runSummary prints where the time of jobs went.
+// runSummary prints a breakdown of the jobs' time.
 func runSummary(files []string, stdout, stderr io.Writer) int {
 	var all breakdown.Log
-	err := eachLog(files, all.Read)
+	err := readLogs(files, all.Read)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitError
@@ -99,8 +99,8 @@
 	return exitOK
 }
 
-// eachLog reads the files, or standard input if there are none.
-func eachLog(files []string, read func(io.Reader) error) error {
+// readLogs passes each file to read, or standard input if no file is named.
+func readLogs(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return eris.Wrap(read(os.Stdin), "standard input")
 	}
@@ -118,26 +118,27 @@
 	return nil
 }
 
-// logLine is one structured line.
+// logLine is one structured log line.
 type logLine struct {
 	stamp logtime.Stamp
-	// at is where the line stands among those of all processes, in milliseconds;
-	// uncertain says that only its wall clock tells.
+	// at is the line's position in time among the lines of all processes, in
+	// milliseconds. uncertain marks a position that only the wall clock gives.
 	at        float64
 	uncertain bool
 	Process   string `json:"process"`
 	Message   string `json:"message"`
 	Job       string `json:"job"`
 	Run       string `json:"run"`
-	// Placements are those of a step of the job; see logs.PlacedRun.
+	// Placements lists the placed runs of one step; see logs.PlacedRun.
 	Occurrence int      `json:"occurrence"`
 	Step       int      `json:"step"`
 	Placements []string `json:"placements"`
 	fields     map[string]any
 }
 
-// about reports whether the line is about id: a job, or a task or run of it.
-func (l *logLine) about(id string) bool {
+// mentions reports whether the line is about id, the name of a job, task or
+// run.
+func (l *logLine) mentions(id string) bool {
 	if l.Job == id || isPartOf(l.Run, id) {
 		return true
 	}
@@ -149,16 +150,16 @@
 	return false
 }
 
-// isPartOf reports whether run is id or a run of it.
+// isPartOf reports whether run is id, or a run of the job or task id.
 func isPartOf(run, id string) bool {
 	rest, ok := strings.CutPrefix(run, id)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '#')
 }
 
-// gap reports whether the line tells that others are missing.
-func (l *logLine) gap() bool { return l.Message == logs.MessageLeftOut }
+// isGap reports whether the line says that the process left out log lines.
+func (l *logLine) isGap() bool { return l.Message == logs.MessageLeftOut }
 
-// String gives the line as a person reads it.
+// String returns the line in human-readable form.
 func (l *logLine) String() string {
 	var names []string
 	for name := range l.fields {
@@ -180,47 +181,48 @@
 	return text
 }
 
-// readStory returns the lines about id, and those that tell of gaps while it
-// lived, in the order of time.
-func readStory(id string, files []string) (lines, gaps []*logLine, err error) {
+// readHistory returns the lines about id, and the lines that report gaps in the
+// same period. Both are ordered by time.
+func readHistory(id string, files []string) (lines, gaps []*logLine, err error) {
 	var clocks logtime.Log
-	if err := eachLog(files, func(r io.Reader) error { return scanLog(r, id, &clocks, &lines, &gaps) }); err != nil {
+	if err := readLogs(files, func(r io.Reader) error { return scanLog(r, id, &clocks, &lines, &gaps) }); err != nil {
 		return nil, nil, err
 	}
 	axis := clocks.Axis()
 	for _, l := range slices.Concat(lines, gaps) {
 		l.at, l.uncertain = axis.Time(l.stamp), axis.Uncertain(l.stamp)
 	}
-	lines = sorted(lines)
+	lines = sortByTime(lines)
 	if len(lines) > 0 {
-		first, last := lines[0].at, lines[len(lines)-1].at+float64(gapLag.Milliseconds())
+		first, last := lines[0].at, lines[len(lines)-1].at+float64(maxGapDelay.Milliseconds())
 		gaps = slices.DeleteFunc(gaps, func(l *logLine) bool { return l.at < first || l.at > last })
 	}
-	return lines, sorted(gaps), nil
+	return lines, sortByTime(gaps), nil
 }
 
-// gapLag is how much later than the lines that are missing a process may tell
-// of them.
-const gapLag = 2 * time.Second
+// maxGapDelay is the maximum time after which a process reports the lines that
+// it left out.
+const maxGapDelay = 2 * time.Second
 
-func sorted(lines []*logLine) []*logLine {
+func sortByTime(lines []*logLine) []*logLine {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at < lines[j].at })
 	return lines
 }
 
-// scanLog adds the lines about id, and those that tell of gaps.
+// scanLog reads one log. It adds the lines about id to lines, and the lines
+// that report gaps to gaps.
 func scanLog(r io.Reader, id string, clocks *logtime.Log, lines, gaps *[]*logLine) error {
 	return logs.EachObject(r, func(object []byte) {
 		var l logLine
 		stamp, ok := clocks.Read(object)
 		l.stamp = stamp
-		if !ok || json.Unmarshal(object, &l) != nil || !l.gap() && !l.about(id) {
+		if !ok || json.Unmarshal(object, &l) != nil || !l.isGap() && !l.mentions(id) {
 			return
 		}
 		if json.Unmarshal(object, &l.fields) != nil {
 			return
 		}
-		if l.gap() {
+		if l.isGap() {
 			*gaps = append(*gaps, &l)
 			return
 		}
