--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -57,7 +57,7 @@
 	a.contract = c
 	a.right = decide.Quota(c, l.config.Instance, l.config.Total)
 	if a.useIndex >= 0 {
-		l.uses[a.useIndex].Right = a.right
+		l.uses[a.useIndex].Quota = a.right
 	}
 }
 
@@ -132,7 +132,7 @@
 func (l *Ledger) useOf(c structs.Customer, a *account) *decide.SlotUse {
 	if a.useIndex < 0 {
 		a.useIndex = len(l.uses)
-		l.uses = append(l.uses, decide.SlotUse{Customer: c, Right: a.right})
+		l.uses = append(l.uses, decide.SlotUse{Customer: c, Quota: a.right})
 	}
 	return &l.uses[a.useIndex]
 }
--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -40,8 +40,8 @@
 	lastCheck time.Duration
 	history   *decide.History
 	model     *decide.Interference
-	state     decide.ReliefMemory
-	buffer    []decide.Together
+	state     decide.ReliefTracker
+	buffer    []decide.KindCount
 	samples   samples
 }
 
--- a/agent/relief/samples_test.go
+++ b/agent/relief/samples_test.go
@@ -42,7 +42,7 @@
 func TestWindowOfFewCallsReplacesOnlyAnOldOne(t *testing.T) {
 	s := newSamples()
 	record := func(at time.Duration, calls int) int {
-		s.record(at, decide.Sample{Service: "a", Calls: calls, ServiceTime: time.Second, Together: []decide.Together{{Kind: "k", Count: 1.03}, {Kind: "gone", Count: 0.01}}})
+		s.record(at, decide.Sample{Service: "a", Calls: calls, ServiceTime: time.Second, Together: []decide.KindCount{{Kind: "k", Count: 1.03}, {Kind: "gone", Count: 0.01}}})
 		return s.latest["a"].sample.Calls
 	}
 	if n := record(0, 1); n != 1 {
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -166,7 +166,7 @@
 	m := NewInterference()
 	for range 40 {
 		m.Observe(Sample{Service: "s", Band: BandLow, ServiceTime: 10 * time.Millisecond, Calls: 20})
-		m.Observe(Sample{Service: "s", Band: BandLow, ServiceTime: 100 * time.Millisecond, Calls: 20, Together: []Together{{Kind: "k", Count: 1}}})
+		m.Observe(Sample{Service: "s", Band: BandLow, ServiceTime: 100 * time.Millisecond, Calls: 20, Together: []KindCount{{Kind: "k", Count: 1}}})
 	}
 	service := wire.ServiceLoad{Service: "s", Slots: 8, InUse: 1, ServiceTime: 10 * time.Millisecond}
 	count := func(l wire.ServiceLoad, share float64, span time.Duration) (placed int) {
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -29,7 +29,7 @@
 			Band:        LoadBand(r >> 8 % 3),
 			ServiceTime: time.Duration(100+r>>16%5) * time.Millisecond,
 			Calls:       20,
-			Together: []Together{
+			Together: []KindCount{
 				{structs.Kind(fmt.Sprintf("kind-%d", r>>24%benchKinds)), float64(r >> 40 % 4)},
 				{structs.Kind(fmt.Sprintf("kind-%d", r>>32%benchKinds)), float64(r >> 44 % 3)},
 			},
@@ -114,7 +114,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	uses := make([]SlotUse, benchCustomers+1)
 	for i := range benchCustomers {
-		uses[i] = SlotUse{Customer: structs.Customer(fmt.Sprintf("customer-%d", i)), Urgent: i % 2, Right: 1, Expected: 2}
+		uses[i] = SlotUse{Customer: structs.Customer(fmt.Sprintf("customer-%d", i)), Urgent: i % 2, Quota: 1, Expected: 2}
 	}
 	uses[benchCustomers] = SlotUse{Urgent: 20, Expected: 24}
 	c := structs.Contract{Customer: "customer-109", Share: 0.008}
--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -16,7 +16,7 @@
 // that follow the task speeds with a delay of 3 s.
 func simulateRelief(t *testing.T, harm float64, seconds int) (throttles, evictions, restores int, first ActionKind) {
 	m := trainedModel(300, 0.4)
-	var memory ReliefMemory
+	var memory ReliefTracker
 	tasks := []RunningTask{runningTask("a", "bad", time.Minute, 1), runningTask("b", "bad", time.Minute, 1), runningTask("c", "bad", time.Minute, 1), runningTask("d", "good", time.Minute, 1)}
 	var past []float64
 	for s := range seconds {
@@ -90,7 +90,7 @@
 	costly.Borrowed, cheap.Borrowed, young.Borrowed = true, true, true
 	own := runningTask("own", "k", time.Hour, 1)
 	own.Saved = 0.5
-	var memory ReliefMemory
+	var memory ReliefTracker
 	st := ReliefState{Tasks: []RunningTask{costly, cheap, young, own}, SlotsOwed: 1}
 	m := NewInterference()
 	if acts := Relieve(0, st, m, &memory); len(acts) != 0 {
@@ -104,7 +104,7 @@
 		st.Tasks[i].MemoryBytes = 10 * gigabyte
 	}
 	st.MemoryBytes, st.SlotsOwed = 35*gigabyte, 0
-	acts = Relieve(reclaimDelay, st, m, &ReliefMemory{})
+	acts = Relieve(reclaimDelay, st, m, &ReliefTracker{})
 	if len(acts) != 1 || acts[0].Job != "own" || acts[0].Reason != ReasonMemory {
 		t.Errorf("out of memory: %+v", acts)
 	}
@@ -146,7 +146,7 @@
 		if _, probe, _ := h.Worker(now, worker(7)); !probe {
 			t.Fatal("no probe is due")
 		}
-		h.Probing(now, worker(7))
+		h.RecordProbe(now, worker(7))
 		if _, probe, _ := h.Worker(now, worker(7)); probe {
 			t.Error("two probes at once")
 		}
@@ -166,7 +166,7 @@
 // reclaimDelay. For a slot owed to a queued task, no new task is evicted.
 func TestBorrowedSlotsOfNewTasksAreReclaimedForCalls(t *testing.T) {
 	firstEviction := func(calls int) time.Duration {
-		var memory ReliefMemory
+		var memory ReliefTracker
 		for s := range 60 {
 			now := time.Duration(s) * time.Second
 			young := runningTask("young", "k", now, 1)
--- a/decide/fairness_test.go
+++ b/decide/fairness_test.go
@@ -47,12 +47,12 @@
 
 func TestAdmission(t *testing.T) {
 	idle := []SlotUse{{Customer: "x"}, {Customer: "y"}}
-	reserved := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Right: 2}, {Customer: "y", Right: 4, Expected: 3}}
-	burst := []SlotUse{{Customer: "x", Urgent: 4, Recent: 0.3, Right: 2}, reserved[1]}
-	recentUnknown := []SlotUse{{Customer: "x", Urgent: 4, Right: 2}, reserved[1]}
-	ownBatch := []SlotUse{{Customer: "x", Batch: 4, Right: 4, Expected: 2}}
-	ownFlood := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Expected: 5, Right: 8}}
-	common := []SlotUse{reserved[1], {Customer: "z", Right: 4, Expected: 3}, {Urgent: 0, Expected: 2}}
+	reserved := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Quota: 2}, {Customer: "y", Quota: 4, Expected: 3}}
+	burst := []SlotUse{{Customer: "x", Urgent: 4, Recent: 0.3, Quota: 2}, reserved[1]}
+	recentUnknown := []SlotUse{{Customer: "x", Urgent: 4, Quota: 2}, reserved[1]}
+	ownBatch := []SlotUse{{Customer: "x", Batch: 4, Quota: 4, Expected: 2}}
+	ownFlood := []SlotUse{{Customer: "x", Urgent: 4, Recent: 4, Expected: 5, Quota: 8}}
+	common := []SlotUse{reserved[1], {Customer: "z", Quota: 4, Expected: 3}, {Urgent: 0, Expected: 2}}
 	x := contract("x", 0.25)
 	for name, c := range map[string]struct {
 		uses  []SlotUse
@@ -63,7 +63,7 @@
 	}{
 		"within quota":                             {idle, 2, 1, 0, true},
 		"no slot":                                  {idle, 2, 0, 0, false},
-		"borrows unreserved slot":                  {[]SlotUse{{Customer: "x", Urgent: 4, Right: 2}}, 2, 1, 0, true},
+		"borrows unreserved slot":                  {[]SlotUse{{Customer: "x", Urgent: 4, Quota: 2}}, 2, 1, 0, true},
 		"flood leaves reserved slots":              {reserved, 2, 3, 0, false},
 		"burst may borrow reserved slot":           {burst, 2, 1, 0, true},
 		"recent use unknown, within reserved":      {recentUnknown, 2, 3, 0, false},
--- a/decide/health.go
+++ b/decide/health.go
@@ -235,9 +235,9 @@
 	return true, now >= q.probeAt, hold
 }
 
-// Probing records that a probe was sent to instance. The next probe is due only
-// after the report of this probe, or after the backoff if no report arrives.
-func (h *Health) Probing(now time.Duration, instance structs.InstanceID) {
+// RecordProbe records that a probe was sent to instance. The next probe is due
+// only after the report of this probe, or after the backoff if no report arrives.
+func (h *Health) RecordProbe(now time.Duration, instance structs.InstanceID) {
 	q := h.quarantines[instance]
 	if q == nil {
 		return
--- a/decide/history.go
+++ b/decide/history.go
@@ -97,7 +97,7 @@
 // Window returns the mean number of running tasks of each kind between from and to,
 // appended to out[:0], and the mean number of slots of service s in use. It returns
 // false for a window that is empty, ends after now, or begins before the history.
-func (h *History) Window(now, from, to time.Duration, s structs.Service, out []Together) (kinds []Together, inUse float64, ok bool) {
+func (h *History) Window(now, from, to time.Duration, s structs.Service, out []KindCount) (kinds []KindCount, inUse float64, ok bool) {
 	out = out[:0]
 	if from < h.since || from < now-h.retention || to <= from || to > now {
 		h.dropped++
@@ -111,7 +111,7 @@
 		if key.isLoad {
 			inUse = mean
 		} else if mean > 0 {
-			out = append(out, Together{Kind: structs.Kind(key.name), Count: mean})
+			out = append(out, KindCount{Kind: structs.Kind(key.name), Count: mean})
 		}
 	}
 	return out, inUse, true
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Together is the mean number of running tasks of one kind over the window of
+// KindCount is the mean number of running tasks of one kind over the window of
 // a sample, each weighted by its throttle setting.
-type Together struct {
+type KindCount struct {
 	Kind  structs.Kind
 	Count float64
 }
@@ -49,7 +49,7 @@
 	ServiceTime time.Duration
 	// Calls is the number of those calls; more calls give more weight.
 	Calls    int
-	Together []Together
+	Together []KindCount
 }
 
 // InterferenceCounters counts learnt and dropped samples.
@@ -232,7 +232,7 @@
 	}
 }
 
-func (m *Interference) learnPair(e *estimate, t Together, b LoadBand, residual, total float64) {
+func (m *Interference) learnPair(e *estimate, t KindCount, b LoadBand, residual, total float64) {
 	before, weight := e.mean, e.weight()
 	e.update(t.Count, residual, total)
 	e.mean = clamp(e.mean, lowestHarm, highestHarm)
--- a/decide/learning_test.go
+++ b/decide/learning_test.go
@@ -18,7 +18,7 @@
 	m.Observe(Sample{
 		Service: "s", Band: BandMiddle, Calls: 20,
 		ServiceTime: time.Duration(100e6 * (1 + bad*harm) * noise),
-		Together:    []Together{{"bad", bad}, {"good", good}},
+		Together:    []KindCount{{"bad", bad}, {"good", good}},
 	})
 }
 
@@ -80,7 +80,7 @@
 				Service: "s", Band: LoadBand(rapid.IntRange(0, 4).Draw(t, "band")),
 				ServiceTime: time.Duration(rapid.Int64Range(-5, 1<<42).Draw(t, "time")),
 				Calls:       rapid.IntRange(-1, 50).Draw(t, "calls"),
-				Together: []Together{
+				Together: []KindCount{
 					{"a", rapid.Float64Range(-1, 20).Draw(t, "a")},
 					{"b", rapid.SampledFrom([]float64{0, 1, math.NaN(), math.Inf(1), 1e9}).Draw(t, "b")},
 				},
@@ -108,7 +108,7 @@
 	h.Add(10*time.Second, "new", 1)
 	h.SetLoad(10*time.Second, "s", 8)
 	kinds, inUse, ok := h.Window(13*time.Second, 6*time.Second, 10*time.Second, "s", nil)
-	if !ok || len(kinds) != 1 || kinds[0] != (Together{"old", 2}) || inUse != 4 {
+	if !ok || len(kinds) != 1 || kinds[0] != (KindCount{"old", 2}) || inUse != 4 {
 		t.Fatalf("window of old: %v %v %v", kinds, inUse, ok)
 	}
 	kinds, inUse, _ = h.Window(13*time.Second, 9*time.Second, 11*time.Second, "s", nil)
@@ -183,7 +183,7 @@
 				}
 				n := 0.25 * float64(r>>8%8)
 				level += n * 0.3 * unit(mix(uint64(k*7+i%6+i/1000*100)+seed<<32))
-				s.Together = append(s.Together, Together{structs.Kind(rune('0' + k)), n})
+				s.Together = append(s.Together, KindCount{structs.Kind(rune('0' + k)), n})
 			}
 			s.ServiceTime = time.Duration(500e6 * level)
 			m.Observe(s)
--- a/decide/model/model_test.go
+++ b/decide/model/model_test.go
@@ -36,8 +36,8 @@
 	} {
 		w := Generate(Options{Seed: 3, Duration: 20 * time.Second, Load: 2, Flood: true})
 		r := Run(w, b)
-		if r.Broken != 0 {
-			t.Errorf("%s: %d times an instance exceeded its capacity", name, r.Broken)
+		if r.Overcommitted != 0 {
+			t.Errorf("%s: %d times an instance exceeded its capacity", name, r.Overcommitted)
 		}
 		due := 0
 		for _, c := range w.calls {
--- a/decide/model/result.go
+++ b/decide/model/result.go
@@ -31,9 +31,9 @@
 	// Jain is Jain's fairness index of the customers' batch work, each relative
 	// to the customer's entitlement.
 	Jain float64
-	// Broken counts admission checks that found more slots in use than the
-	// instance has.
-	Broken int
+	// Overcommitted counts admission checks that found more slots in use than
+	// the instance has.
+	Overcommitted int
 
 	w              *Workload
 	work, doneWork [customers]float64
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -102,7 +102,7 @@
 		agent.ServiceUses = append(agent.ServiceUses, decide.SlotUse{Customer: s.w.contracts[k].Customer, Urgent: b.byCustomer[k]})
 	}
 	if agent.Free.Slots < 0 {
-		s.result.Broken++
+		s.result.Overcommitted++
 	}
 	full := b.inUse >= backendSlots
 	if full || !s.p.AdmitUrgent(s.now, agent, s.w.contracts[c.customer]) || agent.Free.Slots < 1 {
--- a/decide/order/duration.go
+++ b/decide/order/duration.go
@@ -10,9 +10,10 @@
 	stepNoise     = 0.2
 )
 
-// Known combines the expected duration of a step's tasks with the durations of
-// its ended tasks: number is their count, measured the sum of their durations.
-func Known(expected, measured time.Duration, number int) time.Duration {
+// CombineDurations combines the expected duration of a step's tasks with the
+// durations of its ended tasks: number is their count, measured the sum of
+// their durations.
+func CombineDurations(expected, measured time.Duration, number int) time.Duration {
 	if number == 0 {
 		return expected
 	}
--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -39,10 +39,10 @@
 	OfStep int
 	// Barred excludes the worker, whatever its free capacity.
 	Barred bool
-	// Shunned excludes the worker for tasks that end by themselves, because
+	// LastingOnly excludes the worker for tasks that end by themselves, because
 	// their attempts are bounded. Attempts of lasting tasks are not, so lasting
 	// tasks must not wait beside free capacity.
-	Shunned bool
+	LastingOnly bool
 }
 
 // Request is a task to place.
@@ -50,8 +50,8 @@
 	Step *workload.Step
 	// Avoid is the index of the worker on which the task failed before, or -1.
 	Avoid int
-	// Never excludes the worker at Avoid even if no other fits.
-	Never bool
+	// ExcludeAvoid excludes the worker at Avoid even if no other fits.
+	ExcludeAvoid bool
 	// Rack is the rack of most tasks of a coupled step, if any.
 	Rack string
 }
@@ -88,7 +88,7 @@
 	best, bestScore := -1, 0.0
 	for i := range workers {
 		w := &workers[i]
-		if !fits(r.Step, w) || r.Never && i == r.Avoid {
+		if !fits(r.Step, w) || r.ExcludeAvoid && i == r.Avoid {
 			continue
 		}
 		s := score(r, i, w)
@@ -100,7 +100,7 @@
 }
 
 func fits(s *workload.Step, w *Candidate) bool {
-	if w.Barred || w.Shunned && !s.Lasting || !s.Reserved().Fits(w.Free) || !CouldTake(s, w) {
+	if w.Barred || w.LastingOnly && !s.Lasting || !s.Reserved().Fits(w.Free) || !CouldTake(s, w) {
 		return false
 	}
 	return !s.Fills || w.FillLoad+s.Need.CPU <= unused(w)
--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -20,7 +20,7 @@
 	Total    structs.Resources
 	Free     structs.Resources
 	Services []wire.ServiceLoad
-	// Uses has one entry for each customer; Right and Expected are not set.
+	// Uses has one entry for each customer; Quota and Expected are not set.
 	Uses []decide.SlotUse
 	// Service, ServiceFree and ServiceUses are only set for AdmitUrgent: the
 	// called service, its free slots, and the slots in use by customer.
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -23,7 +23,7 @@
 type agentState struct {
 	history *decide.History
 	model   *decide.Interference
-	memory  decide.ReliefMemory
+	memory  decide.ReliefTracker
 	demand  map[structs.Customer]*decide.Demand
 	// combined is the demand of all urgent calls together. Calls of a customer
 	// count only up to its quota.
@@ -33,7 +33,7 @@
 	serviceUses []decide.SlotUse
 	uses        []decide.SlotUse
 	shortfall   int
-	together    []decide.Together
+	together    []decide.KindCount
 }
 
 // Predictive makes every decision with package decide. It uses learnt
@@ -76,13 +76,13 @@
 	all := decide.SlotUse{Expected: s.combined.Expected(now)}
 	for i := range s.uses {
 		u := &s.uses[i]
-		u.Right = decide.Quota(contracts[u.Customer], a.ID, a.Total)
+		u.Quota = decide.Quota(contracts[u.Customer], a.ID, a.Total)
 		u.Recent = noRecentUse
 		if d := s.demand[u.Customer]; d != nil {
 			u.Expected = d.Expected(now)
 			u.Recent = d.Recent(now)
 		}
-		all.Urgent += min(u.Urgent, max(u.Right, 1))
+		all.Urgent += min(u.Urgent, max(u.Quota, 1))
 	}
 	s.uses = append(s.uses, all)
 	return s.uses
@@ -114,7 +114,7 @@
 	s.serviceUses = append(s.serviceUses[:0], a.ServiceUses...)
 	for i := range s.serviceUses {
 		u := &s.serviceUses[i]
-		u.Right = decide.Quota(contracts[u.Customer], a.ID+structs.InstanceID(a.Service), slots)
+		u.Quota = decide.Quota(contracts[u.Customer], a.ID+structs.InstanceID(a.Service), slots)
 		u.Recent = noRecentUse
 		if d := s.services[demandKey{a.Service, u.Customer}]; d != nil {
 			u.Expected = d.Expected(now)
@@ -171,7 +171,7 @@
 	}
 	placed, holds := p.planner.PlaceBatch(v, p.shared, limit)
 	for _, one := range placed {
-		p.health.Probing(now, one.Instance)
+		p.health.RecordProbe(now, one.Instance)
 	}
 	return placed, holds
 }
@@ -200,7 +200,7 @@
 		_, t.Runtime = p.sizes.Estimate(t.Customer, t.Kind, structs.Resources{}, t.Runtime)
 		for j := range uses {
 			if uses[j].Customer == t.Customer {
-				t.Borrowed = uses[j].Urgent+uses[j].Batch > uses[j].Right
+				t.Borrowed = uses[j].Urgent+uses[j].Batch > uses[j].Quota
 			}
 		}
 	}
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("%v: %+v before, %+v after", l.Pair, w, o)
 		}
 	}
-	after.Import([]Learnt{{Pair: Pair{"a", "f1"}, Value: -1, Evidence: 1e9}, {Pair: Pair{"c", "f1"}, Value: 1e9, Evidence: 1e9}})
+	after.Import([]PairEstimate{{Pair: Pair{"a", "f1"}, Value: -1, Evidence: 1e9}, {Pair: Pair{"c", "f1"}, Value: 1e9, Evidence: 1e9}})
 	if w := after.Weight(Pair{"c", "f1"}); w.Value > maxWeight {
 		t.Errorf("a damaged record gives %+v", w)
 	}
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -253,9 +253,9 @@
 	return all
 }
 
-// Learnt is the estimate of one pair by its own samples, as stored across
+// PairEstimate is the estimate of one pair by its own samples, as stored across
 // restarts.
-type Learnt struct {
+type PairEstimate struct {
 	Pair
 	// Value is the least-squares weight. Evidence is the sum of the squares of
 	// the used shares of a worker. One sample of a typical task, which uses a
@@ -268,12 +268,12 @@
 const minEvidence = 0.005
 
 // Export returns the estimates with at least minEvidence, sorted.
-func (m *Model) Export() []Learnt {
-	var all []Learnt
+func (m *Model) Export() []PairEstimate {
+	var all []PairEstimate
 	for serving, e := range m.serving {
 		for filling, i := range e.index {
 			if e.squares[i][i] >= minEvidence {
-				all = append(all, Learnt{Pair: Pair{Serving: serving, Filling: filling}, Value: e.pairs[i].fitted, Evidence: e.squares[i][i]})
+				all = append(all, PairEstimate{Pair: Pair{Serving: serving, Filling: filling}, Value: e.pairs[i].fitted, Evidence: e.squares[i][i]})
 			}
 		}
 	}
@@ -285,7 +285,7 @@
 }
 
 // Import adds the estimates that an earlier process exported.
-func (m *Model) Import(all []Learnt) {
+func (m *Model) Import(all []PairEstimate) {
 	for _, l := range all {
 		if l.Evidence <= 0 || l.Value < 0 {
 			continue
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -66,8 +66,8 @@
 	Customer structs.Customer
 	// Urgent and Batch are slots in use.
 	Urgent, Batch int
-	// Right is the customer's Quota on this instance.
-	Right int
+	// Quota is the number of slots guaranteed to the customer on this instance.
+	Quota int
 	// Recent is the mean number of slots that the customer's urgent calls held
 	// over the last seconds (see Demand.Recent). It distinguishes a short burst
 	// from a flood, which lasts. 0 means unknown; then all slots reserved for
@@ -85,7 +85,7 @@
 // urgent calls are expected to need beyond those they hold, within its quota. Batch
 // tasks of u do not reduce the number: they must yield to its calls (see Relieve).
 func (u *SlotUse) reserved() int {
-	return max(0, min(u.Expected, u.Right)-u.Urgent)
+	return max(0, min(u.Expected, u.Quota)-u.Urgent)
 }
 
 // reservedForOthers returns the number of slots that must stay free for customers
--- a/decide/relief.go
+++ b/decide/relief.go
@@ -108,9 +108,9 @@
 	ReasonMemory    = "instance is out of memory"
 )
 
-// ReliefMemory is the state that Relieve keeps between calls for one instance.
+// ReliefTracker is the state that Relieve keeps between calls for one instance.
 // The zero value is ready for use.
-type ReliefMemory struct {
+type ReliefTracker struct {
 	lastAction     time.Duration
 	hasActed       bool
 	overLimitSince time.Duration
@@ -125,7 +125,7 @@
 // Relieve returns the actions at time now against disturbance of services, lack of
 // memory and owed slots. Against disturbance it throttles first and evicts last.
 // The result is valid until the next call with the same tracker.
-func Relieve(now time.Duration, st ReliefState, m *Interference, tracker *ReliefMemory) []Action {
+func Relieve(now time.Duration, st ReliefState, m *Interference, tracker *ReliefTracker) []Action {
 	tracker.reset(&st)
 	tracker.freeMemory(&st)
 	tracker.reclaimBorrowed(now, &st)
@@ -146,7 +146,7 @@
 	return tracker.actions
 }
 
-func (r *ReliefMemory) reset(st *ReliefState) {
+func (r *ReliefTracker) reset(st *ReliefState) {
 	r.actions = r.actions[:0]
 	r.speeds = r.speeds[:0]
 	r.evicted = r.evicted[:0]
@@ -160,21 +160,21 @@
 	}
 }
 
-func (r *ReliefMemory) settled(now time.Duration) bool {
+func (r *ReliefTracker) settled(now time.Duration) bool {
 	return !r.hasActed || now-r.lastAction >= settleTime || now < r.lastAction
 }
 
-func (r *ReliefMemory) recordAction(now time.Duration) {
+func (r *ReliefTracker) recordAction(now time.Duration) {
 	r.lastAction, r.hasActed = now, true
 }
 
-func (r *ReliefMemory) evict(st *ReliefState, i int, reason string) {
+func (r *ReliefTracker) evict(st *ReliefState, i int, reason string) {
 	t := &st.Tasks[i]
 	r.evicted[i] = true
 	r.actions = append(r.actions, Action{Kind: ActionEvict, Job: t.Job, Epoch: t.Epoch, Reason: reason})
 }
 
-func (r *ReliefMemory) setSpeed(st *ReliefState, i int, kind ActionKind, speed float64, reason string) {
+func (r *ReliefTracker) setSpeed(st *ReliefState, i int, kind ActionKind, speed float64, reason string) {
 	t := &st.Tasks[i]
 	r.speeds[i] = speed
 	r.actions = append(r.actions, Action{Kind: kind, Job: t.Job, Epoch: t.Epoch, Speed: speed, Reason: reason})
@@ -182,7 +182,7 @@
 
 // freeMemory evicts tasks until the measured memory fits. It ignores minRunTime:
 // otherwise the platform would kill a task of its own choice.
-func (r *ReliefMemory) freeMemory(st *ReliefState) {
+func (r *ReliefTracker) freeMemory(st *ReliefState) {
 	if st.MemoryBytes <= 0 {
 		return
 	}
@@ -210,7 +210,7 @@
 // three times as long as urgent work may wait for its start. It comes about when
 // newly started tasks have borrowed all slots and minRunTime protects them.
 // minRunTime therefore does not protect a task if slots are owed to calls.
-func (r *ReliefMemory) reclaimBorrowed(now time.Duration, st *ReliefState) {
+func (r *ReliefTracker) reclaimBorrowed(now time.Duration, st *ReliefState) {
 	if st.SlotsOwed <= 0 {
 		r.owed = false
 		return
@@ -239,7 +239,7 @@
 
 // chooseVictim returns the task with the least loss of progress per unit of
 // relief, of those that ran for at least minRan and give relief, or -1.
-func (r *ReliefMemory) chooseVictim(st *ReliefState, minRan time.Duration, relief func(*RunningTask) float64) int {
+func (r *ReliefTracker) chooseVictim(st *ReliefState, minRan time.Duration, relief func(*RunningTask) float64) int {
 	best, bestCost := -1, math.Inf(1)
 	for i := range st.Tasks {
 		t := &st.Tasks[i]
@@ -276,7 +276,7 @@
 
 // worstService returns the service with the highest ratio of inflation to limit,
 // or nil, and its inflation.
-func (r *ReliefMemory) worstService(st *ReliefState, m *Interference) (*ServicePressure, float64) {
+func (r *ReliefTracker) worstService(st *ReliefState, m *Interference) (*ServicePressure, float64) {
 	var worst *ServicePressure
 	worstRatio, worstInflation := 0.0, 1.0
 	for i := range st.Services {
@@ -295,7 +295,7 @@
 
 // estimatedInflation returns the weighted mean of the measured inflation, which is
 // delayed and rests on few calls, and the inflation predicted from the present tasks.
-func (r *ReliefMemory) estimatedInflation(st *ReliefState, m *Interference, s *ServicePressure, base time.Duration) float64 {
+func (r *ReliefTracker) estimatedInflation(st *ReliefState, m *Interference, s *ServicePressure, base time.Duration) float64 {
 	calls := float64(s.Calls)
 	if s.Calls <= 0 {
 		calls = assumedCalls
@@ -305,7 +305,7 @@
 }
 
 // predictedInflation returns the inflation of s by the tasks at their speeds.
-func (r *ReliefMemory) predictedInflation(st *ReliefState, m *Interference, s *ServicePressure) float64 {
+func (r *ReliefTracker) predictedInflation(st *ReliefState, m *Interference, s *ServicePressure) float64 {
 	band := BandOf(s.InUse, s.Slots)
 	sum := 1.0
 	for i := range st.Tasks {
@@ -330,7 +330,7 @@
 	return math.Max(1.05, math.Min(toleratedInflation, byTarget))
 }
 
-func (r *ReliefMemory) relievePressure(now time.Duration, st *ReliefState, m *Interference, s *ServicePressure, inflation, limit float64) {
+func (r *ReliefTracker) relievePressure(now time.Duration, st *ReliefState, m *Interference, s *ServicePressure, inflation, limit float64) {
 	if !r.overLimit {
 		r.overLimit, r.overLimitSince = true, now
 	}
@@ -356,7 +356,7 @@
 
 // mostHarmful returns the task that harms the service most at its present speed
 // and can still be throttled, or -1. Harm of borrowing tasks counts double.
-func (r *ReliefMemory) mostHarmful(st *ReliefState, m *Interference, s structs.Service, b LoadBand) int {
+func (r *ReliefTracker) mostHarmful(st *ReliefState, m *Interference, s structs.Service, b LoadBand) int {
 	best, most := -1, 0.0
 	for i := range st.Tasks {
 		if r.evicted[i] || r.speeds[i] <= minSpeed {
@@ -376,7 +376,7 @@
 	return best
 }
 
-func (r *ReliefMemory) evictForPressure(now time.Duration, st *ReliefState, m *Interference, s structs.Service, b LoadBand) {
+func (r *ReliefTracker) evictForPressure(now time.Duration, st *ReliefState, m *Interference, s structs.Service, b LoadBand) {
 	i := r.chooseVictim(st, minRunTime, func(t *RunningTask) float64 {
 		return m.Predict(s, t.Kind, b) - 1
 	})
@@ -391,7 +391,7 @@
 // restore raises the speed of the least harmful throttled task, step by step,
 // while the predicted inflation stays at most halfway between restoredInflation
 // and the limit.
-func (r *ReliefMemory) restore(now time.Duration, st *ReliefState, m *Interference) {
+func (r *ReliefTracker) restore(now time.Duration, st *ReliefState, m *Interference) {
 	if !r.settled(now) {
 		return
 	}
@@ -412,7 +412,7 @@
 	}
 }
 
-func (r *ReliefMemory) leastHarmful(st *ReliefState, m *Interference) int {
+func (r *ReliefTracker) leastHarmful(st *ReliefState, m *Interference) int {
 	best, least := -1, math.Inf(1)
 	for i := range st.Tasks {
 		if r.evicted[i] || r.speeds[i] >= 1 {
@@ -430,7 +430,7 @@
 	return best
 }
 
-func (r *ReliefMemory) predictedAboveLimit(st *ReliefState, m *Interference) bool {
+func (r *ReliefTracker) predictedAboveLimit(st *ReliefState, m *Interference) bool {
 	for j := range st.Services {
 		s := &st.Services[j]
 		if s.InUse == 0 {
--- a/entry/model/samples.go
+++ b/entry/model/samples.go
@@ -101,10 +101,10 @@
 func sampleOf(sample *wire.Sample) decide.Sample {
 	out := decide.Sample{
 		Service: sample.Service, Band: decide.LoadBand(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls,
-		Together: make([]decide.Together, 0, len(sample.Together)),
+		Together: make([]decide.KindCount, 0, len(sample.Together)),
 	}
 	for _, t := range sample.Together {
-		out.Together = append(out.Together, decide.Together{Kind: t.Kind, Count: t.Count})
+		out.Together = append(out.Together, decide.KindCount{Kind: t.Kind, Count: t.Count})
 	}
 	return out
 }
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -70,7 +70,7 @@
 // recordProbe records a placement as a probe if its instance is in quarantine.
 func (p *placer) recordProbe(now time.Duration, placement decide.Placement) {
 	if quarantined, _, _ := p.health.Worker(now, placement.Instance); quarantined {
-		p.health.Probing(now, placement.Instance)
+		p.health.RecordProbe(now, placement.Instance)
 		p.probes[placement.Instance] = placement.Job
 	}
 }
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -25,7 +25,7 @@
 	others := false
 	for i := range v.candidates {
 		switch {
-		case v.candidates[i].Barred || v.candidates[i].Shunned:
+		case v.candidates[i].Barred || v.candidates[i].LastingOnly:
 		case v.candidates[i].Presses:
 			v.barred = append(v.barred, i)
 		case s.Need.Fits(v.candidates[i].Capacity):
--- a/entry/scheduler/health.go
+++ b/entry/scheduler/health.go
@@ -100,7 +100,7 @@
 		return
 	}
 	for i := range v.candidates {
-		v.candidates[i].Shunned = v.candidates[i].Suspect
+		v.candidates[i].LastingOnly = v.candidates[i].Suspect
 	}
 }
 
--- a/entry/scheduler/memory.go
+++ b/entry/scheduler/memory.go
@@ -57,9 +57,9 @@
 		t.deps.Log.Error().Err(err).Msg("learnt weights can't be decoded; learning starts anew")
 		return
 	}
-	var all []pressure.Learnt
+	var all []pressure.PairEstimate
 	for _, p := range r.Pairs {
-		all = append(all, pressure.Learnt{Pair: pressure.Pair{Serving: p.Serving, Filling: p.Filling}, Value: p.Value, Evidence: p.Evidence})
+		all = append(all, pressure.PairEstimate{Pair: pressure.Pair{Serving: p.Serving, Filling: p.Filling}, Value: p.Value, Evidence: p.Evidence})
 	}
 	t.learner.initMaps()
 	for image, tail := range r.Base {
--- a/entry/scheduler/plan.go
+++ b/entry/scheduler/plan.go
@@ -120,7 +120,7 @@
 		}
 		avoid := v.index(k.avoid)
 		excluded := v.mustAvoid(s.spec, avoid, k.failedAt)
-		n := placement.Choose(placement.Request{Step: s.spec, Avoid: avoid, Never: excluded, Rack: v.rackOfStep(s)}, v.candidates)
+		n := placement.Choose(placement.Request{Step: s.spec, Avoid: avoid, ExcludeAvoid: excluded, Rack: v.rackOfStep(s)}, v.candidates)
 		switch {
 		case n < 0 && excluded:
 			continue
--- a/entry/scheduler/rank.go
+++ b/entry/scheduler/rank.go
@@ -53,7 +53,7 @@
 		d := j.spec.Steps[i].Estimate
 		if len(j.occurrences) > 0 {
 			s := j.occurrences[0].steps[i]
-			d = order.Known(d, s.took, s.timed)
+			d = order.CombineDurations(d, s.took, s.timed)
 		}
 		j.durations = append(j.durations, d)
 	}
--- a/report/comparison/table.go
+++ b/report/comparison/table.go
@@ -64,7 +64,7 @@
 		{"Jain's index", "%.3f", true, func(r, _ res) float64 { return r.Jain }},
 		{"flood: rise of another's p99, %", "%.1f", false, floodP99Rise},
 		{"flood: loss of another's batch work, %", "%.1f", false, floodWorkLoss},
-		{"instance over its limit", "%.0f", false, func(r, f res) float64 { return float64(r.Broken + f.Broken) }},
+		{"instance over its limit", "%.0f", false, func(r, f res) float64 { return float64(r.Overcommitted + f.Overcommitted) }},
 	}
 }
 
