--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -20,9 +20,10 @@
 // Name implements policy.Policy.
 func (LeastLoaded) Name() string { return "least loaded" }
 
-// Urgent chooses the instance of the local data centre with the smallest part of
-// its slots in use. If all local instances are full, it chooses among the others.
-func (LeastLoaded) Urgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
+// ChooseUrgent chooses the instance of the local data centre with the smallest
+// part of its slots in use. If all local instances are full, it chooses among the
+// others.
+func (LeastLoaded) ChooseUrgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	best, bestLoad := -1, 2.0
 	start := int(q.Random % uint64(len(cs)))
 	for n := range cs {
@@ -77,26 +78,26 @@
 // Relieve does nothing.
 func (LeastLoaded) Relieve(time.Duration, *policy.Agent) []decide.Action { return nil }
 
-// Call counts nothing.
-func (LeastLoaded) Call(time.Duration, structs.Customer) {}
+// RecordCall counts nothing.
+func (LeastLoaded) RecordCall(time.Duration, structs.Customer) {}
 
-// Retry allows every further attempt.
-func (LeastLoaded) Retry(time.Duration, structs.Customer) bool { return true }
+// AllowRetry allows every further attempt.
+func (LeastLoaded) AllowRetry(time.Duration, structs.Customer) bool { return true }
 
-// Measured learns nothing.
-func (LeastLoaded) Measured(time.Duration, policy.Measurement) {}
+// ObserveMeasurement learns nothing.
+func (LeastLoaded) ObserveMeasurement(time.Duration, policy.Measurement) {}
 
-// Changed learns nothing.
-func (LeastLoaded) Changed(time.Duration, int, structs.Kind, float64) {}
+// ObserveTasks learns nothing.
+func (LeastLoaded) ObserveTasks(time.Duration, int, structs.Kind, float64) {}
 
-// Load learns nothing.
-func (LeastLoaded) Load(time.Duration, int, structs.Service, int) {}
+// ObserveLoad learns nothing.
+func (LeastLoaded) ObserveLoad(time.Duration, int, structs.Service, int) {}
 
-// Used learns nothing.
-func (LeastLoaded) Used(structs.Customer, structs.Kind, structs.Resources, time.Duration) {}
+// ObserveUsage learns nothing.
+func (LeastLoaded) ObserveUsage(structs.Customer, structs.Kind, structs.Resources, time.Duration) {}
 
-// Ended learns nothing.
-func (LeastLoaded) Ended(time.Duration, structs.InstanceID, structs.Kind, bool) {}
+// ObserveEnd learns nothing.
+func (LeastLoaded) ObserveEnd(time.Duration, structs.InstanceID, structs.Kind, bool) {}
 
 // StaticSplit is LeastLoaded with a fixed part of each instance's slots for
 // batch tasks; the rest is for urgent calls.
@@ -172,8 +173,8 @@
 // Name implements policy.Policy.
 func (*ThresholdEviction) Name() string { return "threshold eviction" }
 
-// Measured records the best time of each service.
-func (t *ThresholdEviction) Measured(_ time.Duration, m policy.Measurement) {
+// ObserveMeasurement records the best time of each service.
+func (t *ThresholdEviction) ObserveMeasurement(_ time.Duration, m policy.Measurement) {
 	if b := t.bestTime[m.Service]; b == 0 || m.ServiceTime < b {
 		t.bestTime[m.Service] = m.ServiceTime
 	}
--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -94,7 +94,7 @@
 	n.claimed = subtractResources(n.claimed, t.need)
 	n.batch[j.customer] -= t.need.Slots
 	s.held[j.customer] = subtractResources(s.held[j.customer], t.need)
-	s.p.Changed(s.now, at, s.kindNames[j.kind], -t.speed)
+	s.p.ObserveTasks(s.now, at, s.kindNames[j.kind], -t.speed)
 }
 
 func (s *simulation) completeTask(at, k int) {
@@ -104,8 +104,8 @@
 	s.jobs[t.job].ended = true
 	s.result.Done[j.customer]++
 	s.result.doneWork[j.customer] += j.work.Seconds()
-	s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, s.now-t.started)
-	s.p.Ended(s.now, s.nodes[at].in.id, s.kindNames[j.kind], true)
+	s.p.ObserveUsage(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, s.now-t.started)
+	s.p.ObserveEnd(s.now, s.nodes[at].in.id, s.kindNames[j.kind], true)
 }
 
 func (s *simulation) failTask(at, k int) {
@@ -116,7 +116,7 @@
 	st.failures++
 	s.result.Failures++
 	st.avoid = s.nodes[at].in.id
-	s.p.Ended(s.now, s.nodes[at].in.id, s.kindNames[j.kind], false)
+	s.p.ObserveEnd(s.now, s.nodes[at].in.id, s.kindNames[j.kind], false)
 	if st.failures >= maxFailures {
 		st.ended = true
 		if j.kind != s.w.failingKind {
@@ -142,7 +142,7 @@
 		s.result.Evictions++
 	} else {
 		s.result.Killed++
-		s.p.Used(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, 0)
+		s.p.ObserveUsage(s.w.contracts[j.customer].Customer, s.kindNames[j.kind], j.actual, 0)
 	}
 	s.enqueue(t.job)
 }
@@ -261,7 +261,7 @@
 	n.claimed = addResources(n.claimed, need)
 	n.batch[j.customer] += need.Slots
 	s.held[j.customer] = addResources(s.held[j.customer], need)
-	s.p.Changed(s.now, at, s.kindNames[j.kind], 1)
+	s.p.ObserveTasks(s.now, at, s.kindNames[j.kind], 1)
 	s.killForMemory(at)
 	s.reschedule(at)
 }
@@ -313,7 +313,7 @@
 			n.backends[k].recentDuration = m.ServiceTime
 		}
 	}
-	s.p.Measured(s.now, m)
+	s.p.ObserveMeasurement(s.now, m)
 }
 
 func (s *simulation) fillTasks(n *node, a *policy.Agent) {
@@ -351,7 +351,7 @@
 		if act.Kind == decide.ActionThrottle {
 			s.result.Throttles++
 		}
-		s.p.Changed(s.now, at, s.kindNames[s.w.jobs[t.job].kind], act.Speed-t.speed)
+		s.p.ObserveTasks(s.now, at, s.kindNames[s.w.jobs[t.job].kind], act.Speed-t.speed)
 		t.speed = act.Speed
 		return
 	}
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -9,7 +9,7 @@
 
 func (s *simulation) startCall(i int) {
 	c := &s.w.calls[i]
-	s.p.Call(s.now, s.w.contracts[c.customer].Customer)
+	s.p.RecordCall(s.now, s.w.contracts[c.customer].Customer)
 	id := len(s.attempts)
 	if n := len(s.freeAttempts); n > 0 {
 		id = s.freeAttempts[n-1]
@@ -32,7 +32,7 @@
 	customer := s.w.contracts[c.customer].Customer
 	wait := time.Duration(0)
 	for try := 0; try < maxAttempts; try++ {
-		if try > 0 && !s.p.Retry(s.now, customer) {
+		if try > 0 && !s.p.AllowRetry(s.now, customer) {
 			break
 		}
 		q := decide.UrgentQuery{
@@ -43,7 +43,7 @@
 			Exclude:   a.tried[:try],
 			Random:    s.random.Uint64(),
 		}
-		at, hold := s.p.Urgent(s.now, c.entry, q, s.candidates(c))
+		at, hold := s.p.ChooseUrgent(s.now, c.entry, q, s.candidates(c))
 		wait = hold.RetryAfter
 		if at < 0 {
 			break
@@ -116,7 +116,7 @@
 	b.byCustomer[c.customer]++
 	n.urgent[c.customer]++
 	s.held[c.customer].Slots++
-	s.p.Load(s.now, p.node, s.svcNames[c.service], b.inUse)
+	s.p.ObserveLoad(s.now, p.node, s.svcNames[c.service], b.inUse)
 	took := time.Duration(float64(c.work) * s.inflation(n, b))
 	a.node, a.backend, a.started = p.node, p.backend, s.now
 	s.views[c.entry][c.service][at].outstanding++
@@ -135,7 +135,7 @@
 	b.byCustomer[c.customer]--
 	n.urgent[c.customer]--
 	s.held[c.customer].Slots--
-	s.p.Load(s.now, a.node, s.svcNames[c.service], b.inUse)
+	s.p.ObserveLoad(s.now, a.node, s.svcNames[c.service], b.inUse)
 	b.durationSum += s.now - a.started
 	b.durationCount++
 	s.reschedule(a.node)
--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -45,8 +45,9 @@
 // Policy is one complete set of decisions. All methods use one clock for now.
 type Policy interface {
 	Name() string
-	// Urgent chooses the candidate for an attempt of a call at the given entry.
-	Urgent(now time.Duration, entry int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold)
+	// ChooseUrgent chooses the candidate for an attempt of a call at the given
+	// entry.
+	ChooseUrgent(now time.Duration, entry int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold)
 	// AdmitUrgent and AdmitBatch make the final decision at the instance's
 	// agent.
 	AdmitUrgent(now time.Duration, a *Agent, c structs.Contract) bool
@@ -59,19 +60,19 @@
 	Place(now time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold)
 	// Relieve returns the actions on the tasks of an instance.
 	Relieve(now time.Duration, a *Agent) []decide.Action
-	// Call adds a call to a customer's retry budget. Retry takes an attempt
-	// from the budget and reports whether the budget had one.
-	Call(now time.Duration, c structs.Customer)
-	Retry(now time.Duration, c structs.Customer) bool
-	// Measured reports a delayed measurement.
-	Measured(now time.Duration, m Measurement)
-	// Changed reports that the running tasks of a kind, weighted by speed,
-	// changed by delta. Load reports a change of a service's slots in use.
-	Changed(now time.Duration, instance int, k structs.Kind, delta float64)
-	Load(now time.Duration, instance int, s structs.Service, inUse int)
-	// Used reports the peak use of a run that ended, or (with ran 0) of a run
-	// killed for using too much.
-	Used(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
-	// Ended reports the end of a run; ok is false if it failed by itself.
-	Ended(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
+	// RecordCall adds a call to a customer's retry budget. AllowRetry takes an
+	// attempt from the budget and reports whether the budget had one.
+	RecordCall(now time.Duration, c structs.Customer)
+	AllowRetry(now time.Duration, c structs.Customer) bool
+	// ObserveMeasurement reports a delayed measurement.
+	ObserveMeasurement(now time.Duration, m Measurement)
+	// ObserveTasks reports that the running tasks of a kind, weighted by speed,
+	// changed by delta. ObserveLoad reports a change of a service's slots in use.
+	ObserveTasks(now time.Duration, instance int, k structs.Kind, delta float64)
+	ObserveLoad(now time.Duration, instance int, s structs.Service, inUse int)
+	// ObserveUsage reports the peak use of a run that ended, or (with ran 0) of a
+	// run killed for using too much.
+	ObserveUsage(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
+	// ObserveEnd reports the end of a run; ok is false if it failed by itself.
+	ObserveEnd(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
 }
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -66,8 +66,8 @@
 // Name implements Policy.
 func (p *Predictive) Name() string { return "persimmonrock" }
 
-// Urgent implements Policy.
-func (p *Predictive) Urgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
+// ChooseUrgent implements Policy.
+func (p *Predictive) ChooseUrgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	return decide.ChooseUrgent(q, cs, p.shared)
 }
 
@@ -207,16 +207,16 @@
 	return decide.Relieve(now, st, p.shared, &s.memory)
 }
 
-// Call implements Policy.
-func (p *Predictive) Call(now time.Duration, c structs.Customer) { p.retries.Call(now, c) }
+// RecordCall implements Policy.
+func (p *Predictive) RecordCall(now time.Duration, c structs.Customer) { p.retries.Call(now, c) }
 
-// Retry implements Policy.
-func (p *Predictive) Retry(now time.Duration, c structs.Customer) bool {
+// AllowRetry implements Policy.
+func (p *Predictive) AllowRetry(now time.Duration, c structs.Customer) bool {
 	return p.retries.Retry(now, c)
 }
 
-// Measured implements Policy.
-func (p *Predictive) Measured(now time.Duration, m Measurement) {
+// ObserveMeasurement implements Policy.
+func (p *Predictive) ObserveMeasurement(now time.Duration, m Measurement) {
 	s := p.agents[m.Instance]
 	together, inUse, ok := s.history.Window(now, m.From, m.To, m.Service, s.together)
 	s.together = together
@@ -234,22 +234,22 @@
 	s.model.Observe(sample)
 }
 
-// Changed implements Policy.
-func (p *Predictive) Changed(now time.Duration, instance int, k structs.Kind, delta float64) {
+// ObserveTasks implements Policy.
+func (p *Predictive) ObserveTasks(now time.Duration, instance int, k structs.Kind, delta float64) {
 	p.agents[instance].history.Add(now, k, delta)
 }
 
-// Load implements Policy.
-func (p *Predictive) Load(now time.Duration, instance int, s structs.Service, inUse int) {
+// ObserveLoad implements Policy.
+func (p *Predictive) ObserveLoad(now time.Duration, instance int, s structs.Service, inUse int) {
 	p.agents[instance].history.SetLoad(now, s, inUse)
 }
 
-// Used implements Policy.
-func (p *Predictive) Used(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) {
+// ObserveUsage implements Policy.
+func (p *Predictive) ObserveUsage(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) {
 	p.sizes.Observe(c, k, used, ran)
 }
 
-// Ended implements Policy.
-func (p *Predictive) Ended(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) {
+// ObserveEnd implements Policy.
+func (p *Predictive) ObserveEnd(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) {
 	p.health.Report(now, instance, k, ok)
 }
