--- a/agent/configuration/configuration.go
+++ b/agent/configuration/configuration.go
@@ -165,7 +165,7 @@
 	held := f.inForce()
 	attempt, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	next, err := configtable.Newer(attempt, f.table, held)
+	next, err := configtable.ReadNewer(attempt, f.table, held)
 	if ctx.Err() != nil {
 		return
 	}
--- a/agent/configuration/configuration_test.go
+++ b/agent/configuration/configuration_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	next := row.Next(configtable.Changed{Customer: c, Removed: share == 0})
+	next := row.Next(configtable.Change{Customer: c, Removed: share == 0})
 	txn := infra.Txn{Op: fmt.Sprint(next.Revision), Conds: []infra.Cond{{Key: structs.RevisionKey, Version: version}},
 		Puts: []infra.Put{{Key: structs.RevisionKey, Value: encode(next)}}}
 	if share == 0 {
--- a/agent/follow_test.go
+++ b/agent/follow_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	next := row.Next(configtable.Changed{Customer: c})
+	next := row.Next(configtable.Change{Customer: c})
 	value, _ := json.Marshal(next)
 	contract, _ := json.Marshal(structs.Contract{Customer: c, Share: share, Revision: next.Revision})
 	puts := []infra.Put{{Key: structs.RevisionKey, Value: value}, {Key: structs.ContractKey(c), Value: contract}}
--- a/agent/lease_test.go
+++ b/agent/lease_test.go
@@ -21,7 +21,7 @@
 		o.advance(3 * time.Second)
 		h := o.jobs[0].runsOn
 		h.process.Set(fault.Plan{
-			Delay: 1, Landing: fault.Exactly(h.config.WorkerLease*2/3 - 100*time.Millisecond),
+			Delay: 1, ApplyDelay: fault.Exactly(h.config.WorkerLease*2/3 - 100*time.Millisecond),
 			Match: func(op fault.Operation) bool { return op.Method == "Renew" },
 		})
 		h.table.Cut(true)
@@ -96,7 +96,7 @@
 		a, stop := r.agent()
 		defer stop()
 		time.Sleep(time.Second)
-		r.table.Set(fault.Plan{LoseAnswer: 1, Patience: fault.Exactly(15 * time.Second)})
+		r.table.Set(fault.Plan{LoseAnswer: 1, AnswerTimeout: fault.Exactly(15 * time.Second)})
 		row, _ := r.store.Get(t.Context(), structs.AgentLeaseKey("i1"))
 		version := row.Version
 		for row.Version == version {
--- a/agent/twoplaces_test.go
+++ b/agent/twoplaces_test.go
@@ -343,7 +343,7 @@
 	case "lose":
 		h.table.Next(fault.LoseAnswer)
 	case "delay":
-		h.table.Set(fault.Plan{Delay: 0.5, Patience: fault.Exactly(time.Second), Landing: fault.Range{Min: time.Second, Max: time.Minute}})
+		h.table.Set(fault.Plan{Delay: 0.5, AnswerTimeout: fault.Exactly(time.Second), ApplyDelay: fault.Range{Min: time.Second, Max: time.Minute}})
 	case "heal":
 		h.freeze(false)
 		h.table.Heal()
@@ -418,8 +418,8 @@
 	switch runs := o.hosts[0].runs; {
 	case o.violation != "":
 		return o.violation
-	case runs.Broken() > 0:
-		return fmt.Sprintf("%d runs overlapped or repeated a claim", runs.Broken())
+	case runs.Violations() > 0:
+		return fmt.Sprintf("%d runs overlapped or repeated a claim", runs.Violations())
 	case o.done() != len(o.jobs):
 		return fmt.Sprintf("%d of %d jobs are done", o.done(), len(o.jobs))
 	}
--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -99,7 +99,7 @@
 // process that still runs.
 func (w *world) checkAll() {
 	w.t.Helper()
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		w.t.Errorf("%d runs of a task overlapped", n)
 	}
 	for _, p := range append(w.entries, w.agents...) {
--- a/cmd/e2e/failure_test.go
+++ b/cmd/e2e/failure_test.go
@@ -149,7 +149,7 @@
 	t.Logf("running again %s after the freeze", time.Since(started).Round(10*time.Millisecond))
 	frozen.signal(t, syscall.SIGCONT)
 	w.eventually("the report is done", func() bool { return w.state(w.entries[0], key, id) == "done" })
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		t.Errorf("the report ran in two places %d times", n)
 	}
 	for _, a := range []*instance{frozen, other} {
@@ -187,7 +187,7 @@
 	for _, id := range ids {
 		w.eventually("job "+id+" is done", func() bool { return w.state(w.entries[1], key, id) == "done" })
 	}
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		t.Errorf("%d runs overlapped", n)
 	}
 	w.checkInvariants(w.entries[1])
--- a/cmd/e2e/path_test.go
+++ b/cmd/e2e/path_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("result: %s", r)
 	}
 	w.stopUnderLoad(key)
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		t.Errorf("%d runs of a task overlapped", n)
 	}
 }
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -166,7 +166,7 @@
 	runCluster(t, 2, 3, nil, func(w *cluster) {
 		owner := w.owner("acme")
 		w.entry(owner).ctl.Set(fault.Plan{LoseAnswer: 0.3, Delay: 0.2, Match: onStore,
-			Patience: fault.Exactly(300 * time.Millisecond), Landing: fault.Range{Max: 8 * time.Second}})
+			AnswerTimeout: fault.Exactly(300 * time.Millisecond), ApplyDelay: fault.Range{Max: 8 * time.Second}})
 		if n := w.submitAll(owner, "acme", 24); n != 24 {
 			t.Fatalf("%d of 24 accepted", n)
 		}
@@ -231,7 +231,7 @@
 		owner := w.owner("acme")
 		w.submitAll(w.nonOwner("acme"), "acme", jobs)
 		w.entry(owner).ctl.Set(fault.Plan{Timeout: 0.3, Delay: 0.3, Match: onNetwork,
-			Patience: fault.Exactly(time.Second), Landing: fault.Range{Max: 20 * time.Second}})
+			AnswerTimeout: fault.Exactly(time.Second), ApplyDelay: fault.Range{Max: 20 * time.Second}})
 		w.until(time.Minute, "running", func() bool { return w.states()[structs.JobRunning] > 20 })
 		ids := make([]structs.JobID, 0, jobs)
 		for id := range w.jobs() {
@@ -339,7 +339,7 @@
 // not sent, but the first one was.
 func TestStartAnswerLostThenUnreachable(t *testing.T) {
 	runCluster(t, 1, 1, func(w *cluster) { w.runTime = 20 * time.Second }, func(w *cluster) {
-		w.entry("e0").ctl.Set(fault.Plan{LoseAnswer: 1, Match: onNetwork, Patience: fault.Exactly(time.Second)})
+		w.entry("e0").ctl.Set(fault.Plan{LoseAnswer: 1, Match: onNetwork, AnswerTimeout: fault.Exactly(time.Second)})
 		w.submit("e0", "acme", "acme-0")
 		w.until(5*time.Second, "running", func() bool { return len(w.runs.Running()) == 1 })
 		w.startAgent("i1")
@@ -359,7 +359,7 @@
 // has answered.
 func TestClaimEndsBeforeItsStartIsAnswered(t *testing.T) {
 	runCluster(t, 1, 1, nil, func(w *cluster) {
-		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, Patience: fault.Exactly(time.Minute)})
+		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, AnswerTimeout: fault.Exactly(time.Minute)})
 		go w.submit("e0", "acme", "acme-0")
 		w.until(5*time.Second, "claimed", func() bool { return w.states()[structs.JobRunning] == 1 })
 		w.killAgent("i0")
--- a/entry/batch/monotonic_test.go
+++ b/entry/batch/monotonic_test.go
@@ -21,7 +21,7 @@
 		w.until(20*time.Second, "a job is accepted", func() bool { return w.submit("e0", customer, "j1") == nil })
 		w.until(20*time.Second, "it runs", func() bool { return w.jobs()["j1"].State == structs.JobRunning })
 		owner := w.entry(w.owner(customer))
-		owner.ctl.Set(fault.Plan{LoseAnswer: 0.6, Patience: fault.Exactly(time.Second), Match: func(o fault.Operation) bool { return o.Service == "table" && o.Write }})
+		owner.ctl.Set(fault.Plan{LoseAnswer: 0.6, AnswerTimeout: fault.Exactly(time.Second), Match: func(o fault.Operation) bool { return o.Service == "table" && o.Write }})
 		shown := structs.JobState("")
 		for range 4000 {
 			time.Sleep(5 * time.Millisecond)
--- a/entry/batch/random_test.go
+++ b/entry/batch/random_test.go
@@ -163,7 +163,7 @@
 // lossy returns the plan in which any fault can happen to a request.
 func (a action) lossy() fault.Plan {
 	return fault.Plan{Down: a.Rate / 4, Timeout: a.Rate / 4, LoseAnswer: a.Rate, Delay: a.Rate / 2,
-		Patience: fault.Range{Max: 3 * time.Second}, Landing: fault.Range{Max: a.For}}
+		AnswerTimeout: fault.Range{Max: 3 * time.Second}, ApplyDelay: fault.Range{Max: a.For}}
 }
 
 // TestRandomHistories combines all faults in random order. Whatever the order,
--- a/entry/batch/world_test.go
+++ b/entry/batch/world_test.go
@@ -120,7 +120,7 @@
 	}
 	w.mu.Unlock()
 	synctest.Wait()
-	if n := w.runs.Broken(); n != 0 {
+	if n := w.runs.Violations(); n != 0 {
 		w.t.Errorf("%d runs overlapped another run of their job", n)
 	}
 	w.end()
--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -92,7 +92,7 @@
 	if err := s.checkKeys(ctx, c, revision.Revision); err != nil {
 		return 0, err
 	}
-	next := revision.Next(configtable.Changed{Customer: c.Customer, Removed: c.Contract == nil})
+	next := revision.Next(configtable.Change{Customer: c.Customer, Removed: c.Contract == nil})
 	txn := infra.Txn{
 		Op: fmt.Sprintf("config/%s/%d", c.Operation, next.Revision),
 		Conds: []infra.Cond{
--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -66,7 +66,7 @@
 func TestRepeatAfterLostAnswerHasOneResult(t *testing.T) {
 	table := memory.NewTable()
 	a, b := newNode(table, nil, 1), newNode(table, nil, 2)
-	a.faults.Set(fault.Plan{LoseAnswer: 1, Patience: fault.Exactly(time.Millisecond), Match: func(o fault.Operation) bool { return o.Write }})
+	a.faults.Set(fault.Plan{LoseAnswer: 1, AnswerTimeout: fault.Exactly(time.Millisecond), Match: func(o fault.Operation) bool { return o.Write }})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, refused := a.Apply(ctx, change("kowhai", 0.5, NoContract, "op-1"))
@@ -95,7 +95,7 @@
 				table := memory.NewTable()
 				a, b := newNode(table, nil, 1), newNode(table, nil, 2)
 				created := mustApply(t, a, change("kowhai", 0.1, NoContract, "create"))
-				a.faults.Set(fault.Plan{LoseAnswer: 1, Patience: fault.Exactly(time.Millisecond), Match: func(o fault.Operation) bool { return o.Write }})
+				a.faults.Set(fault.Plan{LoseAnswer: 1, AnswerTimeout: fault.Exactly(time.Millisecond), Match: func(o fault.Operation) bool { return o.Write }})
 				var later structs.Revision
 				var wait sync.WaitGroup
 				wait.Go(func() {
@@ -234,7 +234,7 @@
 		n := rapid.IntRange(0, len(nodes)-1).Draw(rt, "node")
 		nodes[n].faults.Set(fault.Plan{
 			Down: 0.1, Timeout: 0.1, LoseAnswer: 0.2, Delay: 0.2, Slow: 0.3,
-			Latency: fault.Range{Max: 300 * time.Millisecond}, Patience: fault.Exactly(50 * time.Millisecond), Landing: fault.Range{Max: 3 * time.Second},
+			Latency: fault.Range{Max: 300 * time.Millisecond}, AnswerTimeout: fault.Exactly(50 * time.Millisecond), ApplyDelay: fault.Range{Max: 3 * time.Second},
 		})
 		operation := fmt.Sprintf("op-%d", rapid.IntRange(0, i).Draw(rt, "operation"))
 		customer := rapid.SampledFrom([]string{"granite-notch", "kowhai"}).Draw(rt, "customer")
--- a/entry/contracts/reader_test.go
+++ b/entry/contracts/reader_test.go
@@ -64,7 +64,7 @@
 					step(1)
 				}
 			}}
-			next, err := configtable.Newer(t.Context(), table, held)
+			next, err := configtable.ReadNewer(t.Context(), table, held)
 			if err != nil || next.Revision < held.Revision {
 				rt.Fatalf("revision %d after %d: %v", next.Revision, held.Revision, err)
 			}
@@ -88,13 +88,13 @@
 	for i := range 20 {
 		mustApply(t, writer, change(fmt.Sprint("customer-", i), 0.1, AnyRevision, fmt.Sprint("create-", i)))
 	}
-	held, err := configtable.Newer(t.Context(), writer.table, structs.Config{})
+	held, err := configtable.ReadNewer(t.Context(), writer.table, structs.Config{})
 	if err != nil || len(held.Contracts) != 20 {
 		t.Fatalf("%d contracts, %v", len(held.Contracts), err)
 	}
 	for behind, scans := range map[int]int{1: 0, 4: 0, 5: 1, 20: 1} {
 		mustApply(t, writer, change("customer-0", 0.2, AnyRevision, fmt.Sprint("first-", behind)))
-		from, err := configtable.Newer(t.Context(), writer.table, held)
+		from, err := configtable.ReadNewer(t.Context(), writer.table, held)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 			mustApply(t, writer, change(fmt.Sprint("customer-", i), 0.3, AnyRevision, fmt.Sprint("behind-", behind, i)))
 		}
 		table := &interleavedTable{Table: writer.table, step: func() {}}
-		held, err = configtable.Newer(t.Context(), table, from)
+		held, err = configtable.ReadNewer(t.Context(), table, from)
 		if diff := cmp.Diff(writer.Config(), held); err != nil || diff != "" || table.scans != scans {
 			t.Errorf("%d behind: %d scans, want %d; %v\n%s", behind, table.scans, scans, err, diff)
 		}
--- a/entry/contracts/store.go
+++ b/entry/contracts/store.go
@@ -170,7 +170,7 @@
 func (s *Store) refresh(ctx context.Context) error {
 	s.Reads.Add(1)
 	held := s.Config()
-	newer, err := configtable.Newer(ctx, s.table, held)
+	newer, err := configtable.ReadNewer(ctx, s.table, held)
 	if err == nil && newer.Revision > held.Revision {
 		s.Install(newer)
 	}
--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -157,7 +157,7 @@
 	late := time.AfterFunc(configLateAfter, func() { f.reportLost(ctx, errLate) })
 	defer late.Stop()
 	if listed {
-		call, cancel := progress.Bound(call, configWait+feedIdleTimeout)
+		call, cancel := progress.WithIdleTimeout(call, configWait+feedIdleTimeout)
 		defer cancel()
 		return f.store.Feed(call, f.source.Key.Table, after, configWait)
 	}
--- a/entry/urgent/group_test.go
+++ b/entry/urgent/group_test.go
@@ -67,9 +67,9 @@
 				}
 			}
 			control.Set(fault.Plan{Down: 0.1, Timeout: 0.1, LoseAnswer: 0.2, Delay: 0.2, Slow: 0.5,
-				Latency:  fault.Range{Min: time.Millisecond, Max: 300 * time.Millisecond},
-				Patience: fault.Range{Min: 10 * time.Millisecond, Max: 500 * time.Millisecond},
-				Landing:  fault.Range{Min: time.Millisecond, Max: 3 * time.Second}})
+				Latency:       fault.Range{Min: time.Millisecond, Max: 300 * time.Millisecond},
+				AnswerTimeout: fault.Range{Min: 10 * time.Millisecond, Max: 500 * time.Millisecond},
+				ApplyDelay:    fault.Range{Min: time.Millisecond, Max: 3 * time.Second}})
 			results := make([]writeResult, 8)
 			var all sync.WaitGroup
 			for i := range results {
@@ -103,7 +103,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			inner := memory.NewTable()
 			control := fault.NewControl(1)
-			control.Set(fault.Plan{Patience: fault.Exactly(100 * time.Millisecond), Landing: fault.Exactly(200 * time.Millisecond)})
+			control.Set(fault.Plan{AnswerTimeout: fault.Exactly(100 * time.Millisecond), ApplyDelay: fault.Exactly(200 * time.Millisecond)})
 			control.Next(f)
 			lifetime, stop := context.WithCancel(t.Context())
 			defer stop()
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -89,9 +89,9 @@
 }
 
 func commitCases() []commitCase {
-	shortTimeout := fault.Plan{Patience: fault.Exactly(100 * time.Millisecond)}
-	held := fault.Plan{Patience: shortTimeout.Patience, Hold: true}
-	delayed := fault.Plan{Patience: shortTimeout.Patience, Landing: fault.Exactly(80 * time.Millisecond)}
+	shortTimeout := fault.Plan{AnswerTimeout: fault.Exactly(100 * time.Millisecond)}
+	held := fault.Plan{AnswerTimeout: shortTimeout.AnswerTimeout, Hold: true}
+	delayed := fault.Plan{AnswerTimeout: shortTimeout.AnswerTimeout, ApplyDelay: fault.Exactly(80 * time.Millisecond)}
 	both, lost := []string{job, fence}, []fault.Fault{fault.LoseAnswer}
 	return []commitCase{
 		// The connection breaks after the store has applied a customer's
@@ -105,13 +105,13 @@
 		{"delayed write applied before the repeat", []fault.Fault{fault.Delay}, delayed, both, nil, applied, 1},
 		// The store doesn't answer the first attempt while the caller's context
 		// lasts: the repeat must not wait for that answer.
-		{"first attempt not answered", []fault.Fault{fault.LoseAnswer}, fault.Plan{Patience: fault.Exactly(time.Hour)}, both, nil, applied, 1},
+		{"first attempt not answered", []fault.Fault{fault.LoseAnswer}, fault.Plan{AnswerTimeout: fault.Exactly(time.Hour)}, both, nil, applied, 1},
 		// Another process's change comes first; the transaction has no effect.
 		{"dropped, then another's change of the row", []fault.Fault{fault.Timeout}, shortTimeout, []string{job}, []string{fence}, conflict, 0},
 		// The first attempt times out, then the store refuses all requests. The
 		// first attempt takes effect after CommitOnce has returned;
 		// "unavailable" would prove that it never does.
-		{"unavailable after unknown", []fault.Fault{fault.Delay}, fault.Plan{Patience: shortTimeout.Patience, Hold: true, Down: 1}, both, nil, unknown, 1},
+		{"unavailable after unknown", []fault.Fault{fault.Delay}, fault.Plan{AnswerTimeout: shortTimeout.AnswerTimeout, Hold: true, Down: 1}, both, nil, unknown, 1},
 		{"unavailable at once", nil, fault.Plan{Down: 1}, both, nil, unavailable, 0},
 		// The write is applied and its answer lost; then a new owner raises the
 		// fence, which the transaction only checks. The repeat fails on the fence;
--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -18,9 +18,9 @@
 	scanPage       = 200
 )
 
-// Newer returns the newer of held and the configuration in the table service.
-// With an error it returns held.
-func Newer(ctx context.Context, t infra.Table, held structs.Config) (structs.Config, error) {
+// ReadNewer returns the newer of held and the configuration in the table
+// service. With an error it returns held.
+func ReadNewer(ctx context.Context, t infra.Table, held structs.Config) (structs.Config, error) {
 	for attempt := 0; ; attempt++ {
 		row, _, err := ReadRevision(ctx, t)
 		if err != nil || row.Revision <= held.Revision {
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -31,14 +31,14 @@
 	Revision structs.Revision `json:"revision"`
 	// Changed holds the last changes, one for each revision; the last one led
 	// to Revision.
-	Changed []Changed `json:"changed,omitempty"`
+	Changed []Change `json:"changed,omitempty"`
 	// Recent holds operations that an earlier release kept in this row. They
 	// are read and never written; see structs.OperationsKey.
 	Recent []Operation `json:"recent,omitempty"`
 }
 
-// Changed is the customer of a change of a contract.
-type Changed struct {
+// Change is the customer of a change of a contract.
+type Change struct {
 	Customer structs.Customer `json:"customer"`
 	Removed  bool             `json:"removed,omitempty"`
 }
@@ -51,8 +51,8 @@
 }
 
 // Next returns the row after one more change.
-func (r RevisionRow) Next(c Changed) RevisionRow {
-	changed := append([]Changed(nil), r.Changed...)
+func (r RevisionRow) Next(c Change) RevisionRow {
+	changed := append([]Change(nil), r.Changed...)
 	changed = append(changed, c)
 	if excess := len(changed) - RecentChanges; excess > 0 {
 		changed = changed[excess:]
--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -53,12 +53,12 @@
 	Down, Timeout, LoseAnswer, Delay, Slow float64
 	// Latency is the added duration of a slow request.
 	Latency Range
-	// Patience is the time after which a caller without an answer times out,
-	// unless its context ends sooner.
-	Patience Range
-	// Landing is the time from the sending of a delayed write to its effect.
-	Landing Range
-	// Hold keeps delayed writes until Control.Release, whatever Landing is.
+	// AnswerTimeout is the time after which a caller without an answer times
+	// out, unless its context ends sooner.
+	AnswerTimeout Range
+	// ApplyDelay is the time from the sending of a delayed write to its effect.
+	ApplyDelay Range
+	// Hold keeps delayed writes until Control.Release, whatever ApplyDelay is.
 	Hold bool
 	// Match limits the plan to some requests; nil means all.
 	Match func(Operation) bool
@@ -212,8 +212,8 @@
 	draw, slow := c.rng.Float64(), c.rng.Float64()
 	v := injection{
 		latency:    c.drawDuration(p.Latency),
-		timeout:    c.drawDuration(p.Patience),
-		applyDelay: c.drawDuration(p.Landing),
+		timeout:    c.drawDuration(p.AnswerTimeout),
+		applyDelay: c.drawDuration(p.ApplyDelay),
 		hold:       p.Hold,
 	}
 	matched := p.Match == nil || p.Match(op)
--- a/infra/fault/control_test.go
+++ b/infra/fault/control_test.go
@@ -54,7 +54,7 @@
 		_, err := theirs.Get(t.Context(), "slow")
 		want(t, err, nil, "slow write after its latency")
 
-		control.Set(fault.Plan{Timeout: 1, Patience: fault.Exactly(time.Minute)})
+		control.Set(fault.Plan{Timeout: 1, AnswerTimeout: fault.Exactly(time.Minute)})
 		_, err = ours.Get(t.Context(), "slow")
 		want(t, err, infra.ErrUnavailable, "read that times out")
 		control.Heal()
--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -24,9 +24,9 @@
 type RunRegistry struct {
 	log zerolog.Logger
 
-	mu     sync.Mutex
-	runs   map[structs.JobID][]*Run
-	broken int
+	mu         sync.Mutex
+	runs       map[structs.JobID][]*Run
+	violations int
 }
 
 // NewRunRegistry returns an empty registry, which writes the first broken
@@ -46,8 +46,8 @@
 		if earlier.Ended && earlier.Epoch != run.Epoch {
 			continue
 		}
-		r.broken++
-		if r.broken == 1 {
+		r.violations++
+		if r.violations == 1 {
 			r.log.Error().
 				Str("job", string(run.Job)).
 				Str("worker", string(run.Worker)).Uint64("epoch", uint64(run.Epoch)).
@@ -65,12 +65,12 @@
 	run.Ended = true
 }
 
-// Broken counts the pairs of runs of one job that overlapped or had the same
-// epoch.
-func (r *RunRegistry) Broken() int {
+// Violations counts the pairs of runs of one job that overlapped or had the
+// same epoch.
+func (r *RunRegistry) Violations() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.broken
+	return r.violations
 }
 
 // Runs returns the runs of a job in order of their starts.
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -66,9 +66,9 @@
 	unreported  []*run
 	// active counts the running programs of each job; the goroutines that run
 	// the programs update active. No count may exceed 1.
-	active  map[structs.JobID]int
-	broken  int
-	started int
+	active     map[structs.JobID]int
+	violations int
+	started    int
 }
 
 type run struct {
@@ -112,12 +112,12 @@
 	}
 }
 
-// Broken counts programs that were started while another run of the same job
-// was active on this worker. It must be 0.
-func (w *Worker) Broken() int {
+// Violations counts programs that were started while another run of the same
+// job was active on this worker. It must be 0.
+func (w *Worker) Violations() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.broken
+	return w.violations
 }
 
 // Started counts the programs that were started.
@@ -310,8 +310,8 @@
 	if w.active[id] == 1 {
 		return
 	}
-	w.broken++
-	if w.broken == 1 {
+	w.violations++
+	if w.violations == 1 {
 		w.opts.Log.Error().Str("job", string(id)).Str("worker", string(w.opts.Instance)).
 			Msg("invariant broken: a task runs twice on one worker")
 	}
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -34,8 +34,8 @@
 // exactly if the second start came too early.
 func TestLapsedLeaseStopsTaskAndOverlapsAreCounted(t *testing.T) {
 	for _, c := range []struct {
-		after  time.Duration
-		broken int
+		after      time.Duration
+		violations int
 	}{{900 * time.Millisecond, 1}, {1200 * time.Millisecond, 1}, {1301 * time.Millisecond, 0}} {
 		synctest.Test(t, func(t *testing.T) {
 			registry := NewRunRegistry(zerolog.Nop())
@@ -49,15 +49,15 @@
 			time.Sleep(c.after)
 			check(t, second.Start(t.Context(), assayTask(2, 1)), nil)
 			synctest.Wait()
-			if registry.Broken() != c.broken {
-				t.Errorf("second start after %v: %d broken, want %d", c.after, registry.Broken(), c.broken)
+			if registry.Violations() != c.violations {
+				t.Errorf("second start after %v: %d broken, want %d", c.after, registry.Violations(), c.violations)
 			}
 			check(t, first.Renew(t.Context(), 1, time.Hour), nil)
 			first.Close()
 			second.Close()
 			check(t, first.Start(t.Context(), assayTask(3, 1)), infra.ErrUnavailable)
-			if first.Broken() != 0 || first.Started() != 1 || len(registry.Running()) != 0 {
-				t.Errorf("broken %d, started %d, running %v", first.Broken(), first.Started(), registry.Running())
+			if first.Violations() != 0 || first.Started() != 1 || len(registry.Running()) != 0 {
+				t.Errorf("broken %d, started %d, running %v", first.Violations(), first.Started(), registry.Running())
 			}
 		})
 	}
--- a/infra/progress/progress.go
+++ b/infra/progress/progress.go
@@ -28,8 +28,9 @@
 	return context.WithValue(ctx, key{}, &watch{onData: onData, parent: parent})
 }
 
-// Bound returns a context that ends once the peer has sent nothing for idle.
-func Bound(ctx context.Context, idle time.Duration) (context.Context, context.CancelFunc) {
+// WithIdleTimeout returns a context that ends once the peer has sent nothing for
+// idle.
+func WithIdleTimeout(ctx context.Context, idle time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(idle, func() { cancel(ErrIdle) })
 	return Watch(ctx, func() { timer.Reset(idle) }), func() {
@@ -38,8 +39,8 @@
 	}
 }
 
-// Heard notifies the watches of ctx that the peer has sent data.
-func Heard(ctx context.Context) {
+// Received notifies the watches of ctx that the peer has sent data.
+func Received(ctx context.Context) {
 	w, _ := ctx.Value(key{}).(*watch)
 	for ; w != nil; w = w.parent {
 		w.onData()
@@ -58,7 +59,7 @@
 func (r *reader) Read(p []byte) (int, error) {
 	n, err := r.from.Read(p)
 	if n > 0 {
-		Heard(r.ctx)
+		Received(r.ctx)
 	}
 	return n, err
 }
--- a/infra/progress/progress_test.go
+++ b/infra/progress/progress_test.go
@@ -12,11 +12,11 @@
 // call that never times out.
 func TestBoundEndsOnlyWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := Bound(t.Context(), time.Second)
+		ctx, cancel := WithIdleTimeout(t.Context(), time.Second)
 		defer cancel()
 		for range 10 {
 			time.Sleep(900 * time.Millisecond)
-			Heard(ctx)
+			Received(ctx)
 		}
 		if err := ctx.Err(); err != nil {
 			t.Fatalf("ended despite progress: %v", err)
@@ -32,12 +32,12 @@
 // inner bound.
 func TestInnerProgressExtendsOuterBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outer, cancelOuter := Bound(t.Context(), time.Second)
+		outer, cancelOuter := WithIdleTimeout(t.Context(), time.Second)
 		defer cancelOuter()
-		inner, cancel := Bound(outer, time.Second)
+		inner, cancel := WithIdleTimeout(outer, time.Second)
 		defer cancel()
 		time.Sleep(900 * time.Millisecond)
-		Heard(inner)
+		Received(inner)
 		time.Sleep(900 * time.Millisecond)
 		if err := outer.Err(); err != nil {
 			t.Errorf("the outer bound ended: %v", err)
--- a/infra/random_test.go
+++ b/infra/random_test.go
@@ -60,14 +60,14 @@
 func drawPlan(t *rapid.T, label string) fault.Plan {
 	probability := rapid.SampledFrom([]float64{0, 0.05, 0.2})
 	return fault.Plan{
-		Down:       probability.Draw(t, label+" down"),
-		Timeout:    probability.Draw(t, label+" timeout"),
-		LoseAnswer: probability.Draw(t, label+" lose answer"),
-		Delay:      probability.Draw(t, label+" delay"),
-		Slow:       probability.Draw(t, label+" slow"),
-		Latency:    fault.Range{Min: time.Millisecond, Max: 3 * time.Second},
-		Patience:   fault.Range{Max: 200 * time.Millisecond},
-		Landing:    fault.Range{Max: rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, time.Minute}).Draw(t, label+" landing")},
+		Down:          probability.Draw(t, label+" down"),
+		Timeout:       probability.Draw(t, label+" timeout"),
+		LoseAnswer:    probability.Draw(t, label+" lose answer"),
+		Delay:         probability.Draw(t, label+" delay"),
+		Slow:          probability.Draw(t, label+" slow"),
+		Latency:       fault.Range{Min: time.Millisecond, Max: 3 * time.Second},
+		AnswerTimeout: fault.Range{Max: 200 * time.Millisecond},
+		ApplyDelay:    fault.Range{Max: rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, time.Minute}).Draw(t, label+" landing")},
 	}
 }
 
--- a/infra/remote/contract_test.go
+++ b/infra/remote/contract_test.go
@@ -307,8 +307,8 @@
 			t.Error(err)
 		}
 		wantError(t, w.Fence(ctx, 4), nil, "fence that stops")
-		if running := registry.Running(); len(running) != 0 || registry.Broken() != 0 {
-			t.Errorf("after the fence: running %v, broken %d", running, registry.Broken())
+		if running := registry.Running(); len(running) != 0 || registry.Violations() != 0 {
+			t.Errorf("after the fence: running %v, broken %d", running, registry.Violations())
 		}
 	})
 }
--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -24,8 +24,8 @@
 	Healthy Fault = iota
 	// Refused calls fail after the answer time.
 	Refused
-	// Silent calls get no answer and have no effect.
-	Silent
+	// Unresponsive calls get no answer and have no effect.
+	Unresponsive
 )
 
 // AnswerTime is the answer time of the users' store for a read.
@@ -131,9 +131,9 @@
 	}
 }
 
-// ReadsFineFor returns the time since reads last got no answer or a very late
+// ReadsHealthyFor returns the time since reads last got no answer or a very late
 // one; 0 while some do.
-func (s *Store) ReadsFineFor() time.Duration {
+func (s *Store) ReadsHealthyFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.readsFail() {
@@ -150,8 +150,8 @@
 	s.rate = bytes
 }
 
-// Calm reports whether a client's calls have no fault.
-func (s *Store) Calm(client string) bool {
+// FaultFree reports whether a client's calls have no fault.
+func (s *Store) FaultFree(client string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.allFault == Healthy && s.faults[client] == Healthy && s.slowdown == 1 && s.lostShare == 0 && s.muteShare == 0
@@ -186,11 +186,11 @@
 }
 
 // Client returns the store as the named client sees it.
-func (s *Store) Client(name string) rowstore.Store { return s.PatientClient(name, defaultIdle) }
+func (s *Store) Client(name string) rowstore.Store { return s.ClientWithIdleTimeout(name, defaultIdle) }
 
-// PatientClient returns the store as the named client sees it; a call times out
-// once no data of its answer has arrived for idle.
-func (s *Store) PatientClient(name string, idle time.Duration) rowstore.Store {
+// ClientWithIdleTimeout returns the store as the named client sees it; a call
+// times out once no data of its answer has arrived for idle.
+func (s *Store) ClientWithIdleTimeout(name string, idle time.Duration) rowstore.Store {
 	return &client{store: s, name: name, idle: idle}
 }
 
@@ -202,7 +202,7 @@
 
 // bound ends a read when the client's adapter would time out.
 func (c *client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	return progress.Bound(ctx, wait+c.idle)
+	return progress.WithIdleTimeout(ctx, wait+c.idle)
 }
 
 // chunk is the number of bytes of an answer that a link transfers at a time.
@@ -218,7 +218,7 @@
 		if !wait.For(ctx, c.reserveLink(min(size, chunk))) {
 			return rowstore.ErrUnknown
 		}
-		progress.Heard(ctx)
+		progress.Received(ctx)
 	}
 	return nil
 }
@@ -251,14 +251,14 @@
 	fault := max(s.allFault, s.faults[c.name])
 	duration = time.Duration(float64(duration) * s.slowdown)
 	if !write && fault == Healthy && s.muteShare > 0 && s.rng.Float64() < s.muteShare {
-		fault = Silent
+		fault = Unresponsive
 	}
 	s.mu.Unlock()
 	switch fault {
 	case Refused:
 		wait.For(ctx, answerTime)
 		return rowstore.ErrUnavailable
-	case Silent:
+	case Unresponsive:
 		wait.For(ctx, c.idle)
 		return rowstore.ErrUnknown
 	}
--- a/sessions/golden_test.go
+++ b/sessions/golden_test.go
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &transcript{session: newSession(t, o)}
 		steps(s)
-		if n := s.overcommits.Load() + int64(s.Registry.Broken()); n != 0 {
+		if n := s.overcommits.Load() + int64(s.Registry.Violations()); n != 0 {
 			t.Errorf("%d broken invariants", n)
 		}
 		got = replaceIDs(s.text.String())
--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -111,7 +111,7 @@
 // while reachable, none older than the required one.
 func (sim *Simulation) checkConfig(e *Entry) {
 	p := e.current()
-	calm := p != nil && !sim.isCut(e.Node) && !sim.isHidden(e.Node) && sim.Store.Calm(e.Node)
+	calm := p != nil && !sim.isCut(e.Node) && !sim.isHidden(e.Node) && sim.Store.FaultFree(e.Node)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	c, now := sim.configs, time.Now()
--- a/sessions/machines/entry.go
+++ b/sessions/machines/entry.go
@@ -59,7 +59,7 @@
 	indirect := relay.New(direct, e.Node, sim.link(e.Node), log)
 	rows := settle.New(indirect)
 	clock := intake.NewStoreClock(sim.now)
-	configStore := &nodeStore{Store: sim.Store.PatientClient(e.Node, configIdleTimeout), simulation: sim, node: e.Node}
+	configStore := &nodeStore{Store: sim.Store.ClientWithIdleTimeout(e.Node, configIdleTimeout), simulation: sim, node: e.Node}
 	config := intake.NewFollower(indirect.Reader(configStore), operatorRows, log, clock)
 	elector := scheduler.NewElector(scheduler.Config{
 		Node: e.Node, Process: fmt.Sprintf("%s/%d", e.Node, e.starts), Address: e.Node, Power: sim.power(e), Grant: grant, StatusFor: 2 * time.Minute,
@@ -96,7 +96,7 @@
 		return
 	}
 	e.simulation.unlisten(e.Node, p.server)
-	e.simulation.Store.SetFault(e.Node, memstore.Silent)
+	e.simulation.Store.SetFault(e.Node, memstore.Unresponsive)
 	p.cancel()
 	<-p.done
 	e.simulation.Store.SetFault(e.Node, memstore.Healthy)
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -85,7 +85,7 @@
 // an outcome that can't be known.
 func TestUnavailableStoreRefusesAtOnce(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
-		sim.Store.SetFault("", memstore.Silent)
+		sim.Store.SetFault("", memstore.Unresponsive)
 		time.Sleep(3 * second)
 		for _, e := range sim.Entries() {
 			begun := time.Now()
@@ -111,7 +111,7 @@
 // must fail then, too.
 func TestSubmissionFailsSoonWhenStoreStopsAnswering(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 1}, func(t *testing.T, sim *Simulation, c *Client) {
-		sim.Store.SetFault("", memstore.Silent)
+		sim.Store.SetFault("", memstore.Unresponsive)
 		ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 		defer cancel()
 		begun := time.Now()
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -201,7 +201,7 @@
 			sim.Store.SetFault("", memstore.Healthy)
 		},
 		func() {
-			sim.Store.SetFault("", memstore.Silent)
+			sim.Store.SetFault("", memstore.Unresponsive)
 			time.Sleep(wait / 2)
 			sim.Store.SetFault("", memstore.Healthy)
 		},
@@ -264,12 +264,12 @@
 		},
 		func() { sim.Store.Compact() },
 		func() {
-			sim.Store.SetFault(entry.Node, memstore.Silent)
+			sim.Store.SetFault(entry.Node, memstore.Unresponsive)
 			time.Sleep(wait)
 			sim.Store.SetFault(entry.Node, memstore.Healthy)
 		},
 		func() {
-			sim.Store.SetFault("", memstore.Silent)
+			sim.Store.SetFault("", memstore.Unresponsive)
 			time.Sleep(wait / 2)
 			sim.Store.SetFault("", memstore.Healthy)
 		},
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -111,7 +111,7 @@
 		Store: memstore.New(opt.Seed), Rules: NewRules(), advisor: newAdvisor(), opt: opt, began: time.Now(), log: zerolog.Nop(),
 		servers: map[string]*server{}, cut: map[string]bool{}, hidden: map[string]bool{},
 	}
-	sim.Rules.readsHealthyFor = sim.Store.ReadsFineFor
+	sim.Rules.readsHealthyFor = sim.Store.ReadsHealthyFor
 	if opt.Log != nil {
 		sim.log = zerolog.New(opt.Log).With().Timestamp().Logger()
 	}
--- a/sessions/machines/world_test.go
+++ b/sessions/machines/world_test.go
@@ -252,7 +252,7 @@
 			}
 			return nil
 		})
-		sim.Store.SetFault(leader.Node, memstore.Silent)
+		sim.Store.SetFault(leader.Node, memstore.Unresponsive)
 		for n := range 5 {
 			j := job(n, 4)
 			submit(t, client, j)
@@ -306,7 +306,7 @@
 // others. Clients of the scheduling entry must not be refused, and jobs must
 // still run.
 func TestStoreThatRefusesOneMachine(t *testing.T) {
-	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Silent} {
+	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Unresponsive} {
 		simulate(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 			time.Sleep(6 * second)
 			leader := sim.Leader()
@@ -325,7 +325,7 @@
 func TestSchedulerCutOffFromTheStoreContinues(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		leader := sim.Leader()
-		sim.Store.SetFault(leader.Node, memstore.Silent)
+		sim.Store.SetFault(leader.Node, memstore.Unresponsive)
 		time.Sleep(4 * second)
 		slow := 0
 		for n := range 8 {
@@ -345,7 +345,7 @@
 // The store answers no machine for a while. No job is accepted, no accepted job
 // is lost, and running tasks continue under their leases.
 func TestStoreOutage(t *testing.T) {
-	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Silent} {
+	for _, fault := range []memstore.Fault{memstore.Refused, memstore.Unresponsive} {
 		simulate(t, Options{Entries: 3, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 			submit(t, c, lastingJob(1, 4))
 			submit(t, c, job(2, 4))
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -273,7 +273,7 @@
 // faultyStore is a store that fails in every way.
 var faultyStore = fault.Plan{
 	Down: 0.1, Timeout: 0.1, LoseAnswer: 0.15, Delay: 0.15, Slow: 0.3,
-	Latency: fault.Range{Max: 500 * time.Millisecond}, Patience: fault.Exactly(time.Second), Landing: fault.Range{Max: 10 * time.Second},
+	Latency: fault.Range{Max: 500 * time.Millisecond}, AnswerTimeout: fault.Exactly(time.Second), ApplyDelay: fault.Range{Max: 10 * time.Second},
 }
 
 // breakStores makes the store faulty or unavailable for some processes.
@@ -332,7 +332,7 @@
 		c.t.Errorf("instances were overcommitted %d times: %s", n, c.s.overcommitNote)
 		c.printOvercommit()
 	}
-	if n := c.s.Registry.Broken(); n != 0 {
+	if n := c.s.Registry.Violations(); n != 0 {
 		c.t.Errorf("%d runs of a task overlapped: %s", n, c.s.overlap.String())
 		var first struct{ Job structs.JobID }
 		_ = json.Unmarshal(c.s.overlap.Bytes(), &first)
--- a/sessions/soak/faults_test.go
+++ b/sessions/soak/faults_test.go
@@ -72,7 +72,7 @@
 	{"link drops inbound data", relayFault(dropInbound)},
 	{"link drops all data", relayFault(dropAll)},
 	{"store refuses requests", storeFault(func(s *memstore.Store) { s.SetFault("", memstore.Refused) }, func(s *memstore.Store) { s.SetFault("", memstore.Healthy) })},
-	{"store unresponsive", storeFault(func(s *memstore.Store) { s.SetFault("", memstore.Silent) }, func(s *memstore.Store) { s.SetFault("", memstore.Healthy) })},
+	{"store unresponsive", storeFault(func(s *memstore.Store) { s.SetFault("", memstore.Unresponsive) }, func(s *memstore.Store) { s.SetFault("", memstore.Healthy) })},
 	{"store slow", storeFault(func(s *memstore.Store) { s.SetSlow(40) }, func(s *memstore.Store) { s.SetSlow(1) })},
 	{"store loses answers", storeFault(func(s *memstore.Store) { s.SetLost(0.4, true) }, func(s *memstore.Store) { s.SetLost(0, false) })},
 	{"store compacted", storeFault((*memstore.Store).Compact, func(*memstore.Store) {})},
