--- a/agent/runner/room.go
+++ b/agent/runner/room.go
@@ -9,13 +9,13 @@
 // show this. A capacity from an old report, or recorded by an earlier process
 // of the agent, may be more than the worker has.
 
-// defaultReportAge replaces a Config.ReportsHold of 0.
+// defaultReportAge replaces a Config.MaxReportAge of 0.
 const defaultReportAge = 3 * time.Second
 
 // reportedRecently reports whether the worker's latest report of its capacity
 // is recent enough to start a run there. The caller holds mu.
 func (r *Runner) reportedRecently(inc *incarnation) bool {
-	return inc.reportedAt > 0 && r.deps.Now()-inc.reportedAt <= cmp.Or(r.cfg.ReportsHold, defaultReportAge)
+	return inc.reportedAt > 0 && r.deps.Now()-inc.reportedAt <= cmp.Or(r.cfg.MaxReportAge, defaultReportAge)
 }
 
 // checkReports records for the scheduler when the worker's reports cease or
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -21,9 +21,9 @@
 type Config struct {
 	// MaxLease is the longest lease that the worker grants.
 	MaxLease time.Duration
-	// ReportsHold is the greatest age of the worker's latest report of itself
+	// MaxReportAge is the greatest age of the worker's latest report of itself
 	// at which a run may start there; 0 stands for defaultReportAge.
-	ReportsHold time.Duration
+	MaxReportAge time.Duration
 }
 
 // Deps are the dependencies of a runner.
--- a/cmd/machine/agent.go
+++ b/cmd/machine/agent.go
@@ -40,7 +40,7 @@
 	registration := runner.Registration{
 		Store: store.New(p.settings.StoreAddress), Node: p.settings.Node, Address: p.peerAddress(), Log: p.log,
 	}
-	r := runner.New(runner.Config{MaxLease: p.settings.Bounds.MaxLease, ReportsHold: p.settings.Bounds.Contact}, runner.Deps{
+	r := runner.New(runner.Config{MaxLease: p.settings.Bounds.MaxLease, MaxReportAge: p.settings.Bounds.Contact}, runner.Deps{
 		Control: worker.NewControl(p.settings.WorkerAddress), Log: p.log, Now: sinceBoot, Found: registration.Record,
 	})
 	if _, err := p.serveHTTP(p.settings.WorkerListen, worker.ReportHandler(reports{r})); err != nil {
--- a/cmd/machine/common.go
+++ b/cmd/machine/common.go
@@ -74,7 +74,7 @@
 	})
 	limit := &logs.Limit{PerSecond: logsPerSecond}
 	log := zerolog.New(w).With().Timestamp().Str("process", settings.Node).Str("start_id", rand.Text()[:startDigits]).Logger().Hook(steadyTime{})
-	limit.Tell = logs.TellLeftOut(log)
+	limit.OnLeftOut = logs.LogLeftOut(log)
 	log = log.Hook(limit)
 	dropped = zerolog.New(os.Stderr).With().Timestamp().Str("process", settings.Node).Logger()
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -58,7 +58,7 @@
 	around := relay.New(direct, p.peerAddress(), dispatch.NewLink, p.log)
 	rows := settle.New(around)
 	clock := intake.NewStoreClock(sinceBoot)
-	config := intake.NewFollower(around.Reader(direct.Patient(configSilence)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
+	config := intake.NewFollower(around.Reader(direct.WithIdleTimeout(configSilence)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
 	counters := &scheduler.Counters{}
 	elector := scheduler.NewElector(scheduler.Config{
 		Node: p.settings.Node, Process: rand.Text(), Address: p.peerAddress(), Power: p.settings.Cores,
--- a/ops/logs/limit.go
+++ b/ops/logs/limit.go
@@ -23,10 +23,10 @@
 	PerSecond int
 	// Now returns the time; nil means time.Now.
 	Now func() time.Time
-	// Tell, if set, is called after each second in which lines were left out,
-	// with the number of such lines by message. It must not log through the
+	// OnLeftOut, if set, is called after each second in which lines were left
+	// out, with the number of such lines by message. It must not log through the
 	// limited logger.
-	Tell func(leftOut map[string]int)
+	OnLeftOut func(leftOut map[string]int)
 
 	mu      sync.Mutex
 	second  int64
@@ -56,8 +56,8 @@
 // Run implements zerolog.Hook.
 func (l *Limit) Run(e *zerolog.Event, level zerolog.Level, message string) {
 	pass, report := l.admit(level, message)
-	if report != nil && l.Tell != nil {
-		l.Tell(report)
+	if report != nil && l.OnLeftOut != nil {
+		l.OnLeftOut(report)
 	}
 	if !pass {
 		e.Discard()
@@ -123,8 +123,8 @@
 // message.
 const MessageLeftOut = "lines left out"
 
-// TellLeftOut returns a Limit.Tell that writes a line to log.
-func TellLeftOut(log zerolog.Logger) func(map[string]int) {
+// LogLeftOut returns a Limit.OnLeftOut that writes a line to log.
+func LogLeftOut(log zerolog.Logger) func(map[string]int) {
 	return func(leftOut map[string]int) {
 		kinds := zerolog.Dict()
 		sum := 0
--- a/ops/logs/limit_test.go
+++ b/ops/logs/limit_test.go
@@ -47,7 +47,7 @@
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
 	var reports []map[string]int
-	l := &Limit{PerSecond: 100, Now: func() time.Time { return now }, Tell: func(m map[string]int) { reports = append(reports, m) }}
+	l := &Limit{PerSecond: 100, Now: func() time.Time { return now }, OnLeftOut: func(m map[string]int) { reports = append(reports, m) }}
 	log := zerolog.New(&out).Hook(l)
 	byTenth := map[int]int{}
 	for i := range 1000 {
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -134,7 +134,7 @@
 	if sim.opt.LogLines == 0 {
 		return log
 	}
-	return log.Hook(&logs.Limit{PerSecond: sim.opt.LogLines, Tell: logs.TellLeftOut(log)})
+	return log.Hook(&logs.Limit{PerSecond: sim.opt.LogLines, OnLeftOut: logs.LogLeftOut(log)})
 }
 
 func (sim *Simulation) isClosed() bool {
