--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -114,9 +114,9 @@
 	return d
 }
 
-// SetPace sets the interval of heartbeats while agents are few. It must precede
-// the first heartbeat.
-func (d *Directory) SetPace(minInterval time.Duration) { d.minInterval = minInterval }
+// SetHeartbeatInterval sets the interval of heartbeats while agents are few. It
+// must precede the first heartbeat.
+func (d *Directory) SetHeartbeatInterval(minInterval time.Duration) { d.minInterval = minInterval }
 
 // Hello records an agent's complete heartbeat and returns the time until the
 // next.
@@ -327,10 +327,10 @@
 	return a.Age, known
 }
 
-// SetSilent excludes an agent that does not answer until the agent sends a
-// message, or, if unresponsive is false, includes it again. It does not restore
-// a removed agent.
-func (d *Directory) SetSilent(id structs.InstanceID, unresponsive bool) {
+// SetUnresponsive excludes an agent that does not answer until the agent sends
+// a message, or, if unresponsive is false, includes it again. It does not
+// restore a removed agent.
+func (d *Directory) SetUnresponsive(id structs.InstanceID, unresponsive bool) {
 	d.mu.RLock()
 	rec := d.agents[id]
 	d.mu.RUnlock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -109,7 +109,7 @@
 	e := &Entry{config: c, deps: d, started: time.Now()}
 	e.directory = directory.New(c.Address, c.Seeds, d.Peers, d.Events, d.Log)
 	if c.Heartbeat > 0 {
-		e.directory.SetPace(c.Heartbeat)
+		e.directory.SetHeartbeatInterval(c.Heartbeat)
 	}
 	e.members = directory.NewMembers(c.ID, c.Address, d.Table, e.directory)
 	e.contracts = contracts.New(d.Table, e.directory, d.Events, d.Log, contracts.Options{Poll: c.ConfigPoll})
--- a/entry/urgent/call_test.go
+++ b/entry/urgent/call_test.go
@@ -34,7 +34,7 @@
 func (s *fakePeers) Suspect(structs.InstanceID)                        { s.suspects++ }
 func (s *fakePeers) Update(wire.Load)                                  {}
 func (s *fakePeers) Age(structs.InstanceID) (time.Duration, bool)      { return 0, true }
-func (s *fakePeers) SetSilent(structs.InstanceID, bool)                {}
+func (s *fakePeers) SetUnresponsive(structs.InstanceID, bool)          {}
 func (s *fakePeers) Agent(string) wire.AgentPeer                       { return s }
 func (s *fakePeers) Entry(string) wire.EntryPeer                       { return nil }
 
--- a/entry/urgent/fleet_test.go
+++ b/entry/urgent/fleet_test.go
@@ -60,7 +60,7 @@
 	f.dir = directory.New("e:1", nil, f, structs.NoEvents{}, zerolog.Nop())
 	// The heartbeat interval with 1,000 agents: no agent is overdue within the
 	// tests.
-	f.dir.SetPace(160 * time.Second)
+	f.dir.SetHeartbeatInterval(160 * time.Second)
 	for i := range n {
 		address := fmt.Sprint("a:", i)
 		a := &fakeAgent{fleet: f, instance: structs.InstanceID(fmt.Sprint("i", i)), work: func() time.Duration { return work(i) },
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -104,7 +104,7 @@
 	c.alive = l.probe(a, checkTimeout) || l.lifetime.Err() != nil
 	if !c.alive {
 		l.Unresponsive.Add(1)
-		l.dir.SetSilent(a.Instance, true)
+		l.dir.SetUnresponsive(a.Instance, true)
 		l.recordStep(StepAgentSilent, a.Instance)
 	}
 	close(c.done)
@@ -114,7 +114,7 @@
 	if l.awaitReturn(a) {
 		l.recordStep(StepAgentReturned, a.Instance)
 	}
-	l.dir.SetSilent(a.Instance, false)
+	l.dir.SetUnresponsive(a.Instance, false)
 }
 
 func (l *liveness) recordStep(step structs.Step, id structs.InstanceID) {
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -31,9 +31,9 @@
 	Begin(id structs.InstanceID) (end func())
 	Age(id structs.InstanceID) (age time.Duration, known bool)
 	Suspect(id structs.InstanceID)
-	// SetSilent excludes an agent until it sends a message, or, with false, ends
-	// the exclusion.
-	SetSilent(id structs.InstanceID, silent bool)
+	// SetUnresponsive excludes an agent until it sends a message, or, with
+	// false, ends the exclusion.
+	SetUnresponsive(id structs.InstanceID, unresponsive bool)
 	Update(l wire.Load)
 }
 
