--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -76,9 +76,9 @@
 	out := wire.Sample{Service: sample.Service, Band: uint8(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls}
 	for _, t := range sample.Together {
 		if count := math.Round(t.Count/countResolution) * countResolution; count > 0 {
-			out.Together = append(out.Together, wire.Together{Kind: t.Kind, Count: count})
+			out.Together = append(out.Together, wire.KindCount{Kind: t.Kind, Count: count})
 		}
 	}
-	slices.SortFunc(out.Together, func(a, b wire.Together) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
+	slices.SortFunc(out.Together, func(a, b wire.KindCount) int { return strings.Compare(string(a.Kind), string(b.Kind)) })
 	return out
 }
--- a/agent/relief/samples_test.go
+++ b/agent/relief/samples_test.go
@@ -55,7 +55,7 @@
 	if n := record(time.Second+maxInformativeAge, 1); n != 1 {
 		t.Errorf("an old window is kept forever: %d", n)
 	}
-	if got, want := s.latest["a"].sample.Together, []wire.Together{{Kind: "k", Count: 1}}; !slices.Equal(got, want) {
+	if got, want := s.latest["a"].sample.Together, []wire.KindCount{{Kind: "k", Count: 1}}; !slices.Equal(got, want) {
 		t.Errorf("rounded to %+v", got)
 	}
 }
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -28,7 +28,7 @@
 type formerIncarnation struct {
 	id workload.WorkerID
 	// freshRuns are the runs that may have crashed the incarnation.
-	freshRuns []dispatch.FreshRun
+	freshRuns []dispatch.SuspectRun
 	// changed is the version at which the incarnation's end was recorded.
 	changed uint64
 }
@@ -36,15 +36,15 @@
 // freshRuns lists the runs that may have crashed the worker: they may have
 // begun, and at its last answer had been on it for less than provenAfter. A
 // worker that announced its shutdown has not crashed. The caller holds mu.
-func (inc *incarnation) freshRuns() []dispatch.FreshRun {
+func (inc *incarnation) freshRuns() []dispatch.SuspectRun {
 	if inc.leaving {
 		return nil
 	}
-	var list []dispatch.FreshRun
+	var list []dispatch.SuspectRun
 	for id, x := range inc.runs {
 		if x.mayHaveBegun() && !x.proven(inc.answeredAt) {
 			begun := x.state == dispatch.RunPresent && !x.inherited && inc.downPromptly()
-			list = append(list, dispatch.FreshRun{Run: id, Begun: begun, Soon: begun && inc.failedAt > 0 && inc.failedAt-x.presentAt <= promptCrashTime})
+			list = append(list, dispatch.SuspectRun{Run: id, Begun: begun, Soon: begun && inc.failedAt > 0 && inc.failedAt-x.presentAt <= promptCrashTime})
 		}
 	}
 	return list
@@ -99,7 +99,7 @@
 
 // formerIncarnations lists the ended incarnations, and the runs that may have
 // crashed ended or lapsed incarnations that changed after version since.
-func (r *Runner) formerIncarnations(since uint64) (ids []workload.WorkerID, freshRuns []dispatch.FreshRun) {
+func (r *Runner) formerIncarnations(since uint64) (ids []workload.WorkerID, freshRuns []dispatch.SuspectRun) {
 	for _, f := range r.former {
 		ids = append(ids, f.id)
 		if since == 0 || f.changed > since {
@@ -112,7 +112,7 @@
 	return ids, freshRuns
 }
 
-func loggedRuns(runs []dispatch.FreshRun) []fmt.Stringer {
+func loggedRuns(runs []dispatch.SuspectRun) []fmt.Stringer {
 	list := make([]fmt.Stringer, 0, maxLoggedRuns)
 	for _, r := range runs[:min(len(runs), maxLoggedRuns)] {
 		list = append(list, r.Run)
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -148,7 +148,7 @@
 	if omitted == withMeasurement {
 		sample := wire.Sample{Service: "assay-check", Band: 1, ServiceTime: 20 * time.Millisecond, Calls: 30}
 		for i := range 8 {
-			sample.Together = append(sample.Together, wire.Together{Kind: structs.Kind(fmt.Sprintf("nightly-rep-%03d", i)), Count: 1.25})
+			sample.Together = append(sample.Together, wire.KindCount{Kind: structs.Kind(fmt.Sprintf("nightly-rep-%03d", i)), Count: 1.25})
 		}
 		r.Samples = []wire.Sample{sample}
 	}
--- a/entry/model/samples_test.go
+++ b/entry/model/samples_test.go
@@ -20,7 +20,7 @@
 		},
 		Samples: []wire.Sample{{
 			Service: "s", Band: uint8(decide.BandMiddle), ServiceTime: 300 * time.Millisecond, Calls: 20,
-			Together: []wire.Together{{Kind: "noisy", Count: 2}, {Kind: "calm", Count: 1}},
+			Together: []wire.KindCount{{Kind: "noisy", Count: 2}, {Kind: "calm", Count: 1}},
 		}},
 	}
 }
--- a/entry/scheduler/crash.go
+++ b/entry/scheduler/crash.go
@@ -36,14 +36,14 @@
 	// judged says that the worker's agent has named the runs that may be the
 	// cause; fresh holds these runs.
 	judged bool
-	fresh  map[workload.RunID]dispatch.FreshRun
+	fresh  map[workload.RunID]dispatch.SuspectRun
 	// crashed says that the incarnation has ended, not just become unreachable.
 	crashed bool
 }
 
 // freshRuns returns the set of the runs that an agent reports as fresh.
-func freshRuns(reply *dispatch.WatchReply) map[workload.RunID]dispatch.FreshRun {
-	set := make(map[workload.RunID]dispatch.FreshRun, len(reply.Fresh))
+func freshRuns(reply *dispatch.WatchReply) map[workload.RunID]dispatch.SuspectRun {
+	set := make(map[workload.RunID]dispatch.SuspectRun, len(reply.Fresh))
 	for _, r := range reply.Fresh {
 		set[r.Run] = r
 	}
--- a/entry/scheduler/crash_test.go
+++ b/entry/scheduler/crash_test.go
@@ -23,7 +23,7 @@
 func (t *Term) crashWorker(id workload.WorkerID, begun, soon bool, jobs ...workload.JobID) {
 	w := newWorker(id, "node")
 	t.workers[id] = w
-	fresh := map[workload.RunID]dispatch.FreshRun{}
+	fresh := map[workload.RunID]dispatch.SuspectRun{}
 	for _, j := range jobs {
 		s := t.jobs[j].occurrences[0].steps[0]
 		k := &s.tasks[0]
@@ -32,7 +32,7 @@
 		s.waiting--
 		r := workload.RunID{Task: workload.TaskID{Job: j}, Run: k.run}
 		w.add(r, s.spec)
-		fresh[r] = dispatch.FreshRun{Run: r, Begun: begun, Soon: soon}
+		fresh[r] = dispatch.SuspectRun{Run: r, Begun: begun, Soon: soon}
 	}
 	t.removeWorker(id, workerLoss{judged: true, fresh: fresh})
 }
--- a/sessions/machines/world.go
+++ b/sessions/machines/world.go
@@ -287,7 +287,7 @@
 // link returns the function that links programs on node to an address.
 func (sim *Simulation) link(node string) func(string) *dispatch.Link {
 	return func(address string) *dispatch.Link {
-		return dispatch.NewLinkOver(address, func(context.Context) (net.Conn, error) {
+		return dispatch.NewLinkWithDial(address, func(context.Context) (net.Conn, error) {
 			return sim.dial(node, address)
 		})
 	}
--- a/structs/workload/config.go
+++ b/structs/workload/config.go
@@ -30,8 +30,9 @@
 // Service is one service of a configuration.
 type Service struct {
 	Name string
-	// Guards says that the service's workers refuse tasks that do not fit.
-	Guards bool
+	// EnforcesCapacity says that the service's workers refuse tasks that do not
+	// fit.
+	EnforcesCapacity bool
 	// HealthPath is the path at which the service's workers report health.
 	HealthPath string
 }
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -57,8 +57,8 @@
 	}}
 }
 
-// NewLinkOver returns a link that connects by calling dial.
-func NewLinkOver(address string, dial func(ctx context.Context) (net.Conn, error)) *Link {
+// NewLinkWithDial returns a link that connects by calling dial.
+func NewLinkWithDial(address string, dial func(ctx context.Context) (net.Conn, error)) *Link {
 	return &Link{address: address, dial: dial}
 }
 
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -153,17 +153,17 @@
 	Former []workload.WorkerID
 	// Fresh lists the runs that may have crashed an incarnation in Former, or
 	// the lapsed worker. The list is repeated until it is read.
-	Fresh []FreshRun
+	Fresh []SuspectRun
 	Runs  []RunReport
 	Ends  []workload.End
 	// Sample is set once in each WatchArgs.SampleEvery.
 	Sample *TailSample
 }
 
-// FreshRun is a run that may have crashed its worker. Begun says that the run
+// SuspectRun is a run that may have crashed its worker. Begun says that the run
 // was certainly there, and not for long; else its order may have come too late.
 // Soon says that the worker stopped answering shortly after the run's start.
-type FreshRun struct {
+type SuspectRun struct {
 	Run   workload.RunID
 	Begun bool
 	Soon  bool
--- a/wire/entry.go
+++ b/wire/entry.go
@@ -34,11 +34,11 @@
 	Band        uint8
 	ServiceTime time.Duration
 	Calls       int
-	Together    []Together
+	Together    []KindCount
 }
 
-// Together is the mean number of running tasks of one kind in a window.
-type Together struct {
+// KindCount is the mean number of running tasks of one kind in a window.
+type KindCount struct {
 	Kind  structs.Kind
 	Count float64
 }
