--- a/sessions/machines/crash_test.go
+++ b/sessions/machines/crash_test.go
@@ -188,7 +188,7 @@
 				t.Error("the job does not run")
 				return
 			}
-			at.Worker().SetDark(true)
+			at.Worker().SetUnresponsive(true)
 			for sim.agentRunning(JobID(1)) == nil || sim.agentRunning(JobID(1)) == at {
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/sessions/machines/drain_test.go
+++ b/sessions/machines/drain_test.go
@@ -168,12 +168,12 @@
 // worker answers again.
 func TestDrainCancelsOrdersInFlight(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
-		sim.Agents()[0].Worker().SetDark(true)
+		sim.Agents()[0].Worker().SetUnresponsive(true)
 		submit(t, c, job(1, 12))
 		time.Sleep(100 * time.Millisecond)
 		sim.Drain(drained, true)
 		time.Sleep(600 * time.Millisecond)
-		sim.Agents()[0].Worker().SetDark(false)
+		sim.Agents()[0].Worker().SetUnresponsive(false)
 		await(t, c, JobID(1), workload.Completed, 20*second)
 		if last := sim.Rules.LastStartAfterDrain(); last > 0 {
 			t.Errorf("a task began there %v after the drain", last)
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -319,7 +319,7 @@
 func TestLostStartsAreRepeatedSoon(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
-			a.Worker().SetLate(0.5)
+			a.Worker().SetLateOrders(0.5)
 		}
 		var sum time.Duration
 		const jobs = 12
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -193,8 +193,8 @@
 		func() { sim.Cut(entry.Node, true); time.Sleep(wait); sim.Cut(entry.Node, false) },
 		func() { agent.Worker().Crash(); time.Sleep(wait / 2); agent.NewWorker() },
 		func() { agent.Worker().Kill(); time.Sleep(wait); agent.NewWorker() },
-		func() { o := agent.Worker(); o.SetDark(true); time.Sleep(wait); o.SetDark(false) },
-		func() { o := agent.Worker(); o.SetLate(0.3); time.Sleep(wait); o.SetLate(0) },
+		func() { o := agent.Worker(); o.SetUnresponsive(true); time.Sleep(wait); o.SetUnresponsive(false) },
+		func() { o := agent.Worker(); o.SetLateOrders(0.3); time.Sleep(wait); o.SetLateOrders(0) },
 		func() {
 			sim.Store.SetFault("", memstore.Refused)
 			time.Sleep(wait / 2)
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -152,15 +152,16 @@
 	w.info.Draining = true
 }
 
-// SetDark sets whether the worker leaves calls unanswered.
-func (w *Worker) SetDark(unresponsive bool) {
+// SetUnresponsive sets whether the worker leaves calls unanswered.
+func (w *Worker) SetUnresponsive(unresponsive bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unresponsive = unresponsive
 }
 
-// SetLate sets the share of orders that are executed late.
-func (w *Worker) SetLate(share float64) {
+// SetLateOrders sets the share of orders that get no answer and are executed
+// late.
+func (w *Worker) SetLateOrders(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.late = share
--- a/sessions/machines/world_test.go
+++ b/sessions/machines/world_test.go
@@ -173,9 +173,9 @@
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
 		time.Sleep(2 * second)
-		sim.Agents()[0].Worker().SetDark(true)
+		sim.Agents()[0].Worker().SetUnresponsive(true)
 		time.Sleep(15 * second)
-		sim.Agents()[0].Worker().SetDark(false)
+		sim.Agents()[0].Worker().SetUnresponsive(false)
 		time.Sleep(5 * second)
 	})
 }
@@ -221,7 +221,7 @@
 func TestOrdersThatAreCarriedOutLate(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3, Seed: 5}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
-			a.Worker().SetLate(0.33)
+			a.Worker().SetLateOrders(0.33)
 		}
 		var ids []workload.JobID
 		for n := range 12 {
--- a/sessions/soak/faults_test.go
+++ b/sessions/soak/faults_test.go
@@ -89,13 +89,13 @@
 	}},
 	{"worker executes orders late", func(d *deployment, rng *rand.Rand) func() {
 		w := pick(rng, d.hosts).current()
-		w.SetLate(0.3)
-		return func() { w.SetLate(0) }
+		w.SetLateOrders(0.3)
+		return func() { w.SetLateOrders(0) }
 	}},
 	{"worker unresponsive", func(d *deployment, rng *rand.Rand) func() {
 		w := pick(rng, d.hosts).current()
-		w.SetDark(true)
-		return func() { w.SetDark(false) }
+		w.SetUnresponsive(true)
+		return func() { w.SetUnresponsive(false) }
 	}},
 }
 
