--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -117,7 +117,7 @@
 	key   string
 	busy  *busy
 	all   []*busy
-	count *sample.Lodgements
+	count *sample.Submissions
 	mu    sync.Mutex
 	told  map[string][]response
 	// latest are the last answers, which a failed test prints.
@@ -131,7 +131,7 @@
 // startClaims announces one instance's lodging of claims, which works until
 // its busy server is released.
 func (w *world) startClaims(i *instance, slots int64) *claims {
-	c := &claims{world: w, busy: newBusy(slots), count: sample.NewLodgements(), told: make(map[string][]response)}
+	c := &claims{world: w, busy: newBusy(slots), count: sample.NewSubmissions(), told: make(map[string][]response)}
 	c.announceClaims(i, c.busy)
 	c.key = w.contract("kowhai", 1)
 	w.t.Cleanup(func() {
@@ -147,7 +147,7 @@
 // announceClaims announces the lodging of claims on one instance.
 func (c *claims) announceClaims(i *instance, b *busy) {
 	c.all = append(c.all, b)
-	c.announce(i, sample.LodgeClaim, false, int(b.slots), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	c.announce(i, sample.SubmitClaim, false, int(b.slots), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		c.count.ServeHTTP(discard{rw.Header()}, r)
 		b.ServeHTTP(rw, r)
 	}))
--- a/cmd/e2e/failure_test.go
+++ b/cmd/e2e/failure_test.go
@@ -99,7 +99,7 @@
 	a := w.startInstance("instance-1", nil)
 	b := newBusy(8)
 	var lodged atomic.Int64
-	w.announce(a, sample.LodgeClaim, false, 8, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w.announce(a, sample.SubmitClaim, false, 8, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		lodged.Add(1)
 		b.ServeHTTP(rw, r)
 	}))
--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -115,7 +115,7 @@
 	table    *memory.Table
 	objects  *memory.Objects
 	registry *memory.RunRegistry
-	lodged   *sample.Lodgements
+	lodged   *sample.Submissions
 	operator string
 	secret   string
 	entries  []*process
@@ -132,7 +132,7 @@
 	t.Cleanup(cancel)
 	return &world{
 		t: t, table: memory.NewTable(), objects: memory.NewObjects(), registry: memory.NewRunRegistry(zerolog.Nop()),
-		lodged: sample.NewLodgements(), operator: keys.Generate(), secret: "a secret of the test's processes", ctx: ctx,
+		lodged: sample.NewSubmissions(), operator: keys.Generate(), secret: "a secret of the test's processes", ctx: ctx,
 	}
 }
 
--- a/cmd/e2e/path_test.go
+++ b/cmd/e2e/path_test.go
@@ -27,7 +27,7 @@
 	for i := range 3 {
 		a := w.startInstance(fmt.Sprintf("instance-%d", i+1), nil)
 		w.announce(a, sample.AssayCheck, true, 8, http.HandlerFunc(sample.Assay))
-		w.announce(a, sample.LodgeClaim, false, 8, w.lodged)
+		w.announce(a, sample.SubmitClaim, false, 8, w.lodged)
 	}
 	key := w.contract("granite-notch", 0.9)
 	for _, e := range w.entries {
--- a/cmd/node/cluster.go
+++ b/cmd/node/cluster.go
@@ -36,7 +36,7 @@
 	Entries     []*Entry
 	Agents      []*Agent
 	OperatorKey string
-	Lodgements  *sample.Lodgements
+	Submissions *sample.Submissions
 
 	secret   string
 	table    *memory.Table
@@ -50,7 +50,7 @@
 // StartSample starts entries, agents and backend servers on loopback.
 func StartSample(log zerolog.Logger) (*Sample, error) {
 	s := &Sample{
-		OperatorKey: keys.Generate(), Lodgements: sample.NewLodgements(),
+		OperatorKey: keys.Generate(), Submissions: sample.NewSubmissions(),
 		secret: rand.Text(), table: memory.NewTable(), objects: memory.NewObjects(), log: log,
 	}
 	for i := range sampleEntries {
@@ -112,7 +112,7 @@
 	}{
 		{sample.AssayCheck, true, http.HandlerFunc(sample.Assay)},
 		{sample.ReceiptCheck, true, http.HandlerFunc(sample.Receipt)},
-		{sample.LodgeClaim, false, s.Lodgements},
+		{sample.SubmitClaim, false, s.Submissions},
 	}
 	for _, one := range services {
 		b, err := StartBackend(ctx, "http://"+n.HTTPAddress(), one.name, one.idempotent, sampleSlots, one.handler)
--- a/cmd/persimmonrock/dev.go
+++ b/cmd/persimmonrock/dev.go
@@ -173,6 +173,6 @@
   export PERSIMMONROCK_SERVER=%s PERSIMMONROCK_KEY=%s
 
 Ctrl-C stops it.
-`, len(s.Entries), len(s.Agents), sample.AssayCheck, sample.ReceiptCheck, sample.LodgeClaim, sample.GradeReport,
+`, len(s.Entries), len(s.Agents), sample.AssayCheck, sample.ReceiptCheck, sample.SubmitClaim, sample.GradeReport,
 		key, urgentBody, urgentURL(s), key, entry, entry, s.OperatorKey)
 }
--- a/cmd/sample/sample.go
+++ b/cmd/sample/sample.go
@@ -1,5 +1,5 @@
 // Package sample holds small services and a batch kind for `persimmonrock dev`
-// and for tests: an assay check, a receipt check, a claim lodgement that must
+// and for tests: an assay check, a receipt check, a claim submission that must
 // not run twice, and grade reports as batch tasks.
 package sample
 
@@ -21,7 +21,7 @@
 const (
 	AssayCheck   structs.Service = "assay-check"
 	ReceiptCheck structs.Service = "receipt-check"
-	LodgeClaim   structs.Service = "lodge-claim"
+	SubmitClaim  structs.Service = "lodge-claim"
 	GradeReport  structs.Kind    = "grade-report"
 )
 
@@ -53,35 +53,35 @@
 	answer(w, map[string]any{"receipt": q.Receipt, "valid": q.Receipt != "" && q.Cents > 0, "credit_cents": q.Cents / 3})
 }
 
-// Lodgements counts how often each claim was lodged; once is right.
-type Lodgements struct {
+// Submissions counts how often each claim was submitted; once is right.
+type Submissions struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-// NewLodgements returns an empty count.
-func NewLodgements() *Lodgements { return &Lodgements{count: make(map[string]int)} }
+// NewSubmissions returns an empty count.
+func NewSubmissions() *Submissions { return &Submissions{count: make(map[string]int)} }
 
-// ServeHTTP lodges the claim {"claim":"..."}.
-func (l *Lodgements) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP records a submission of the claim {"claim":"..."}.
+func (s *Submissions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var q struct {
 		Claim string `json:"claim"`
 	}
 	if !read(w, r, &q) {
 		return
 	}
-	l.mu.Lock()
-	l.count[q.Claim]++
-	n := l.count[q.Claim]
-	l.mu.Unlock()
+	s.mu.Lock()
+	s.count[q.Claim]++
+	n := s.count[q.Claim]
+	s.mu.Unlock()
 	answer(w, map[string]any{"claim": q.Claim, "lodged": n})
 }
 
-// Count returns how often a claim was lodged.
-func (l *Lodgements) Count(claim string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.count[claim]
+// Count returns how often a claim was submitted.
+func (s *Submissions) Count(claim string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.count[claim]
 }
 
 func read(w http.ResponseWriter, r *http.Request, v any) bool {
--- a/sessions/golden_test.go
+++ b/sessions/golden_test.go
@@ -201,7 +201,7 @@
 		cutOnce()
 		s.printTimelineOf(s.callService(s.entries[0], sample.AssayCheck, `{"sample":"GN-17"}`))
 		cutOnce()
-		s.printTimelineOf(s.callService(s.entries[0], sample.LodgeClaim, `{"claim":"C-1"}`))
+		s.printTimelineOf(s.callService(s.entries[0], sample.SubmitClaim, `{"claim":"C-1"}`))
 		s.printf("lodged %d times", s.executedClaims.Count("C-1"))
 	})
 }
@@ -219,13 +219,13 @@
 				return inproc.Deliver
 			})
 			claim := fmt.Sprintf("cut-%d", fault)
-			s.callService(s.entries[0], sample.LodgeClaim, fmt.Sprintf(`{"claim":%q}`, claim))
+			s.callService(s.entries[0], sample.SubmitClaim, fmt.Sprintf(`{"claim":%q}`, claim))
 			s.printf("lodged %d times", s.executedClaims.Count(claim))
 			time.Sleep(5 * time.Second)
 		}
 		s.Net.Script(nil)
 		s.Web.Script(func(*http.Request) inproc.WebFault { return inproc.WebRefuse })
-		s.callService(s.entries[0], sample.LodgeClaim, `{"claim":"refused"}`)
+		s.callService(s.entries[0], sample.SubmitClaim, `{"claim":"refused"}`)
 		s.printf("lodged %d times", s.executedClaims.Count("refused"))
 	})
 }
@@ -243,7 +243,7 @@
 			return inproc.Deliver
 		})
 		sendClaim := func(e int, claim string) {
-			s.callService(s.entries[e], sample.LodgeClaim, fmt.Sprintf(`{"claim":%q}`, claim), "Idempotency-Key", claim)
+			s.callService(s.entries[e], sample.SubmitClaim, fmt.Sprintf(`{"claim":%q}`, claim), "Idempotency-Key", claim)
 			s.printf("%s lodged %d times", claim, s.executedClaims.Count(claim))
 		}
 		sendClaim(0, "C-1")
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -203,7 +203,7 @@
 		header = []string{"Idempotency-Key", claim}
 	}
 	c.wait.Go(func() {
-		c.claimAnswers.add(claim, c.s.call(e, sample.LodgeClaim, fmt.Sprintf(`{"claim":%q}`, claim), 5*time.Second, header...))
+		c.claimAnswers.add(claim, c.s.call(e, sample.SubmitClaim, fmt.Sprintf(`{"claim":%q}`, claim), 5*time.Second, header...))
 	})
 }
 
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -41,7 +41,7 @@
 	entries        []*inproc.Entry
 	instances      []*inproc.Instance
 	backends       []*inproc.Backend
-	executedClaims *sample.Lodgements
+	executedClaims *sample.Submissions
 	// overcommits counts the starts after which an instance ran more work than
 	// it has slots.
 	overcommits atomic.Int64
@@ -83,7 +83,7 @@
 	w := inproc.NewCluster(o.seed, zerolog.Nop())
 	t.Cleanup(w.Close)
 	w.AgentLease, w.WorkerLease = o.lease, 5*time.Second
-	s := &session{Cluster: w, t: t, slots: max(o.slots, 1), executedClaims: sample.NewLodgements()}
+	s := &session{Cluster: w, t: t, slots: max(o.slots, 1), executedClaims: sample.NewSubmissions()}
 	w.Registry = memory.NewRunRegistry(zerolog.New(&s.overlap))
 	for i := range max(o.entries, 1) {
 		s.entries = append(s.entries, w.StartEntry(fmt.Sprintf("entry-%d", i+1)))
@@ -97,7 +97,7 @@
 		n := w.StartInstance(f.id, s.slots)
 		s.backends = append(s.backends,
 			n.StartBackend(sample.AssayCheck, true, s.slots, s.handler(f, http.HandlerFunc(sample.Assay), o.work)),
-			n.StartBackend(sample.LodgeClaim, false, s.slots, s.handler(f, s.executedClaims, o.work)))
+			n.StartBackend(sample.SubmitClaim, false, s.slots, s.handler(f, s.executedClaims, o.work)))
 		s.instances = append(s.instances, n)
 	}
 	synctest.Wait()
