--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -100,7 +100,7 @@
 // process that still runs.
 func (w *cluster) checkAll() {
 	w.t.Helper()
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		w.t.Errorf("%d runs of a task overlapped", n)
 	}
 	for _, p := range append(w.entries, w.agents...) {
@@ -119,7 +119,7 @@
 	key      string
 	server   *blockingServer
 	servers  []*blockingServer
-	count    *sample.Lodgements
+	count    *sample.Submissions
 	mu       sync.Mutex
 	received map[string][]response
 	// latestAnswers holds the last answers, which a failed test prints.
@@ -133,7 +133,7 @@
 // startClaims announces a service for lodging claims on one instance. Its calls
 // block until the backend server is released.
 func (w *cluster) startClaims(i *instance, slots int64) *claims {
-	c := &claims{cluster: w, server: newBlockingServer(slots), count: sample.NewLodgements(), received: make(map[string][]response)}
+	c := &claims{cluster: w, server: newBlockingServer(slots), count: sample.NewSubmissions(), received: make(map[string][]response)}
 	c.announceClaims(i, c.server)
 	c.key = w.contract("kowhai", 1)
 	w.t.Cleanup(func() {
@@ -149,7 +149,7 @@
 // announceClaims announces the service for lodging claims on one instance.
 func (c *claims) announceClaims(i *instance, b *blockingServer) {
 	c.servers = append(c.servers, b)
-	c.announce(i, sample.LodgeClaim, false, int(b.slots), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	c.announce(i, sample.SubmitClaim, false, int(b.slots), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		c.count.ServeHTTP(discardWriter{rw.Header()}, r)
 		b.ServeHTTP(rw, r)
 	}))
--- a/cmd/e2e/failure_test.go
+++ b/cmd/e2e/failure_test.go
@@ -102,7 +102,7 @@
 	a := w.startInstance("instance-1", nil)
 	b := newBlockingServer(8)
 	var lodged atomic.Int64
-	w.announce(a, sample.LodgeClaim, false, 8, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w.announce(a, sample.SubmitClaim, false, 8, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		lodged.Add(1)
 		b.ServeHTTP(rw, r)
 	}))
@@ -151,7 +151,7 @@
 	t.Logf("running again %s after the freeze", time.Since(started).Round(10*time.Millisecond))
 	frozen.signal(t, syscall.SIGCONT)
 	w.eventually("the report is done", func() bool { return w.state(w.entries[0], key, id) == "done" })
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		t.Errorf("the report ran in two places %d times", n)
 	}
 	for _, a := range []*instance{frozen, other} {
@@ -189,7 +189,7 @@
 	for _, id := range ids {
 		w.eventually("job "+id+" is done", func() bool { return w.state(w.entries[1], key, id) == "done" })
 	}
-	if n := w.registry.Broken(); n != 0 {
+	if n := w.registry.Violations(); n != 0 {
 		t.Errorf("%d runs overlapped", n)
 	}
 	w.checkInvariants(w.entries[1])
--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -116,7 +116,7 @@
 	table    *memory.Table
 	objects  *memory.Objects
 	registry *memory.RunRegistry
-	lodged   *sample.Lodgements
+	lodged   *sample.Submissions
 	operator string
 	secret   string
 	entries  []*process
@@ -133,7 +133,7 @@
 	t.Cleanup(cancel)
 	return &cluster{
 		t: t, table: memory.NewTable(), objects: memory.NewObjects(), registry: memory.NewRunRegistry(zerolog.Nop()),
-		lodged: sample.NewLodgements(), operator: keys.Generate(), secret: "a secret of the test's processes", ctx: ctx,
+		lodged: sample.NewSubmissions(), operator: keys.Generate(), secret: "a secret of the test's processes", ctx: ctx,
 	}
 }
 
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -59,7 +59,7 @@
 	relayed := relay.New(direct, p.peerAddress(), dispatch.NewLink, p.log)
 	rows := settle.New(relayed)
 	clock := intake.NewStoreClock(sinceBoot)
-	config := intake.NewFollower(relayed.Reader(direct.Patient(configTimeout)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
+	config := intake.NewFollower(relayed.Reader(direct.WithIdleTimeout(configTimeout)), intake.ConfigSource{Key: operator.ConfigKey, Parse: operator.ParseConfig, Drained: operator.Drained}, p.log, clock)
 	counters := &scheduler.Counters{}
 	elector := scheduler.NewElector(scheduler.Config{
 		Node: p.settings.Node, Process: rand.Text(), Address: p.peerAddress(), Power: p.settings.Cores,
--- a/cmd/node/cluster.go
+++ b/cmd/node/cluster.go
@@ -37,7 +37,7 @@
 	Entries     []*Entry
 	Agents      []*Agent
 	OperatorKey string
-	Lodgements  *sample.Lodgements
+	Submissions *sample.Submissions
 
 	secret   string
 	table    *memory.Table
@@ -51,7 +51,7 @@
 // StartSample starts entries, agents and backend servers on loopback.
 func StartSample(log zerolog.Logger) (*Sample, error) {
 	s := &Sample{
-		OperatorKey: keys.Generate(), Lodgements: sample.NewLodgements(),
+		OperatorKey: keys.Generate(), Submissions: sample.NewSubmissions(),
 		secret: rand.Text(), table: memory.NewTable(), objects: memory.NewObjects(), log: log,
 	}
 	for i := range sampleEntries {
@@ -113,7 +113,7 @@
 	}{
 		{sample.AssayCheck, true, http.HandlerFunc(sample.Assay)},
 		{sample.ReceiptCheck, true, http.HandlerFunc(sample.Receipt)},
-		{sample.LodgeClaim, false, s.Lodgements},
+		{sample.SubmitClaim, false, s.Submissions},
 	}
 	for _, service := range services {
 		b, err := StartBackend(ctx, "http://"+n.HTTPAddress(), service.name, service.idempotent, sampleSlots, service.handler)
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -23,7 +23,7 @@
 type agentState struct {
 	history *decide.History
 	model   *decide.Interference
-	memory  decide.ReliefMemory
+	memory  decide.ReliefTracker
 	demand  map[structs.Customer]*decide.Demand
 	// combined is the demand of all urgent calls together. Calls of a customer
 	// count only up to its quota.
@@ -33,7 +33,7 @@
 	serviceUses []decide.SlotUse
 	uses        []decide.SlotUse
 	shortfall   int
-	together    []decide.Together
+	together    []decide.KindCount
 }
 
 // Predictive makes every decision with package decide. It uses learnt
@@ -66,8 +66,8 @@
 // Name implements Policy.
 func (p *Predictive) Name() string { return "persimmonrock" }
 
-// Urgent implements Policy.
-func (p *Predictive) Urgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
+// ChooseUrgent implements Policy.
+func (p *Predictive) ChooseUrgent(_ time.Duration, _ int, q decide.UrgentQuery, cs []decide.Candidate) (int, decide.Hold) {
 	return decide.ChooseUrgent(q, cs, p.shared)
 }
 
@@ -76,13 +76,13 @@
 	all := decide.SlotUse{Expected: s.combined.Expected(now)}
 	for i := range s.uses {
 		u := &s.uses[i]
-		u.Right = decide.Quota(contracts[u.Customer], a.ID, a.Total)
+		u.Quota = decide.Quota(contracts[u.Customer], a.ID, a.Total)
 		u.Recent = noRecentUse
 		if d := s.demand[u.Customer]; d != nil {
 			u.Expected = d.Expected(now)
 			u.Recent = d.Recent(now)
 		}
-		all.Urgent += min(u.Urgent, max(u.Right, 1))
+		all.Urgent += min(u.Urgent, max(u.Quota, 1))
 	}
 	s.uses = append(s.uses, all)
 	return s.uses
@@ -114,7 +114,7 @@
 	s.serviceUses = append(s.serviceUses[:0], a.ServiceUses...)
 	for i := range s.serviceUses {
 		u := &s.serviceUses[i]
-		u.Right = decide.Quota(contracts[u.Customer], a.ID+structs.InstanceID(a.Service), slots)
+		u.Quota = decide.Quota(contracts[u.Customer], a.ID+structs.InstanceID(a.Service), slots)
 		u.Recent = noRecentUse
 		if d := s.services[demandKey{a.Service, u.Customer}]; d != nil {
 			u.Expected = d.Expected(now)
@@ -171,7 +171,7 @@
 	}
 	placed, holds := p.planner.PlaceBatch(v, p.shared, limit)
 	for _, one := range placed {
-		p.health.Probing(now, one.Instance)
+		p.health.RecordProbe(now, one.Instance)
 	}
 	return placed, holds
 }
@@ -200,23 +200,23 @@
 		_, t.Runtime = p.sizes.Estimate(t.Customer, t.Kind, structs.Resources{}, t.Runtime)
 		for j := range uses {
 			if uses[j].Customer == t.Customer {
-				t.Borrowed = uses[j].Urgent+uses[j].Batch > uses[j].Right
+				t.Borrowed = uses[j].Urgent+uses[j].Batch > uses[j].Quota
 			}
 		}
 	}
 	return decide.Relieve(now, st, p.shared, &s.memory)
 }
 
-// Call implements Policy.
-func (p *Predictive) Call(now time.Duration, c structs.Customer) { p.retries.Call(now, c) }
+// RecordCall implements Policy.
+func (p *Predictive) RecordCall(now time.Duration, c structs.Customer) { p.retries.Call(now, c) }
 
-// Retry implements Policy.
-func (p *Predictive) Retry(now time.Duration, c structs.Customer) bool {
+// AllowRetry implements Policy.
+func (p *Predictive) AllowRetry(now time.Duration, c structs.Customer) bool {
 	return p.retries.Retry(now, c)
 }
 
-// Measured implements Policy.
-func (p *Predictive) Measured(now time.Duration, m Measurement) {
+// ObserveMeasurement implements Policy.
+func (p *Predictive) ObserveMeasurement(now time.Duration, m Measurement) {
 	s := p.agents[m.Instance]
 	together, inUse, ok := s.history.Window(now, m.From, m.To, m.Service, s.together)
 	s.together = together
@@ -234,22 +234,22 @@
 	s.model.Observe(sample)
 }
 
-// Changed implements Policy.
-func (p *Predictive) Changed(now time.Duration, instance int, k structs.Kind, delta float64) {
+// ObserveTasks implements Policy.
+func (p *Predictive) ObserveTasks(now time.Duration, instance int, k structs.Kind, delta float64) {
 	p.agents[instance].history.Add(now, k, delta)
 }
 
-// Load implements Policy.
-func (p *Predictive) Load(now time.Duration, instance int, s structs.Service, inUse int) {
+// ObserveLoad implements Policy.
+func (p *Predictive) ObserveLoad(now time.Duration, instance int, s structs.Service, inUse int) {
 	p.agents[instance].history.SetLoad(now, s, inUse)
 }
 
-// Used implements Policy.
-func (p *Predictive) Used(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) {
+// ObserveUsage implements Policy.
+func (p *Predictive) ObserveUsage(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) {
 	p.sizes.Observe(c, k, used, ran)
 }
 
-// Ended implements Policy.
-func (p *Predictive) Ended(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) {
+// ObserveEnd implements Policy.
+func (p *Predictive) ObserveEnd(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) {
 	p.health.Report(now, instance, k, ok)
 }
--- a/sessions/machines/drain_test.go
+++ b/sessions/machines/drain_test.go
@@ -81,9 +81,9 @@
 		{"the scheduler is killed", func(sim *Simulation, leader *Entry) { leader.Kill() }},
 		{"the scheduler is stopped", func(sim *Simulation, leader *Entry) { leader.Stop() }},
 		{"the scheduler is cut off", func(sim *Simulation, leader *Entry) { sim.Cut(leader.Node, true) }},
-		{"the store does not answer the scheduler", func(sim *Simulation, leader *Entry) { sim.Store.SetFault(leader.Node, memstore.Silent) }},
+		{"the store does not answer the scheduler", func(sim *Simulation, leader *Entry) { sim.Store.SetFault(leader.Node, memstore.Unresponsive) }},
 		{"the store refuses the scheduler", func(sim *Simulation, leader *Entry) { sim.Store.SetFault(leader.Node, memstore.Refused) }},
-		{"the store is down", func(sim *Simulation, _ *Entry) { sim.Store.SetFault("", memstore.Silent) }},
+		{"the store is down", func(sim *Simulation, _ *Entry) { sim.Store.SetFault("", memstore.Unresponsive) }},
 		{"the store loses answers", func(sim *Simulation, _ *Entry) { sim.Store.SetLost(0.35, true) }},
 		{"the store is slow", func(sim *Simulation, _ *Entry) { sim.Store.SetSlow(60) }},
 		{"the store drops its history", func(sim *Simulation, _ *Entry) { sim.Store.Compact() }},
@@ -168,12 +168,12 @@
 // worker answers again.
 func TestDrainCancelsOrdersInFlight(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, DataCentres: 2}, func(t *testing.T, sim *Simulation, c *Client) {
-		sim.Agents()[0].Worker().SetDark(true)
+		sim.Agents()[0].Worker().SetUnresponsive(true)
 		submit(t, c, job(1, 12))
 		time.Sleep(100 * time.Millisecond)
 		sim.Drain(drained, true)
 		time.Sleep(600 * time.Millisecond)
-		sim.Agents()[0].Worker().SetDark(false)
+		sim.Agents()[0].Worker().SetUnresponsive(false)
 		await(t, c, JobID(1), workload.Completed, 20*second)
 		if last := sim.Rules.LastStartAfterDrain(); last > 0 {
 			t.Errorf("a task began there %v after the drain", last)
--- a/sessions/machines/world.go
+++ b/sessions/machines/simulation.go
@@ -111,7 +111,7 @@
 		Store: memstore.New(opt.Seed), Rules: NewRules(), advisor: newAdvisor(), opt: opt, began: time.Now(), log: zerolog.Nop(),
 		servers: map[string]*server{}, cut: map[string]bool{}, hidden: map[string]bool{},
 	}
-	sim.Rules.readsHealthyFor = sim.Store.ReadsFineFor
+	sim.Rules.readsHealthyFor = sim.Store.ReadsHealthyFor
 	if opt.Log != nil {
 		sim.log = zerolog.New(opt.Log).With().Timestamp().Logger()
 	}
@@ -134,7 +134,7 @@
 	if sim.opt.LogLines == 0 {
 		return log
 	}
-	return log.Hook(&logs.Limit{PerSecond: sim.opt.LogLines, Tell: logs.TellLeftOut(log)})
+	return log.Hook(&logs.Limit{PerSecond: sim.opt.LogLines, OnLeftOut: logs.LogLeftOut(log)})
 }
 
 func (sim *Simulation) isClosed() bool {
@@ -287,7 +287,7 @@
 // link returns the function that links programs on node to an address.
 func (sim *Simulation) link(node string) func(string) *dispatch.Link {
 	return func(address string) *dispatch.Link {
-		return dispatch.NewLinkOver(address, func(context.Context) (net.Conn, error) {
+		return dispatch.NewLinkWithDial(address, func(context.Context) (net.Conn, error) {
 			return sim.dial(node, address)
 		})
 	}
