--- a/entry/scheduler/advice.go
+++ b/entry/scheduler/advice.go
@@ -15,8 +15,8 @@
 	adviceWorkers = 30
 	// adviceQueue bounds the waiting requests.
 	adviceQueue = 16
-	// adviceRetry is the pause after a request that failed or permitted no
-	// worker.
+	// adviceRetry is the pause after a request that failed, permitted no worker or
+	// found the queue full.
 	adviceRetry = 300 * time.Millisecond
 	// ticketMargin is the least remaining validity of a ticket when a task is
 	// placed: the ticket has to reach the worker.
@@ -85,8 +85,9 @@
 	return lift
 }
 
-// queueAdviceRequest queues a request about those of the given workers that are
-// not denied and fit the step, up to adviceWorkers, by most free CPU.
+// queueAdviceRequest queues a request about the given workers that are not
+// denied and have capacity for the step: at most adviceWorkers, by most free
+// CPU.
 func (t *Term) queueAdviceRequest(v *view, among []int, s *step, id policy.Step, now time.Time) {
 	a := s.advice
 	if a.pending || now.Before(a.retryAt) || t.deps.Policy == nil {
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -4,7 +4,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// updatePressure updates the pressure on candidate n, which got a task of s.
+// updatePressure updates the pressure on candidate n after a task of s was
+// placed there. A trial that begins with this task bars other workers (see
+// trials.go).
 func (t *Term) updatePressure(v *view, j *job, s *workload.Step, n int) {
 	w := v.workers[n]
 	table := t.learner.weights()
@@ -16,10 +18,10 @@
 	}
 }
 
-// barPressed bars the workers on whose serving tasks one more task of s would
-// press, if another worker is large enough for the task. It is better that the
-// task waits for that worker than that it runs very slowly and takes serving
-// tasks over their targets.
+// barPressed bars the workers whose Presses is set for a task of s, if another
+// worker is large enough for the task. It is better that the task waits for
+// that worker than that it runs very slowly and takes serving tasks over their
+// targets.
 func (v *view) barPressed(s *workload.Step) {
 	first := len(v.barred)
 	others := false
@@ -48,8 +50,7 @@
 	v.barred = v.barred[:0]
 }
 
-// setPressure sets the load that one more task of s would put on the serving
-// tasks of each candidate.
+// setPressure sets Pressed and Presses of each candidate for a task of s.
 func (t *Term) setPressure(v *view, s *workload.Step) {
 	if v.pressure == nil {
 		v.pressure = make([]workerPressure, len(v.workers))
@@ -71,8 +72,9 @@
 // which too little is known: about half of all pairs differ.
 const unknownDifference = 0.6
 
-// setMix sets, for each candidate, the sum of the differences between its
-// serving images and the image of s (see pressure.Model.Difference).
+// setMix sets Mix and SameImage of each candidate. Mix sums the differences
+// between the candidate's serving images and the image of s (see
+// pressure.Model.Difference).
 func (t *Term) setMix(v *view, s *workload.Step) {
 	for i, w := range v.workers {
 		c := &v.candidates[i]
--- a/entry/scheduler/commit.go
+++ b/entry/scheduler/commit.go
@@ -14,7 +14,8 @@
 	// renewEvery is the time between transactions of an idle scheduler.
 	renewEvery = 500 * time.Millisecond
 	// commitGap is the least time between two rounds of transactions. One round
-	// stores all ends and starts of that time; users pay for each call.
+	// stores all ends and starts of that time, since users pay for each call of
+	// the store.
 	commitGap = 15 * time.Millisecond
 	// commitRows bounds the rows of a transaction, below the store's limit.
 	commitRows = 80
@@ -64,10 +65,10 @@
 }
 
 // round holds the transactions of one plan, and the ends of runs to acknowledge
-// once these are stored.
+// once the transactions are stored.
 type round struct {
 	txns []txn
-	// ends holds the highest number of an end applied before the round, by worker.
+	// ends holds, by worker, the highest End.Number applied before the round.
 	ends map[*worker]uint64
 }
 
@@ -77,7 +78,6 @@
 	jobs    []storedJob
 }
 
-// storedJob is a job as a transaction stores it.
 type storedJob struct {
 	job   *job
 	state workload.State
@@ -135,7 +135,8 @@
 	return r
 }
 
-// commit applies x under the lease. It returns false if the lease is lost.
+// commit applies x under the lease. It retries until x is applied, and returns
+// false if the lease is lost or the term is cancelled first.
 func (t *Term) commit(x *txn) bool {
 	lease := t.lease
 	lease.Count++
@@ -175,8 +176,8 @@
 	return false
 }
 
-// ownVersion returns the version of the lease row if this transaction wrote it,
-// else 0.
+// ownVersion returns the version of the conflicting lease row if the row equals
+// want, that is, an earlier attempt was applied; else 0.
 func ownVersion(conflict *rowstore.ConflictError, want leaseRow) uint64 {
 	row := conflict.Find(leaseKey)
 	var have leaseRow
@@ -246,7 +247,8 @@
 	}
 }
 
-// acknowledgeStored acknowledges the ends of runs whose effects are stored.
+// acknowledgeStored acknowledges the reported ends of runs to the agents, once
+// the effects of the ends are stored.
 func (t *Term) acknowledgeStored(r round) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +260,8 @@
 	}
 }
 
-// release releases the lease, so that another entry can take over at once.
+// release releases the lease, so that another entry can take over at once: for
+// successorWait only the successor, if there is one.
 func (t *Term) release(ctx context.Context) {
 	lease := t.lease
 	lease.Count++
--- a/entry/scheduler/counters.go
+++ b/entry/scheduler/counters.go
@@ -8,25 +8,28 @@
 
 // Counters are a scheduler's metrics over all terms of a process.
 type Counters struct {
-	// Terms counts the leases taken, Jobs the jobs added, JobsEnded those ended.
+	// Terms counts how often the lease was taken, Jobs the jobs that each term
+	// loaded or received, JobsEnded the jobs whose final state was stored.
 	Terms, Jobs, JobsEnded atomic.Int64
-	// Placements, Ends, Void and Lost count the runs that were placed, that ended,
-	// that never started, and that were lost with their worker. Relocated counts
-	// filling runs stopped to run elsewhere, Regrouped serving runs, Rescued runs
-	// that progressed too slowly on their worker. Suspected counts how often a
-	// worker became suspect because runs of several jobs failed there.
+	// Placements, Ends, Void and Lost count the runs placed, reported as ended,
+	// reported as never started, and lost with their worker. Relocated, Regrouped
+	// and Rescued count the runs stopped so that their tasks run elsewhere:
+	// filling runs, serving runs, and runs that progressed too slowly. Suspected
+	// counts how often a worker became suspect because runs of several jobs failed
+	// there.
 	Placements, Ends, Void, Lost, Relocated, Regrouped, Rescued, Suspected atomic.Int64
 	// Blamed counts how often a task may have crashed a worker, Quarantined the
 	// runs placed in quarantine, GivenUp the jobs failed for crashing workers.
 	Blamed, Quarantined, GivenUp atomic.Int64
-	// Drained counts lasting tasks that were moved out of drained data centres.
-	// Drains lists the data centres that are drained now.
+	// Drained counts the moves of lasting tasks out of drained data centres.
+	// Drains lists the data centres that are drained now; nil between terms.
 	Drained atomic.Int64
 	Drains  atomic.Pointer[[]DrainedDataCentre]
 	// Commits counts transaction attempts, CommitErrors errors except conflicts.
 	Commits, CommitErrors atomic.Int64
 	// FirstStart is the time from a job's acceptance to its first placement,
-	// Commit the duration of a transaction, Plan that of a plan and its encoding.
+	// Commit the duration of a transaction attempt that succeeded, Plan the time
+	// to make a plan and encode the changed jobs.
 	FirstStart, Commit, Plan histogram.Latency
 	// Agents is the number of agents that the present term knows, AgentsHeard the
 	// number of agents that answer; both are 0 between terms.
@@ -42,7 +45,7 @@
 	Ending  int `json:"ending"`
 }
 
-// drains lists the drained data centres.
+// drains returns the drained data centres, an empty list if Drains is nil.
 func (c *Counters) drains() []DrainedDataCentre {
 	if list := c.Drains.Load(); list != nil {
 		return *list
--- a/entry/scheduler/crash.go
+++ b/entry/scheduler/crash.go
@@ -10,23 +10,24 @@
 // A task may crash each worker that starts it, and thereby end all other runs
 // there. No end is reported: the run is lost with its worker, as when a machine
 // fails. So each task's row counts the workers lost shortly after a start of
-// the task. The count is cleared when a run is done or proven, that is, if its
-// worker still answers a while after the start. quarantine.go ensures that only
-// one job can be the cause of the next crash.
+// the task. The count is cleared when a run is done, or is proven: the worker
+// still answers a while after the run's start. If possible, suspect tasks start
+// in quarantine (quarantine.go), where only one job can be the cause of the
+// next crash.
 
 const (
-	// crashesToFail is the number of crashes after which a task's job is failed,
-	// if the task was certainly on the worker and no other job can be the cause.
+	// crashesToFail is the number of certain crashes after which a task's job is
+	// failed: the task was on the worker, and no other job can be the cause.
 	crashesToFail = 2
 	// quickCrashesToFail is the same for consecutive crashes within moments of the
-	// task's start; of these, only the last must have no other possible cause.
+	// task's start, of which only the last must be certain.
 	quickCrashesToFail = 3
-	// maxCrashes is the number of crashes that a task may have caused after which
-	// its job is failed in any case.
+	// maxCrashes is the number of crashes after which a task's job is failed even
+	// if each of them may have had another cause.
 	maxCrashes = 5
 	// provenAfter is the time on an answering worker after which a run is not
-	// suspected of a crash, if the agent does not name the suspects. An agent
-	// reports for up to two seconds that a crashed worker still answers.
+	// suspected of a crash, if the agent does not name the suspects. An agent may
+	// report for up to two seconds that a crashed worker still answers.
 	provenAfter = 3 * time.Second
 )
 
@@ -41,7 +42,8 @@
 	crashed bool
 }
 
-// freshRuns returns the set of the runs that an agent reports as fresh.
+// freshRuns returns the runs that may have crashed their worker, as its agent
+// reports.
 func freshRuns(reply *dispatch.WatchReply) map[workload.RunID]dispatch.FreshRun {
 	set := make(map[workload.RunID]dispatch.FreshRun, len(reply.Fresh))
 	for _, r := range reply.Fresh {
@@ -77,8 +79,8 @@
 	return list
 }
 
-// placedRun returns the task of a run that is on record at w, or nil if the
-// task was placed again or has ended since.
+// placedRun returns the job, step and task of a run, or nil if r is no longer
+// the placed run of its task or not placed on w.
 func (t *Term) placedRun(w *worker, r workload.RunID) (*job, *step, *task) {
 	j := t.jobs[r.Task.Job]
 	if j == nil {
@@ -91,14 +93,15 @@
 	return j, s, k
 }
 
-// provenOn reports whether the placed run was present on w for provenAfter.
+// provenOn reports whether w still answered provenAfter after the placed run
+// was first reported there.
 func (k *task) provenOn(w *worker) bool {
 	return k.presentAt > 0 && w.answeredAt-k.presentAt >= provenAfter
 }
 
-// recordSuspects counts the loss of w as a crash of each suspect. It fails the
-// jobs that are known to crash workers, and jobs that were suspected too often.
-// The caller holds mu and has removed the runs of w.
+// recordSuspects counts the loss of w as a possible crash by each suspect. It
+// fails the jobs that are known to crash workers, and jobs that were suspected
+// too often. The caller holds mu and has removed the runs of w.
 func (t *Term) recordSuspects(w *worker, loss workerLoss, suspects []suspect) {
 	for _, s := range suspects {
 		s.task.crashes++
@@ -108,7 +111,8 @@
 		t.deps.Log.Info().Stringer("run", s.run).Str("worker", string(w.id)).Int("crashes", s.task.crashes).Bool("begun", s.begun).Bool("soon", s.soon).
 			Msg("run may have crashed its worker")
 	}
-	// Kept, since an unreachable worker is lost again when its incarnation ends.
+	// Kept, since a worker lost as unreachable is lost again, as crashed, when its
+	// incarnation ends.
 	w.suspects = append(w.suspects, suspects...)
 	if loss.crashed {
 		t.countCertainCrash(w.suspects)
@@ -128,9 +132,10 @@
 	return k.quickCrashes + 1
 }
 
-// countCertainCrash counts a crash if all suspects belong to one job, and fails
-// the job at its limit. A single crash, or one with suspects of several jobs,
-// proves nothing: an innocent task may have begun just before it.
+// countCertainCrash counts a certain crash if all suspects belong to one job,
+// and fails the job if one of its tasks reaches a limit. A single crash, or a
+// crash with suspects of several jobs, proves nothing: an innocent task may
+// have begun just before it.
 func (t *Term) countCertainCrash(suspects []suspect) {
 	for _, s := range suspects {
 		if s.job != suspects[0].job {
--- a/entry/scheduler/crash_test.go
+++ b/entry/scheduler/crash_test.go
@@ -18,8 +18,9 @@
 	return t
 }
 
-// crashWorker crashes a worker with fresh runs of the jobs. begun says that the
-// runs were certainly there, soon that they began moments before.
+// crashWorker places a run of each job on a new worker and removes the worker
+// as crashed, with these runs as suspects. begun says that the runs were
+// certainly there, soon that they began moments before the crash.
 func (t *Term) crashWorker(id workload.WorkerID, begun, soon bool, jobs ...workload.JobID) {
 	w := newWorker(id, "node")
 	t.workers[id] = w
--- a/entry/scheduler/decisions.go
+++ b/entry/scheduler/decisions.go
@@ -10,13 +10,14 @@
 )
 
 // This file logs the runs of a term. A step has tens of tasks that are placed
-// together and end one after the other: thousands a second on hundreds of
-// workers. A line for each would exceed the log limit of a process, and dropped
-// lines would be missing when a request is to be explained. So a step has one
-// line for its placements in a plan, and one for its completion. Ends that do
-// not advance a step have a line each. Agents log each start and end.
+// together and end one after the other. On hundreds of workers, thousands end
+// in a second. A line for each would exceed the log limit of a process, and
+// dropped lines would be missing when a request is to be traced. So there is
+// one line for all placements of a step in a plan, and one for the step's
+// completion. Ends of runs that do not advance their step have a line each.
+// Agents log each start and end.
 
-// logKnown logs a job that no scheduler has logged before.
+// logKnown logs a job without stored progress.
 func (t *Term) logKnown(j *job) {
 	t.deps.Log.Info().Str("job", string(j.spec.ID)).Str("queue", j.spec.Queue.Name).Int("steps", len(j.spec.Steps)).
 		Int64("age_ms", t.storeNow()-j.spec.Accepted).Dur("objective", j.objective()).Msg("job known")
@@ -55,7 +56,7 @@
 		Int64("age_ms", t.storeNow()-j.spec.Accepted).Str("job_state", string(j.state)).Msg("step done")
 }
 
-// logEnd logs an end that does not advance its step.
+// logEnd logs the end of a run that does not advance its step.
 func (t *Term) logEnd(j *job, s *step, k *task, e workload.End, w *worker) {
 	t.deps.Log.Info().Stringer("run", e.Run).Str("how", string(e.Kind)).Str("worker", string(w.id)).Dur("ran", time.Since(k.placedAt)).
 		Dur("estimate", s.spec.Estimate).Str("job_state", string(j.state)).Msg("run ended")
--- a/entry/scheduler/drain.go
+++ b/entry/scheduler/drain.go
@@ -14,29 +14,29 @@
 	drainsMaxAge = 2500 * time.Millisecond
 	// evacuateEvery is the time between two checks for tasks to evacuate.
 	evacuateEvery = 400 * time.Millisecond
-	// settledAfter is the time after its placement from which a lasting task
-	// counts as running.
+	// settledAfter is the time after a lasting task's placement from which the
+	// task counts as running.
 	settledAfter = 3 * time.Second
 	// reportedWithin is the age of an agent's last answer up to which its runs
 	// count as running.
 	reportedWithin = 2 * time.Second
 )
 
-// updateDrains reads the drained data centres and informs the agents there. It
-// reports whether a plan is needed.
+// updateDrains reads which data centres are drained. If that has changed, it
+// notifies the agents concerned and returns true, as a plan is needed.
 //
 // Failure guarded against: an entry whose connection to the store is partly
-// lost, or that has just taken over, does not know of a drain and goes on
-// placing. So nothing is placed while the known drains are too old. Agents
-// decide last on each start: in a drained data centre they refuse earlier
-// placements.
+// lost, or that has just taken over, does not know of a drain and still places
+// tasks there. So nothing is placed while the known drains are too old. Each
+// agent also checks before a start: in a drained data centre, it refuses runs
+// placed earlier.
 func (t *Term) updateDrains() bool {
 	drains, age := t.deps.Drains()
 	if drainsStale := age > drainsMaxAge; drainsStale != t.drainsStale {
 		t.drainsStale = drainsStale
 		message := "placing resumed"
 		if drainsStale {
-			message = "placing paused: the drained data centres are not known"
+			message = "placing paused: the list of drained data centres is too old"
 		}
 		t.deps.Log.Warn().Dur("age", age).Msg(message)
 	}
@@ -51,7 +51,8 @@
 	return changed
 }
 
-// drainWorker sets whether w is in a drained data centre.
+// drainWorker sets whether w is in a drained data centre, and notifies the
+// agent of a change.
 func (t *Term) drainWorker(w *worker) {
 	drained := t.drains.Covers(w.info.DataCentre)
 	if drained == w.drained {
@@ -102,8 +103,9 @@
 }
 
 // evacuateDrained moves lasting tasks out of drained data centres, if another
-// worker has capacity for them. Tasks that end by themselves stay: a stop and a
-// restore cost more time than most have left, and staying costs nothing.
+// worker has capacity for them. Gangs and tasks that need tickets stay. So do
+// tasks that end by themselves: a stop and a restore cost more time than most
+// have left, and staying costs nothing.
 func (t *Term) evacuateDrained() bool {
 	now := t.deps.Now()
 	if !t.loaded || t.drainsStale || len(t.drains.DataCentres) == 0 || now-t.lastEvacuation < evacuateEvery {
@@ -162,13 +164,13 @@
 	return moved
 }
 
-// onDrained reports whether a task runs in a drained data centre.
+// onDrained reports whether a task is placed in a drained data centre and has
+// not been stopped.
 func (t *Term) onDrained(k *task) bool {
 	w := t.workers[k.worker]
 	return k.state == taskPlaced && !k.stopping && w != nil && w.drained
 }
 
-// unsettled counts the tasks of a lasting step that are not settled.
 func (t *Term) unsettled(s *step) int {
 	n := 0
 	for i := range s.tasks {
--- a/entry/scheduler/elector.go
+++ b/entry/scheduler/elector.go
@@ -17,31 +17,35 @@
 	// pollEvery is the time between two reads of the lease.
 	pollEvery = 400 * time.Millisecond
 	// staleAfter is the time without a renewal after which the lease is taken
-	// over, if all reads in that time succeeded. The holder renews the lease every
-	// half second; a slow store takes up to 0.9 s for a transaction.
+	// over, if successful reads in that time were at most maxReadGap apart. The
+	// holder renews the lease every half second; a slow store takes up to 0.9 s
+	// for a transaction.
 	staleAfter = 2200 * time.Millisecond
-	// refusedAfter replaces staleAfter if nothing listens at the holder's
-	// address.
+	// refusedAfter replaces staleAfter if the holder's address refuses connections
+	// for this long: nothing listens there.
 	refusedAfter = 600 * time.Millisecond
 	// unansweredAfter replaces staleAfter if the holder has answered no request
 	// for this long: it is frozen, cut off, or its machine is gone. A holder that
 	// only waits for a slow store answers.
 	unansweredAfter = time.Second
 	// readsPerTxn is the longest duration of a transaction divided by a read's.
+	// The lease of a holder that does not answer must be unchanged for that many
+	// reads more.
 	readsPerTxn = 4
 	// pingTimeout bounds a request to the holder, minPingTimeout one that is sent
 	// shortly before unansweredAfter has passed.
 	pingTimeout    = 350 * time.Millisecond
 	minPingTimeout = 100 * time.Millisecond
 	// weakerWait is the time for which an entry leaves a free lease to stronger
-	// machines, if the last holder's was stronger. They read the lease within
-	// pollEvery.
+	// machines, if the last holder's machine was stronger than its own by
+	// strongerBy. Stronger machines read the lease within pollEvery.
 	weakerWait = 600 * time.Millisecond
 	// freePoll is the time between two reads of a lease that may soon be taken.
 	freePoll = 100 * time.Millisecond
 	// takeJitter spreads the attempts of entries that find the lease free.
 	takeJitter = 60 * time.Millisecond
-	// maxReadGap is the longest time between two successful reads of one series.
+	// maxReadGap is the time without a successful read after which the lease is
+	// observed from the start again.
 	maxReadGap = 1200 * time.Millisecond
 )
 
@@ -51,7 +55,7 @@
 	deps Deps
 
 	mu sync.Mutex
-	// leader is the latest lease row that was read.
+	// leader is the latest lease row that was read or written.
 	leader  leaseRow
 	version uint64
 	// link connects to the leader.
@@ -67,18 +71,18 @@
 // watch holds an elector's observations of the lease.
 type watch struct {
 	version uint64
-	// versionSince is when version was first read, lastRead when a read last
-	// ended.
+	// versionSince is when version was first read since the last gap of
+	// maxReadGap, lastRead when the lease was last read.
 	versionSince time.Duration
 	lastRead     time.Duration
-	// watchedSince is when the present series of successful reads began.
+	// watchedSince is when the lease was first read since the last such gap.
 	// requestedAt is when this entry last requested the lease, successorUntil the
 	// latest time at which the release of the lease is expected.
 	watchedSince   time.Duration
 	requestedAt    time.Duration
 	successorUntil time.Duration
-	// refusedSince is when the holder's address first refused a connection,
-	// unansweredSince when a request first remained unanswered.
+	// The holder's address has refused connections since refusedSince, and no
+	// request was answered since unansweredSince; each is 0 otherwise.
 	refusedSince    time.Duration
 	unansweredSince time.Duration
 	// freeSince is when the lease was first found free.
@@ -98,7 +102,6 @@
 	return min(pingTimeout, max(minPingTimeout, w.unansweredSince+unansweredAfter-now))
 }
 
-// pause is the time to the next read.
 func (w *watch) pause() time.Duration {
 	if w.unansweredSince > 0 || w.freeSince > 0 {
 		return freePoll
@@ -148,7 +151,7 @@
 	}
 }
 
-// observe records one read. ok is false if the row can't be decoded.
+// observe records one read. It returns false if the row can't be decoded.
 func (e *Elector) observe(w *watch, row rowstore.Row) (leaseRow, bool) {
 	now := e.deps.Now()
 	if row.Version != w.version || w.versionSince == 0 || now-w.lastRead > maxReadGap {
@@ -192,9 +195,9 @@
 //
 // Failure guarded against: a weak machine takes the lease because it read the
 // row first. It needs a second to read the jobs of hundreds of workers, falls
-// behind, and some seconds later hands the lease to a stronger machine, which
-// pauses scheduling again. So a weak machine leaves stronger ones time to read
-// the row, and takes the lease if none of them does.
+// behind, and some seconds later hands the lease to a stronger machine. The
+// handover pauses scheduling again. So an entry on a weaker machine than the
+// last holder's takes the lease only if it stays free for weakerWait.
 func (e *Elector) shouldTake(ctx context.Context, w *watch, lease leaseRow) bool {
 	if !e.leaseFree(ctx, w, lease) {
 		w.freeSince = 0
@@ -208,7 +211,8 @@
 	return !weaker || now-w.freeSince >= weakerWait
 }
 
-// leaseFree reports whether the lease may be taken: it is released, or its
+// leaseFree reports whether the lease may be taken: it was never taken, is
+// released and not reserved for another entry, belongs to this machine, or its
 // holder is gone or has not renewed it for staleAfter.
 func (e *Elector) leaseFree(ctx context.Context, w *watch, lease leaseRow) bool {
 	unchanged := e.deps.Now() - w.versionSince
@@ -227,7 +231,8 @@
 	return e.holderGone(ctx, w, lease, unchanged)
 }
 
-// holderGone calls the holder, and reports whether the holder is gone.
+// holderGone calls the holder, and reports whether it counts as gone: another
+// process answers, or refusedAfter or unansweredAfter has passed.
 func (e *Elector) holderGone(ctx context.Context, w *watch, lease leaseRow, unchanged time.Duration) bool {
 	e.mu.Lock()
 	link := e.link
--- a/entry/scheduler/fillorder_test.go
+++ b/entry/scheduler/fillorder_test.go
@@ -26,9 +26,9 @@
 }
 
 // An agent gives the CPU that serving tasks can spare to filling jobs in the
-// order received from the scheduler. Each change of the order is sent until it
-// is answered, and to every new process of the agent. Otherwise a job that
-// can't end in time would stay in front of those that can.
+// order received from the scheduler. A changed order is sent until the agent
+// answers, and to each new process of the agent. Otherwise a job that can't end
+// in time would stay ahead of jobs that can.
 func TestFillOrderIsSentOnChange(t *testing.T) {
 	term, w := fillTerm(map[workload.JobID]order.Key{
 		"large": {Work: 90}, "small": {Work: 10}, "late": {Class: order.Late, Work: 1}, "serves": {},
--- a/entry/scheduler/health.go
+++ b/entry/scheduler/health.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// suspectAfter is the number of jobs whose runs failed on a worker, with no
-	// success in between, from which the worker is suspect.
+	// suspectAfter is the number of jobs with failed runs on a worker, without a
+	// success since, that makes the worker suspect.
 	suspectAfter = 3
-	// suspectFor is the time for which a suspect worker gets no tasks that end by
-	// themselves.
+	// suspectFor is the time for which a worker is suspect. Suspects, if few, get
+	// no tasks that end by themselves.
 	suspectFor = 5 * time.Second
 	// avoidFor is the time for which a task that failed on a worker avoids that
 	// worker, unless a run that began later has succeeded there. It is short, so
@@ -29,12 +29,12 @@
 //
 // Failure guarded against: all tasks fail on a worker within milliseconds, so
 // that it always has the most free capacity. Tasks return to it until their
-// attempts are used up, and many jobs fail that could have been done. So a
-// failed task loses one attempt, and avoids the worker until a run succeeds
-// there. After failures of three jobs, the worker gets no tasks with limited
-// attempts. Successes of runs that began before the first failure prove
-// nothing. Lasting tasks have no limit of attempts, and only prefer other
-// workers.
+// attempts are used up, and many jobs fail that other workers could have done.
+// So a failed task loses one attempt, and avoids the worker until a run
+// succeeds there, at most for avoidFor. After failures of three jobs, the
+// worker gets no tasks with limited attempts for suspectFor. Successes of runs
+// that began before the first failure prove nothing. Lasting tasks have no
+// limit of attempts, and only prefer other workers.
 type health struct {
 	failedJobs map[workload.JobID]bool
 	// firstFailure is when the first of these jobs failed, lastFailure the latest.
@@ -45,7 +45,7 @@
 
 func (h *health) suspect(now time.Duration) bool { return now < h.suspectUntil }
 
-// recentlyFailed reports whether runs failed lately, without a success since.
+// recentlyFailed reports a failure within avoidFor without a success since.
 func (h *health) recentlyFailed(now time.Duration) bool {
 	return len(h.failedJobs) > 0 && now < h.lastFailure+avoidFor
 }
@@ -61,8 +61,8 @@
 	}
 }
 
-// recordEnd records the end of a run that began at placed. It reports whether
-// the end made the worker suspect.
+// recordEnd records the end of a run that was placed at the given time. It
+// reports whether the end made the worker suspect.
 func (w *worker) recordEnd(e workload.End, placed time.Time, now time.Duration) bool {
 	before := w.health.suspect(now)
 	switch {
@@ -80,12 +80,13 @@
 	t.deps.Log.Warn().Str("worker", string(w.id)).Str("instance", w.agent).Int("jobs", len(w.health.failedJobs)).Msg("worker suspect: runs of several jobs failed")
 }
 
-// startRefused makes the worker suspect for a while, as it refused a start.
+// startRefused makes the worker suspect for half of suspectFor after a refusal.
 func (w *worker) startRefused(now time.Duration) {
 	w.health.suspectUntil = max(w.health.suspectUntil, now+suspectFor/2)
 }
 
-// excludeSuspects excludes suspect candidates, if they are few enough.
+// excludeSuspects excludes suspect candidates for tasks that end by themselves,
+// if at most suspectShare of the candidates are suspect.
 func (v *view) excludeSuspects() {
 	suspects, all := 0, 0
 	for i := range v.candidates {
@@ -105,8 +106,9 @@
 }
 
 // mustAvoid reports whether a task that failed on candidate avoid at failedAt
-// must not run there: no success shows that the worker has recovered, and
-// another worker could take the task, now or later.
+// must not run there yet: avoidFor has not passed, no success shows that the
+// worker has recovered, and another worker could take the task, now or later.
+// Lasting tasks may.
 func (v *view) mustAvoid(s *workload.Step, avoid int, failedAt time.Duration) bool {
 	if avoid < 0 || s.Lasting || v.now >= failedAt+avoidFor || !v.workers[avoid].health.recentlyFailed(v.now) {
 		return false
--- a/entry/scheduler/health_test.go
+++ b/entry/scheduler/health_test.go
@@ -8,7 +8,6 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// ended is the end of a run of a job.
 func ended(id workload.JobID, kind workload.EndKind) workload.End {
 	return workload.End{Run: workload.RunID{Task: workload.TaskID{Job: id}}, Kind: kind}
 }
@@ -47,11 +46,11 @@
 	}
 }
 
-// A failed task does not return to its worker before a success there, if
-// another worker could ever take the task; a deployment's only worker takes it.
-// Lasting tasks, which have no limit of attempts, may return. Failure guarded
-// against: a lasting task waits for 14 s beside the only free capacity, because
-// other tasks continue to fail there.
+// For avoidFor, a failed task does not return to its worker before a success
+// there, if another worker could ever take the task. A deployment's only worker
+// takes the task again. Lasting tasks, which have no limit of attempts, may
+// return. Failure guarded against: a lasting task waits for 14 s beside the
+// only free capacity, because other tasks continue to fail on that worker.
 func TestFailedTaskAvoidsWorkerWhileOthersCouldTakeIt(t *testing.T) {
 	small, large := workload.Resources{CPU: 1000}, workload.Resources{CPU: 8000}
 	step := func(cpu int, label string) *workload.Step {
@@ -99,9 +98,9 @@
 }
 
 // One suspect of four workers gets no tasks with limited attempts. Otherwise
-// filling work barred from the others would all be placed there. If half are
-// suspect, the jobs may be at fault, and no job may stand still. Lasting tasks
-// may be placed on suspects if only these have capacity.
+// all filling work that is barred from the other workers would be placed there.
+// If half are suspect, the jobs may be at fault, and no job may stand still.
+// Lasting tasks may be placed on suspects if only these have capacity.
 func TestSuspectsAreExcludedWhileFew(t *testing.T) {
 	for _, c := range []struct{ suspects, of, barred int }{{0, 4, 0}, {1, 4, 1}, {2, 4, 0}, {1, 1, 0}, {4, 4, 0}, {2, 6, 2}} {
 		v := &view{now: time.Hour}
--- a/entry/scheduler/job.go
+++ b/entry/scheduler/job.go
@@ -34,17 +34,17 @@
 	// pin is the worker that holds capacity for the next run, until pinUntil.
 	pin      workload.WorkerID
 	pinUntil time.Time
-	// ticket is the worker's permission for this run.
+	// ticket is the policy service's permission for this run on its worker.
 	ticket string
 	// worked is the working time of earlier runs, converted to full speed.
 	worked time.Duration
-	// moves counts the relocations of the task.
+	// moves counts the moves of the task by relocate, regroup and drains.
 	moves int
 	// slow says that the run progresses far slower than estimated; rescues counts
 	// how often the task was moved off a worker for this reason.
 	slow    bool
 	rescues int
-	// avoid is the worker where the task failed last, at failedAt.
+	// avoid is the worker where the task last failed (at failedAt) or was slow.
 	avoid    workload.WorkerID
 	failedAt time.Duration
 	// crashes counts the workers that the task may have crashed since one of its
@@ -60,7 +60,7 @@
 	// presentAt is when the agent first reported that the placed run is on its
 	// worker; 0 before.
 	presentAt time.Duration
-	// notBefore delays the next run after repeated failures.
+	// notBefore delays the next run of a lasting task after repeated failures.
 	notBefore time.Time
 }
 
@@ -70,7 +70,8 @@
 	done  int
 	// waiting counts the waiting tasks, whether they may start yet or not.
 	waiting int
-	// took sums the durations, at full speed, of the done tasks that timed counts.
+	// took sums the durations, converted to full speed, of the done tasks with a
+	// known duration; timed counts these tasks.
 	took  time.Duration
 	timed int
 	// advice is set for steps of queues that need tickets from the policy service.
@@ -104,8 +105,8 @@
 }
 
 // job is a job as the scheduler knows it. state is the state in memory, stored
-// the state in the store. Clients see only stored, since a state that is only
-// in memory would be lost with the process.
+// the state in the store. Clients see stored, or a stored cancellation, since a
+// state that is only in memory would be lost with the process.
 type job struct {
 	spec        workload.Job
 	queue       workload.Queue
@@ -119,7 +120,7 @@
 	// unsaved says that the job is on the list of jobs to store.
 	unsaved bool
 	started bool
-	// idleSince is when the job was first seen without a running task.
+	// idleSince is when the job was first seen without a placed task.
 	idleSince time.Time
 	// durations are the expected durations of the steps' tasks, computed when
 	// durationsTimed tasks had been timed.
@@ -142,7 +143,6 @@
 	return o
 }
 
-// addDue adds the occurrences that are due.
 func (j *job) addDue(now time.Time) {
 	if j.state.Final() {
 		return
@@ -276,7 +276,6 @@
 	return len(r.Workers)
 }
 
-// restore sets the job to its stored progress.
 func (j *job) restore(r progressRow, now time.Time) {
 	j.state, j.stored, j.final, j.next = r.State, r.State, r.Final, r.Next
 	j.started = r.State != workload.Queued
--- a/entry/scheduler/keeproom.go
+++ b/entry/scheduler/keeproom.go
@@ -7,9 +7,9 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// holdCapacity holds capacity on one worker for a lasting task that has lost
-// its run and fits nowhere. Tasks that end by themselves free the capacity;
-// without the hold, short tasks would take it bit by bit.
+// holdCapacity holds capacity on one worker for a lasting task that has run
+// before and fits nowhere now. Tasks there that end by themselves free the
+// capacity. Without the hold, new short tasks would take it bit by bit.
 func (t *Term) holdCapacity(v *view, j *job, o *occurrence, si, i int, now time.Time) {
 	s := o.steps[si]
 	k := &s.tasks[i]
@@ -44,9 +44,9 @@
 	return best
 }
 
-// fitsBesideLasting reports whether the worker is responsive, holds no capacity
-// for other tasks, and has capacity for a task of the step once all tasks that
-// end by themselves have ended.
+// fitsBesideLasting reports whether the worker's agent is responsive, and the
+// worker holds no capacity for other tasks and has capacity for a task of the
+// step once all tasks that end by themselves have ended.
 func (w *worker) fitsBesideLasting(s *workload.Step, now time.Time) bool {
 	responsive := w.link != nil && !w.link.unresponsive
 	kept := w.heldForOthers(workload.TaskID{}, now) != (workload.Resources{})
--- a/entry/scheduler/learner.go
+++ b/entry/scheduler/learner.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// sampleEvery is the time between two samples of an agent. It grows with the
-	// number of agents, so that a scheduler on a machine of weakPower receives at
-	// most samplesPerSecond.
+	// sampleEvery is the usual time between two samples of tail latencies from an
+	// agent. With many agents, the time is longer, so that a scheduler on a
+	// machine of weakPower receives at most samplesPerSecond.
 	sampleEvery      = 500 * time.Millisecond
 	samplesPerSecond = 200
 	// unknownPerSecond bounds the samples taken at shorter intervals on workers
@@ -30,10 +30,12 @@
 	// iteration picks them at random.
 	maxOthers = 6
 	// solveEvery is the time between two computations of the weights, maxFade the
-	// most that a pause without samples makes the evidence fade.
+	// longest time for which a computation lets the evidence fade after a pause
+	// without samples.
 	solveEvery = 250 * time.Millisecond
 	maxFade    = 5 * time.Second
-	// harmlessExtra is the extra load below which a filling task does not press.
+	// harmlessExtra is the extra load below which a filling task counts as not
+	// pressing.
 	harmlessExtra = 0.015
 	// pressingExtra is the extra load above which a filling task should run
 	// elsewhere. A serving task can bear 0.15 more than its highest own load.
@@ -59,7 +61,8 @@
 
 type timedSample struct {
 	at time.Duration
-	// tails holds tail latencies by job, used worker shares by filling image.
+	// tails holds tail latencies by job, used the share of the worker that each
+	// filling image uses.
 	tails map[workload.JobID]float64
 	used  map[string]float64
 }
@@ -72,7 +75,6 @@
 	}
 }
 
-// observe learns from a worker's sample.
 func (l *learner) observe(w *worker, s *dispatch.TailSample, now time.Duration) {
 	l.initMaps()
 	this := timedSample{at: now, tails: map[workload.JobID]float64{}, used: map[string]float64{}}
@@ -142,8 +144,8 @@
 }
 
 // weightTable holds the weights of all pairs of one version of the model,
-// indexed by number: a plan reads some ten thousand of them, and lookups by
-// name would take two thirds of its time.
+// indexed by numbers of images: a plan reads some ten thousand weights, and
+// lookups by name would take two thirds of the plan's time.
 type weightTable struct {
 	version uint64
 	serving map[string]int
@@ -204,7 +206,6 @@
 	return l.table
 }
 
-// pressureOn computes the pressure on w.
 func (l *learner) pressureOn(w *worker) workerPressure {
 	var p workerPressure
 	if len(w.images) == 0 || w.info.Capacity.CPU == 0 {
@@ -224,9 +225,9 @@
 	return p
 }
 
-// pressedBy returns the load on the most pressed serving image of w with one
-// more task of s, whose image has the given column. presses says that this task
-// is known to press on a serving image of w.
+// pressedBy returns the load that filling tasks would put on the most pressed
+// serving image of w with one more task of s, whose image has the given column.
+// presses says that this task is known to press on a serving image of w.
 func (t *weightTable) pressedBy(w *worker, p *workerPressure, s *workload.Step, column int) (worst float64, presses bool) {
 	for i, row := range p.serving {
 		own := t.weights[row][column]
--- a/entry/scheduler/leftover.go
+++ b/entry/scheduler/leftover.go
@@ -16,7 +16,7 @@
 
 const (
 	// ownLoadGain is the weight of a new measurement of a job's own load. Each
-	// worker of the job reports a rough one.
+	// worker that runs the job reports an inexact load.
 	ownLoadGain = 0.35
 	// ownLoadMaxAge is the age up to which a load counts as known.
 	ownLoadMaxAge = 2 * time.Second
@@ -44,7 +44,6 @@
 	l.ownLoads[v.Job] = ownLoad{load: load, at: this.at}
 }
 
-// dropStaleLoads drops loads older than ownLoadMaxAge.
 func (l *learner) dropStaleLoads(now time.Duration) {
 	for id, o := range l.ownLoads {
 		if now-o.at > ownLoadMaxAge {
@@ -54,7 +53,8 @@
 }
 
 // leftover is the reserved CPU of w that filling work may use: the CPU that the
-// other tasks leave unused, bounded by fillLimit for each serving task.
+// other tasks leave unused, bounded so that the sum with the free CPU stays
+// within fillLimit of each serving task.
 //
 // A fixed share would leave processors idle while serving tasks have little
 // load, and take these tasks over their targets when they have much.
--- a/entry/scheduler/leftover_test.go
+++ b/entry/scheduler/leftover_test.go
@@ -98,8 +98,8 @@
 	return p
 }
 
-// A fixed share of the CPU that serving tasks reserve takes them over their
-// targets when their load is high, and leaves processors idle when it is low.
+// With a fixed share of the serving tasks' CPU for filling work, serving tasks
+// exceed their targets at high load, and processors stay idle at low load.
 func TestLeftoverBeatsFixedShareUnderSwingingLoad(t *testing.T) {
 	fixed := simulateSwing(func(*learner, *worker, time.Duration) int { return defaultUnused * servingCPU })
 	seen := simulateSwing(func(l *learner, w *worker, now time.Duration) int { return l.leftover(w, now) })
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -35,7 +35,7 @@
 	// echo is the agent's clock in its latest answer, which came at lastContact.
 	echo        time.Duration
 	lastContact time.Duration
-	// claimDue requests an Order call with a new claim, or with stored ends.
+	// claimDue requests an Order call: a new claim, or stored ends to acknowledge.
 	claimDue     chan struct{}
 	outbox       chan struct{}
 	starts       map[workload.RunID]dispatch.StartOrder
@@ -73,8 +73,9 @@
 
 func (l *agentLink) triggerClaim() { signal(l.claimDue) }
 
-// claim grants the agent's worker its lease, if the term itself is valid, and
-// records the lease's latest end. The caller holds the term's mu.
+// claim returns the claim for the next call to the agent. While the term is
+// valid, the claim grants the agent's worker a lease, whose latest end is
+// recorded. The caller holds the term's mu.
 func (l *agentLink) claim() dispatch.Claim {
 	t := l.term
 	c := dispatch.Claim{Epoch: t.epoch, Process: l.process}
@@ -137,8 +138,8 @@
 	return args
 }
 
-// claimLoop sends claims and stored ends at once, while the Watch call is still
-// waiting for a change.
+// claimLoop sends claims and acknowledges stored ends of runs at once, while
+// the Watch call is still waiting for a change.
 func (l *agentLink) claimLoop(ctx context.Context) {
 	for {
 		select {
@@ -155,7 +156,7 @@
 		l.term.mu.Unlock()
 		var reply dispatch.OrderReply
 		if err := l.link.Call(ctx, "Agent.Order", args, &reply, orderTimeout); err != nil && ctx.Err() == nil {
-			l.term.deps.Log.Debug().Err(err).Str("instance", l.node).Msg("claim and ends not sent yet")
+			l.term.deps.Log.Debug().Err(err).Str("instance", l.node).Msg("claim not confirmed; the next call carries a new one")
 		}
 	}
 }
@@ -299,7 +300,7 @@
 		if !known {
 			return false
 		}
-		t.deps.Log.Info().Stringer("run", r.Run).Str("worker", string(w.id)).Str("why", r.Reason).Msg("run void")
+		t.deps.Log.Info().Stringer("run", r.Run).Str("worker", string(w.id)).Str("why", r.Reason).Msg("run will never start")
 		t.deps.Counters.Void.Add(1)
 		w.remove(r.Run)
 		switch {
@@ -315,7 +316,7 @@
 	}
 	if !known {
 		if r.State == dispatch.RunPresent {
-			// The run was replaced while its agent was unreachable.
+			// The run was requeued while its agent was unreachable.
 			l.addStop(r.Run)
 		}
 		return false
--- a/entry/scheduler/load.go
+++ b/entry/scheduler/load.go
@@ -19,12 +19,12 @@
 	feedWait = 800 * time.Millisecond
 	// listsAtOnce bounds the partitions that are read concurrently.
 	listsAtOnce = 8
-	// agentsWait replaces feedWait for agents, which change rarely.
+	// agentsWait replaces feedWait in the feed of agent rows, which change rarely.
 	agentsWait = 2 * time.Second
 )
 
-// load reads the rows of earlier schedulers and of all entries. It returns the
-// version from which the feed of jobs continues.
+// load reads the rows written by earlier schedulers and by all entries. It
+// returns the version from which the feed of jobs continues.
 func (t *Term) load() (uint64, error) {
 	progress, err := t.listAll(progressTable, schedulerPart)
 	if err != nil {
@@ -51,8 +51,7 @@
 		before[workload.JobID(row.Key.Key)] = true
 	}
 	t.loaded = true
-	// Jobs with progress, hundreds in a fleet, were logged by the scheduler that
-	// began them.
+	// Earlier schedulers have logged jobs with progress, hundreds in a fleet.
 	for _, j := range t.active {
 		if !before[j.spec.ID] {
 			t.logKnown(j)
@@ -63,7 +62,7 @@
 	return stamp, nil
 }
 
-// listAll reads a partition, with retries for as long as the lease is valid.
+// listAll reads a partition. It retries until validFor after the term began.
 func (t *Term) listAll(table, part string) ([]rowstore.Row, error) {
 	rows, _, err := t.listAllAt(table, part)
 	return rows, err
@@ -168,8 +167,8 @@
 	}
 }
 
-// recordedWorker returns the worker of a stored placement. Until an agent
-// reports the worker, its runs count until the last lease that the earlier
+// recordedWorker returns the worker of a stored placement. If no agent reports
+// the worker, its runs stay on record until the last lease that the earlier
 // scheduler may have granted has expired.
 func (t *Term) recordedWorker(k *task) *worker {
 	w := t.workers[k.worker]
--- a/entry/scheduler/lost.go
+++ b/entry/scheduler/lost.go
@@ -2,7 +2,7 @@
 
 import "persimmonrock.example/structs/workload"
 
-// removeWorker removes an incarnation that has ended, with all of its runs.
+// removeWorker removes an incarnation that has ended, and requeues its runs.
 func (t *Term) removeWorker(id workload.WorkerID, loss workerLoss) {
 	w := t.workers[id]
 	if w == nil {
@@ -16,7 +16,8 @@
 	t.requeueRuns(w, loss)
 }
 
-// requeueRuns returns all tasks on record at w to waiting.
+// requeueRuns makes all tasks placed on w wait again, and records which of them
+// may have caused the loss of w.
 func (t *Term) requeueRuns(w *worker, loss workerLoss) {
 	suspects := t.suspects(w, loss)
 	if w.alive || len(w.runs) > 0 {
@@ -34,7 +35,7 @@
 	}
 	t.recordSuspects(w, loss, suspects)
 	if w.link != nil {
-		// If the worker returns, its agent reports all of the runs again.
+		// Version 0 requests a report of all runs, should the worker return.
 		w.link.since = 0
 	}
 	t.wakeUp()
--- a/entry/scheduler/memory.go
+++ b/entry/scheduler/memory.go
@@ -8,13 +8,13 @@
 	"persimmonrock.example/infra/rowstore"
 )
 
-// saveEvery is the time between two saves of the learnt weights. Each save adds
-// a few kilobytes to a transaction that is due anyway.
+// saveEvery is the least time between two saves of the learnt weights. Each
+// save adds a few kilobytes to a transaction.
 const saveEvery = 3 * time.Second
 
-// learntKey is the row of the learnt weights. Without them, a new scheduler
-// would place filling work beside serving tasks on which this work presses, for
-// the ten seconds that learning takes.
+// learntKey addresses the row of the learnt weights. Without them, a new
+// scheduler would place filling work beside serving tasks on which this work
+// presses, for the ten seconds that learning takes.
 var learntKey = rowstore.Key{Table: learntTable, Part: schedulerPart, Key: "pressure"}
 
 // learntRow is the stored state of a learner.
--- a/entry/scheduler/memory_test.go
+++ b/entry/scheduler/memory_test.go
@@ -10,7 +10,8 @@
 
 // The scheduling entry is killed, and another takes over. Without the learnt
 // weights, it would place filling work beside serving tasks on which that work
-// presses. Calls to these would be slow until it has learnt the weights.
+// presses. Calls to these tasks would be slow until the new scheduler has
+// learnt the weights.
 func TestLearntWeightsSurviveTakeover(t *testing.T) {
 	now := time.Minute
 	term := func() *Term {
--- a/entry/scheduler/orders.go
+++ b/entry/scheduler/orders.go
@@ -22,8 +22,9 @@
 	signal(l.outbox)
 }
 
-// repeatOrders puts every run on record at the worker into the outbox. From a
-// repeated order, an agent learns the size of a run that it already knows.
+// repeatOrders queues anew, for every run on record at the worker, the stop
+// order, or the start order if one was queued before. From a repeated start
+// order, an agent learns the size of a run that it already knows.
 func (l *agentLink) repeatOrders() {
 	if l.worker == nil {
 		return
@@ -51,7 +52,6 @@
 	}
 }
 
-// orderLoop sends the contents of the outbox.
 func (l *agentLink) orderLoop(ctx context.Context) {
 	for {
 		select {
@@ -76,7 +76,7 @@
 	if err != nil || reply.Refused != "" {
 		if ctx.Err() == nil {
 			t.deps.Log.Info().Err(err).Str("refused", string(reply.Refused)).Str("instance", l.node).Int("starts", len(args.Starts)).
-				Int("stops", len(args.Stops)).Msg("orders not accepted")
+				Int("stops", len(args.Stops)).Msg("orders refused or unanswered; sending again")
 			t.sleep(linkRetry)
 			signal(l.outbox)
 		}
@@ -95,8 +95,9 @@
 	}
 }
 
-// orders returns the next message from the outbox. Starts whose task was placed
-// elsewhere since are dropped.
+// orders returns the next message from the outbox. It drops starts of runs that
+// are no longer on record or whose job has ended. more says that starts are
+// left in the outbox.
 func (l *agentLink) orders() (args dispatch.OrderArgs, more bool) {
 	t := l.term
 	if l.worker == nil || l.process == 0 {
--- a/entry/scheduler/plan.go
+++ b/entry/scheduler/plan.go
@@ -9,9 +9,10 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// plan places waiting tasks where capacity is free: by the jobs' priority, and
-// within it first the jobs that can still end in time. A task that fits nowhere
-// does not block later steps. The caller holds mu.
+// plan places waiting tasks where capacity is free: in the order of the jobs'
+// priority, and within a priority first for jobs that can still end in time. A
+// task that fits nowhere delays the rest of its step, but not later steps. The
+// caller holds mu.
 func (t *Term) plan() {
 	if !t.loaded || len(t.workers) == 0 {
 		return
@@ -78,13 +79,14 @@
 	}
 }
 
-// planReadyStep places the tasks of a step that may start.
+// planReadyStep places the waiting tasks of a step that is ready.
 func (t *Term) planReadyStep(v *view, j *job, o *occurrence, si int) {
 	now := time.Now()
 	s := o.steps[si]
 	suspects := s.awaitsQuarantine(now)
 	if s.spec.Gang {
-		// A gang is placed whole: in quarantine, or outside it if no worker fits.
+		// A gang is placed whole. With suspect tasks it waits for a quarantine,
+		// unless no worker fits it.
 		if !suspects || !t.planQuarantine(v, j, o, si, now) {
 			t.planGang(v, j, o, si)
 		}
@@ -139,15 +141,15 @@
 }
 
 const (
-	// waitLimit is the time for which a job still waits, after its latest useful
-	// end, for a worker on which it does not press. Then it takes any free
-	// capacity, so that no job waits forever.
+	// waitLimit is the time after the deadline of an overdue job (order.Key.By)
+	// for which the job still waits for a worker on which it does not press. Then
+	// it takes any free capacity, so that no job waits forever.
 	waitLimit = 30 * time.Second
 	// idleWaitLimit bounds this wait of a job without a running task while most of
 	// the service's capacity is free: its client would see a job that stands still
 	// beside idle workers.
 	idleWaitLimit = 2 * time.Second
-	// mostlyFree is the used share of a service's CPU below which most is free.
+	// mostlyFree is the used share below which a service's CPU is mostly free.
 	mostlyFree = 0.52
 )
 
@@ -161,7 +163,8 @@
 	return v.usedShare() < mostlyFree && j.idleFor(time.Now()) > idleWaitLimit
 }
 
-// idleFor is the time for which no task of the job has run.
+// idleFor is the time for which no task of the job has been placed, counted
+// from the first call that finds none.
 func (j *job) idleFor(now time.Time) time.Duration {
 	idle := true
 	j.each(func(_ workload.TaskID, _ *step, k *task) {
--- a/entry/scheduler/quarantine.go
+++ b/entry/scheduler/quarantine.go
@@ -8,10 +8,11 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// A task that may have crashed a worker within moments of its start, or two
-// workers at all, starts next in quarantine: on a worker where no task of
-// another job has begun lately, and none begins until this one is proven (see
-// crash.go). A crash there shows the cause, and costs least where few runs are.
+// A task is next started in quarantine if it may have crashed a worker within
+// moments of the task's start, or two workers at any time. In quarantine, no
+// task of another job has begun on the worker lately, and none begins until the
+// suspect task is proven (see crash.go). A crash there shows the cause, and
+// costs least where few runs are.
 
 const (
 	// quarantineWait bounds a task's wait for a quarantine. Then the task starts
@@ -54,7 +55,8 @@
 }
 
 // endQuarantines ends the quarantine of workers whose job has ended, has no
-// suspect task there, or was not placed there in time. The caller holds mu.
+// suspect task left there, or was not placed there within quarantineWait. The
+// caller holds mu.
 func (t *Term) endQuarantines(now time.Time) {
 	for _, w := range t.workers {
 		q := w.quarantine
@@ -82,8 +84,8 @@
 	return false
 }
 
-// planQuarantine places the suspect tasks of a step. It returns false if no
-// worker could take them in quarantine.
+// planQuarantine places the suspect tasks of a step in quarantine, or lets them
+// wait for one. It returns false if no worker could take them in quarantine.
 func (t *Term) planQuarantine(v *view, j *job, o *occurrence, si int, now time.Time) bool {
 	s := o.steps[si]
 	v.countStep(s)
@@ -137,8 +139,8 @@
 }
 
 // quarantineWorker returns the candidate that is in quarantine for the job, or
-// puts one in quarantine for it. If there is none, it returns -1; busy says
-// whether one may become available.
+// puts one in quarantine for it. If there is no such candidate, it returns -1;
+// busy says whether one may become available.
 func (t *Term) quarantineWorker(v *view, j *job, s *step, now time.Time) (n int, busy bool) {
 	own, dedicated, all := v.quarantines(j.spec.ID)
 	switch {
--- a/entry/scheduler/rates_test.go
+++ b/entry/scheduler/rates_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Failure guarded against: a machine with 0.8 of a core, a quarter of it used,
-// schedules 240 workers. Yet it samples agents as rarely as a fifth of a core
-// requires, and updates them every 3.2 s. Filling work presses on serving tasks
-// for that long. A weak machine must stay within its limits, and small fleets
-// keep the usual intervals.
+// Failure guarded against: a machine with 0.8 of a core, of which it uses a
+// quarter, schedules 240 workers. Yet it samples agents as rarely as a machine
+// with a fifth of a core must, and updates them every 3.2 s. Filling work
+// presses on serving tasks for that long. A weak machine must stay within its
+// limits, and small fleets keep the usual intervals.
 func TestUpdateRatesScaleWithMachinePower(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
--- a/entry/scheduler/regroup.go
+++ b/entry/scheduler/regroup.go
@@ -72,7 +72,8 @@
 	return d
 }
 
-// servingTasks lists the serving tasks, and counts the moving ones.
+// servingTasks lists the placed serving tasks, in the same order in tasks and
+// found, and counts the tasks for which capacity is held.
 func (t *Term) servingTasks(v *view) (tasks []pressure.Task, found []movable, moving int) {
 	now := time.Now()
 	steps := map[*step]int{}
@@ -103,10 +104,11 @@
 	return tasks, found, moving
 }
 
-// mayMove reports whether a task may be stopped for a move: all tasks of its
-// step have been running for regroupAfter. Steps that bound their missing tasks
-// are left alone: other tasks may be missing for reasons that the scheduler
-// does not see yet.
+// mayMove reports whether a task may be stopped for a move: it was not moved
+// too often, and all tasks of its step were placed at least regroupAfter ago.
+// Gangs and tasks that need tickets are not moved, nor tasks of steps that
+// bound their missing tasks: other tasks may be missing for reasons that the
+// scheduler does not see yet.
 func (t *Term) mayMove(j *job, s *step, k *task, now time.Time) bool {
 	if !k.ordered || k.stopping || k.moves >= relocatePerTask || now.Sub(k.placedAt) < regroupAfter || j.queue.Advised || s.spec.Gang ||
 		s.spec.MayMiss > 0 {
@@ -151,8 +153,8 @@
 	t.stop(m.id, m.task)
 }
 
-// placePinned places a moving task where capacity is held for it. It returns
-// true if the task is placed or waits for this capacity.
+// placePinned places a task on the worker that holds capacity for it. It
+// returns true if the task is placed or waits for this capacity.
 func (t *Term) placePinned(v *view, j *job, o *occurrence, si, i int, now time.Time) bool {
 	s := o.steps[si]
 	k := &s.tasks[i]
--- a/entry/scheduler/regroup_test.go
+++ b/entry/scheduler/regroup_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// The row of a job holds all its progress that the next scheduler needs.
+// The progress row of a job holds all that the next scheduler needs.
 func TestProgressRowRoundTrip(t *testing.T) {
 	now := time.Now()
 	spec := workload.Job{ID: "5c0e7a21d94b36f8", Steps: []workload.Step{{Count: 20}, {Count: 3, After: []int{0}}}}
--- a/entry/scheduler/relocate.go
+++ b/entry/scheduler/relocate.go
@@ -20,10 +20,10 @@
 	relocatePerTask = 2
 )
 
-// relocate stops filling runs that press on serving tasks, and so hardly
-// progress, if another worker has capacity and they would not press there.
-// Their tasks resume from the checkpoint. The caller has placed all tasks that
-// it could.
+// relocate stops checkpointing filling runs that press on serving tasks, and so
+// hardly progress, if another worker has capacity and they would not press
+// there. Their tasks resume from the checkpoint there. Overdue jobs are left
+// alone. The caller has placed all tasks that it could.
 func (t *Term) relocate(v *view) {
 	if v.now-t.lastRelocate < relocateEvery {
 		return
--- a/entry/scheduler/retire.go
+++ b/entry/scheduler/retire.go
@@ -70,8 +70,8 @@
 
 // deleteJobs deletes the rows of jobs and their cancellations, in one
 // transaction for each partition, and returns the deleted jobs. Progress rows
-// are deleted later, by the term's transactions: a job whose progress row is
-// missing would run again.
+// are deleted later, by the term's transactions: a job whose progress row was
+// deleted first would run again.
 func (t *Term) deleteJobs(old []oldJob) []workload.JobID {
 	parts := map[string][]oldJob{}
 	for _, o := range old {
--- a/entry/scheduler/rows.go
+++ b/entry/scheduler/rows.go
@@ -54,7 +54,6 @@
 	return strconv.Itoa(rowstore.Spread(string(id), jobParts))
 }
 
-// jobPartNames lists the partitions of JobsTable.
 func jobPartNames() []string {
 	parts := make([]string, jobParts)
 	for n := range parts {
@@ -69,16 +68,16 @@
 	return workload.JobID(base), cancel
 }
 
-// leaseRow is the scheduler's lease. Each transaction of the scheduler renews
-// the row, on the condition that its version is unchanged. So the row fences
-// off an earlier scheduler, serves as the heartbeat, and shows whether a
+// leaseRow is the scheduler's lease. Each transaction of the commit loop renews
+// the row, on the condition that the row's version is unchanged. So the row
+// fences off an earlier scheduler, serves as the heartbeat, and shows whether a
 // transaction without an answer was applied.
 type leaseRow struct {
 	Node string `json:"n"`
 	// Process distinguishes two processes of one machine.
 	Process string `json:"p"`
 	Address string `json:"a"`
-	// Count numbers the transactions of the term.
+	// Count rises by 1 with each transaction of the term, from a random start.
 	Count uint64 `json:"c"`
 	// Epoch is the version of the write that took the lease; 0 in that write.
 	Epoch uint64 `json:"e,omitempty"`
@@ -86,7 +85,8 @@
 	Released bool `json:"r,omitempty"`
 	// Power is the processor power of the holder's machine, in cores.
 	Power float64 `json:"w,omitempty"`
-	// Successor is the one node that may take a released lease in successorWait.
+	// Successor is the one node that may take the lease within successorWait of
+	// its release.
 	Successor string `json:"h,omitempty"`
 }
 
--- a/entry/scheduler/service.go
+++ b/entry/scheduler/service.go
@@ -18,7 +18,8 @@
 	return t.loaded && t.ctx.Err() == nil && t.deps.Now() < t.validUntil
 }
 
-// Note adds a job or a cancellation that an entry has just stored.
+// Note adds a job or a cancellation that an entry has just stored. Until the
+// term is loaded, it adds nothing, as the term reads all rows from the store.
 func (t *Term) Note(args dispatch.NoteArgs) {
 	t.mu.Lock()
 	if t.loaded {
@@ -51,7 +52,8 @@
 	return reply
 }
 
-// Waiting counts the jobs of a queue of which no task has been placed.
+// Waiting counts the jobs of a queue that have had no task placed and have not
+// ended.
 func (t *Term) Waiting(queue string) dispatch.WaitingReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,13 +69,14 @@
 // Service exposes the elector to other entries over net/rpc.
 type Service struct{ Elector *Elector }
 
-// Note implements the call of that name.
+// Note passes a stored job or cancellation to the term of this process, if any.
 func (s *Service) Note(args dispatch.NoteArgs, _ *dispatch.NoteReply) error {
 	s.Elector.Note(args)
 	return nil
 }
 
-// State implements the call of that name.
+// State returns the stored state of a job, if this process leads, and the name
+// of this process.
 func (s *Service) State(args dispatch.StateArgs, reply *dispatch.StateReply) error {
 	if t := s.Elector.Term(); t != nil {
 		*reply = t.State(args.ID)
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// Waiting implements the call of that name.
+// Waiting returns the number of a queue's waiting jobs, if this process leads.
 func (s *Service) Waiting(args dispatch.WaitingArgs, reply *dispatch.WaitingReply) error {
 	if t := s.Elector.Term(); t != nil {
 		*reply = t.Waiting(args.Queue)
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// Yield implements the call of that name.
+// Yield ends the term in favour of args.Heir, if args.Process is this process.
 func (s *Service) Yield(args dispatch.YieldArgs, reply *dispatch.YieldReply) error {
 	if t := s.Elector.Term(); t != nil && args.Process == s.Elector.cfg.Process {
 		reply.Agreed = t.yield(args.Heir)
--- a/entry/scheduler/straggler.go
+++ b/entry/scheduler/straggler.go
@@ -13,8 +13,8 @@
 // maxRescues bounds how often one task is moved off a slow worker.
 const maxRescues = 2
 
-// comparableEstimate is the estimate of a step whose tasks end by themselves at
-// full pace, else 0: the pace of filling work says nothing about its worker.
+// comparableEstimate is the estimate of a step, or 0 for lasting steps, gangs,
+// and filling work, whose pace says nothing about its worker.
 func comparableEstimate(s *workload.Step) time.Duration {
 	if s.Lasting || s.Fills || s.Gang {
 		return 0
@@ -23,8 +23,8 @@
 }
 
 // handleSlowRun records that a run is reported as slow. If the worker seems to
-// be the cause, it stops the slow runs there, and reports whether it stopped
-// any.
+// be the cause, handleSlowRun stops all slow runs there whose tasks may still
+// be rescued. It reports whether it stopped any.
 func (t *Term) handleSlowRun(w *worker, s *step, k *task, r workload.RunID) bool {
 	if k.slow || k.stopping {
 		return false
--- a/entry/scheduler/tell.go
+++ b/entry/scheduler/tell.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// pressureUpdateEvery is the least time between two updates to one agent. It
-	// grows with the number of agents, so that a machine of weakPower sends at
-	// most pressureUpdatesPerSecond. An update has a kilobyte or two.
+	// pressureUpdateEvery is the least time between two updates to one agent. The
+	// time grows with the number of agents, so that a machine of weakPower sends
+	// at most pressureUpdatesPerSecond. An update has a kilobyte or two.
 	pressureUpdateEvery      = 300 * time.Millisecond
 	pressureUpdatesPerSecond = 75
-	// pressureUpdateRepeat is the time after which an unchanged update is sent
-	// again, since the last one may have been lost.
+	// pressureUpdateRepeat is the time after which a nearly unchanged update is
+	// sent again, since the last one may have been lost.
 	pressureUpdateRepeat = 2 * time.Second
-	// changedWeight is the least change of a weight that is sent at once.
+	// changedWeight is the change of a weight above which an update is sent before
+	// pressureUpdateRepeat has passed.
 	changedWeight = 0.05
 )
 
@@ -32,7 +33,7 @@
 }
 
 // addPressureUpdate adds the sample intervals, and the learnt weights of the
-// worker's serving images if the agent does not have them.
+// worker's serving images if they have changed or are to be repeated.
 func (l *agentLink) addPressureUpdate(args *dispatch.WatchArgs) {
 	t := l.term
 	args.SampleEvery, args.SampleUnknown = sampleIntervals(len(t.agents), t.cfg.Power)
@@ -65,7 +66,7 @@
 	return max(pressureUpdateEvery, turnInterval(n, pressureUpdatesPerSecond*powerScale(power)))
 }
 
-// matches reports whether the update's weights differ little from pairs.
+// matches reports whether no weight differs by more than changedWeight.
 func (x *pressureUpdate) matches(pairs map[pressure.Pair]pressure.Weight) bool {
 	if len(pairs) != len(x.pairs) {
 		return false
--- a/entry/scheduler/term.go
+++ b/entry/scheduler/term.go
@@ -1,8 +1,8 @@
 // Package scheduler decides which task runs where. One entry at a time holds
-// the scheduler's lease, a row of the store. Each transaction of the holder
-// renews the row, if its version is unchanged. The other entries watch the row
-// and take over when it is no longer renewed. A decision is stored before it is
-// sent to an agent, so that the next scheduler finds it.
+// the scheduler's lease, a row of the store. Each transaction that stores
+// decisions renews the row, if nobody else has written it. The other entries
+// watch the row and take over when it is no longer renewed. A decision is
+// stored before it is sent to an agent, so that the next scheduler finds it.
 package scheduler
 
 import (
@@ -59,7 +59,7 @@
 	// and for readings in whole milliseconds.
 	clockMargin = 300 * time.Millisecond
 	clockDrift  = 0.03
-	// tickInterval bounds the delay of noticing a due time or a lost worker.
+	// tickInterval bounds the delay until a due occurrence or lost worker is seen.
 	tickInterval = 50 * time.Millisecond
 )
 
@@ -172,7 +172,6 @@
 	return (t.storeClock.store + t.deps.Now() - t.storeClock.local).Milliseconds()
 }
 
-// tick checks for due occurrences, lost workers, drains and regrouping.
 func (t *Term) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -280,8 +279,8 @@
 	})
 }
 
-// stop orders the end of a placed run. Its capacity is free once the agent
-// reports that the run has ended or never ran.
+// stop orders the end of a placed run. Its capacity stays reserved until the
+// run is known to have ended or never to start.
 func (t *Term) stop(id workload.TaskID, k *task) {
 	if k.stopping {
 		return
@@ -294,7 +293,6 @@
 	w.link.addStop(workload.RunID{Task: id, Run: k.run})
 }
 
-// applyEnd applies an end that an agent reports.
 func (t *Term) applyEnd(w *worker, e workload.End) {
 	t.deps.Counters.Ends.Add(1)
 	j := t.jobs[e.Run.Task.Job]
@@ -347,7 +345,6 @@
 	t.logEnd(j, s, k, e, w)
 }
 
-// recordDuration adds a task's duration to its step's sum.
 func (t *Term) recordDuration(j *job, s *step, k *task, e workload.End) {
 	if e.Worked <= 0 {
 		return
--- a/entry/scheduler/trials.go
+++ b/entry/scheduler/trials.go
@@ -12,11 +12,11 @@
 // So a pair of a filling and a serving image whose pressure is unknown runs on
 // one worker first. Two samples there show the pressure.
 const (
-	// trialWait is the time for which other workers wait for the result of a
-	// trial: two samples of half a second.
+	// trialWait is the longest time for which a trial keeps its pair off other
+	// workers: two samples of half a second.
 	trialWait = time.Second
-	// trialPause is the time since a pair last ran together after which its next
-	// run is a new trial.
+	// trialPause is the time after which a pair that has not run together needs a
+	// new trial.
 	trialPause = 3 * time.Second
 	// trialScanEvery is the time between two scans for pairs that run together.
 	trialScanEvery = 100 * time.Millisecond
--- a/entry/scheduler/view.go
+++ b/entry/scheduler/view.go
@@ -8,8 +8,8 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// view holds the workers in a fixed order, as the placement sees them. It is
-// updated while a plan is made.
+// view holds the workers that are alive, in a fixed order, as the placement
+// sees them. It is updated while a plan is made.
 type view struct {
 	workers    []*worker
 	service    string
--- a/entry/scheduler/worker.go
+++ b/entry/scheduler/worker.go
@@ -18,7 +18,7 @@
 	info  workload.Worker
 	// alive says that the worker answers its agent and its lease has not expired.
 	alive bool
-	// drained says that its data centre is drained.
+	// drained says that the worker's data centre is drained.
 	drained bool
 	// leaseEnd is when the last lease that may have been granted expires.
 	leaseEnd time.Duration
@@ -37,14 +37,15 @@
 	images map[string]int
 	// held is capacity held for tasks that are to be placed here.
 	held map[workload.TaskID]heldCapacity
-	// endsApplied is the highest number of an applied end, endsStored the highest
-	// of an end whose effects are stored.
+	// endsApplied is the highest End.Number that was applied, endsStored the
+	// highest whose effects are stored.
 	endsApplied uint64
 	endsStored  uint64
 	health      health
 	// answeredAt is when the agent last reported that the worker answers.
 	answeredAt time.Duration
-	// suspects are tasks that may have crashed the worker; none once it answers.
+	// suspects are tasks that may have crashed the worker; nil when it answers
+	// again.
 	suspects []suspect
 	// quarantine dedicates the worker to one job for a while; nil otherwise.
 	quarantine *quarantine
@@ -53,7 +54,6 @@
 	slowUntil time.Duration
 }
 
-// heldCapacity is capacity held for one task until a time.
 type heldCapacity struct {
 	need  workload.Resources
 	until time.Time
@@ -87,7 +87,6 @@
 	return &worker{id: id, agent: agent, runs: map[workload.RunID]reservation{}, fills: map[string]int{}, images: map[string]int{}, held: map[workload.TaskID]heldCapacity{}}
 }
 
-// add reserves the capacity of a run.
 func (w *worker) add(r workload.RunID, s *workload.Step) {
 	if _, ok := w.runs[r]; ok {
 		return
@@ -111,7 +110,6 @@
 	}
 }
 
-// remove frees the capacity of a run.
 func (w *worker) remove(r workload.RunID) {
 	v, ok := w.runs[r]
 	if !ok {
--- a/entry/scheduler/yield.go
+++ b/entry/scheduler/yield.go
@@ -14,7 +14,8 @@
 	// strongerBy is the factor by which the requesting machine has to be stronger:
 	// a handover stops all starts for some tenths of a second.
 	strongerBy = 1.5
-	// steadyFor is the least age of the holder's term and the requester's watch.
+	// steadyFor is the least age of the holder's term, and of the requester's
+	// watch of the lease, at a handover.
 	steadyFor = 3 * time.Second
 	// requestEvery is the time between two requests of an entry.
 	requestEvery = 2 * time.Second
