--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -12,8 +12,8 @@
 	return RunningTask{Job: structs.JobID(job), Kind: kind, Ran: ran, Speed: speed, Slots: 1, Progress: 0.5, Runtime: 10 * time.Minute}
 }
 
-// simulateRelief calls Relieve as an agent does, each second, with service times
-// that follow the task speeds with a delay of 3 s.
+// simulateRelief calls Relieve each second. Service times follow the task speeds
+// with a delay of 3 s.
 func simulateRelief(t *testing.T, harm float64, seconds int) (throttles, evictions, restores int, first ActionKind) {
 	m := trainedModel(300, 0.4)
 	var memory ReliefTracker
@@ -161,9 +161,9 @@
 }
 
 // Guards against: calls within their customer's quota are refused for 21 seconds.
-// It comes about when new tasks have borrowed all slots in an idle minute and run
-// for at least 20 seconds. A slot owed to calls must be reclaimed after
-// reclaimDelay. For a slot owed to a queued task, no new task is evicted.
+// It comes about when new tasks borrow all slots while no call runs, and minRunTime
+// protects these tasks. A slot owed to calls must be reclaimed after reclaimDelay.
+// For a slot owed to a queued task, no task younger than minRunTime is evicted.
 func TestBorrowedSlotsOfNewTasksAreReclaimedForCalls(t *testing.T) {
 	firstEviction := func(calls int) time.Duration {
 		var memory ReliefTracker
--- a/decide/health.go
+++ b/decide/health.go
@@ -45,20 +45,20 @@
 	probeAt   time.Duration
 	backoff   time.Duration
 	successes int
-	// probeSent is set while the result of a probe is pending. Other outcomes are
-	// ignored: tasks started before the worker broke may still succeed.
+	// probeSent is set while the result of a probe is pending. Otherwise outcomes
+	// are ignored: tasks started before the worker broke may still succeed.
 	probeSent bool
 }
 
-// HealthCounters counts reports, probes and verdicts.
+// HealthCounters counts reports, probes, quarantines, releases and parked kinds.
 type HealthCounters struct {
 	Reports, Dropped, Quarantined, Released, Probes, KindsParked uint64
 }
 
 // Health distinguishes workers that fail all tasks from job kinds that fail on
 // all workers. A single failure is consistent with both, so outcomes are counted
-// per pair of worker and kind. A worker is quarantined only if it has more
-// failures than its kinds have on other workers. The zero value is ready for use.
+// per pair of worker and kind. A worker is quarantined only if it fails more often
+// than its kinds fail on other workers. The zero value is ready for use.
 type Health struct {
 	cells        map[structs.InstanceID]map[structs.Kind]*outcomes
 	byKind       map[structs.Kind]map[structs.InstanceID]*outcomes
@@ -73,9 +73,9 @@
 func (h *Health) Counters() HealthCounters { return h.counters }
 
 // Report records the outcome of one run of a task of kind k on instance. ok is
-// false for a run that ended in an error, not for a run that was stopped. Report
-// returns false if it drops the report, for example because the newest report is
-// later by more than healthHalfLife.
+// false for a run that failed or was lost; stopped runs must not be reported.
+// Report returns false if it drops the report, for example because the newest
+// report is later by more than healthHalfLife.
 func (h *Health) Report(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) bool {
 	if instance == "" || k == "" || now < 0 || now < h.newestReport-healthHalfLife {
 		h.counters.Dropped++
@@ -158,9 +158,9 @@
 	if failed < minFailures-decayTolerance || failed/total < badWorkerRate {
 		return
 	}
-	// An excess of three standard deviations would take dozens of failures. An
-	// excess of at most excessFailures over the expected number is enough: a
-	// worker whose kinds also fail elsewhere does not reach it.
+	// Requiring three standard deviations would take dozens of failures. Instead,
+	// the failures must be twice the expected number and exceed it by almost
+	// excessFailures. A worker whose kinds also fail elsewhere does not reach that.
 	if failed-expected < excessFailures*failed/(failed+1) || failed < 2*expected {
 		return
 	}
@@ -221,8 +221,8 @@
 	}
 }
 
-// Worker reports whether instance is in quarantine at time now and, if so,
-// whether one task may be sent to it as a probe.
+// Worker reports whether instance is in quarantine and, if so, whether one task
+// may be sent to it as a probe at time now.
 func (h *Health) Worker(now time.Duration, instance structs.InstanceID) (quarantined, probe bool, hold Hold) {
 	q := h.quarantines[instance]
 	if q == nil {
--- a/decide/history.go
+++ b/decide/history.go
@@ -13,7 +13,7 @@
 	isLoad bool
 }
 
-// levelChange is a change of one level. before is the value until the change.
+// levelChange is a change of one level; before is the former value.
 type levelChange struct {
 	at     time.Duration
 	series seriesKey
@@ -27,8 +27,7 @@
 	retention time.Duration
 	changes   []levelChange
 	levels    map[seriesKey]float64
-	// newestChange is the time of the newest change. since is the time from
-	// which on the history still has all changes.
+	// The history holds all changes after since.
 	newestChange, since time.Duration
 	dropped             uint64
 }
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -33,7 +33,7 @@
 }
 
 // KindCount is the mean number of running tasks of one kind over the window of
-// a sample, each weighted by its throttle setting.
+// a sample, each weighted by its speed.
 type KindCount struct {
 	Kind  structs.Kind
 	Count float64
@@ -255,10 +255,10 @@
 
 func clamp(x, low, high float64) float64 { return math.Max(low, math.Min(high, x)) }
 
-// detectRegimeChange raises the variances of a service's estimates again when
-// residuals keep one sign for longer than noise explains. Variances shrink with
-// each sample. Without raising them, a change of the workload takes hours to
-// learn, and meanwhile calls are placed beside tasks that slow them down.
+// detectRegimeChange raises the variances of the service's base and of the pairs
+// in s when residuals keep one sign for longer than noise explains. Variances
+// shrink with each sample. Without raising them, a change of the workload takes
+// hours to learn, and calls are placed beside tasks that slow them down.
 func (m *Interference) detectRegimeChange(st *serviceState, s Sample, z float64) {
 	st.cusumHigh = math.Max(0, st.cusumHigh+z-regimeSlack)
 	st.cusumLow = math.Max(0, st.cusumLow-z-regimeSlack)
--- a/decide/planner.go
+++ b/decide/planner.go
@@ -134,8 +134,8 @@
 func (p *Planner) Counters() PlannerCounters { return p.counters }
 
 // PlaceBatch chooses up to limit jobs to start and returns the reasons why the
-// other jobs considered wait. Customers are served by weighted dominant share,
-// smallest first: the largest of a customer's shares of the resources, divided by
+// other jobs considered wait. Next is always the customer with the smallest
+// weighted dominant share. That is its largest share of any resource, divided by
 // its contract's share. A job that fits nowhere is skipped and blocks no other.
 // Both results are valid until the next call.
 func (p *Planner) PlaceBatch(v *BatchView, m *Interference, limit int) (placed []Placement, holds map[structs.JobID]Hold) {
@@ -189,9 +189,9 @@
 	}
 }
 
-// urgentReserve returns the number of slots to keep free for the urgent calls of
-// an instance: half as many as calls run now, at least one for each service that
-// has a free slot, and at most half of the instance's slots. Without the upper
+// urgentReserve returns the number of slots to keep free for urgent calls:
+// in.Reserve if set, else half as many as calls run now, at least one for each
+// service with a free slot, and at most half of the instance's slots. Without this
 // bound, an idle instance with more services than slots would run no batch tasks.
 func urgentReserve(in *Instance) int {
 	if in.Reserve > 0 {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -70,8 +70,8 @@
 	Quota int
 	// Recent is the mean number of slots that the customer's urgent calls held
 	// over the last seconds (see Demand.Recent). It distinguishes a short burst
-	// from a flood, which lasts. 0 means unknown; then all slots reserved for
-	// others stay free.
+	// from a flood, which lasts. 0 means unknown; calls beyond the quota then
+	// leave free all slots reserved for others.
 	Recent float64
 	// Expected is the number of slots that the customer's urgent calls are
 	// expected to need at once (see Demand.Expected). Other customers may borrow
@@ -109,12 +109,12 @@
 // AdmitUrgent decides at the agent whether one more urgent call of c starts.
 // quota is the customer's Quota on the instance. While the customer holds fewer
 // slots than quota, batch tasks included, a free slot is enough. Beyond quota the
-// customer borrows: any free slot in a short burst, but only slots that others
-// don't need once its calls have used most of its share for seconds (see
+// customer borrows. In a short burst it gets any free slot. Once its calls have
+// used most of its share for seconds, it must leave slots free for others (see
 // slotsKeptFree).
 //
-// The agent calls AdmitUrgent twice for each call: for the slots of the instance,
-// and for the slots of the service, with uses and free of the service alone.
+// The agent calls AdmitUrgent for the slots of the instance. policy.Predictive also
+// calls it for the slots of the service, with uses and free of the service alone.
 func AdmitUrgent(uses []SlotUse, c structs.Contract, quota int, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
 		return false, holdNoContract(c.Customer)
@@ -137,8 +137,8 @@
 
 const (
 	// A customer borrows any free slot while its recent mean is at most burstLimit
-	// times its share. From floodStart times its share on, it must leave all slots
-	// reserved for others free. Quotas on one instance are small numbers: a customer
+	// times its share. From floodStart times its share on, it must leave free all
+	// slots reserved for others. Quotas on one instance are small numbers: a customer
 	// may exceed its quota here and be within its contract over all instances.
 	burstLimit = 0.5
 	floodStart = 0.9
@@ -179,7 +179,7 @@
 
 // AdmitBatch decides at the agent whether a claimed task of c starts. The task must
 // fit and leave free the slots that all urgent calls, those of c included, are
-// expected to need.
+// expected to need. Beyond quota it is also refused if floodsWithCalls holds.
 func AdmitBatch(uses []SlotUse, c structs.Contract, quota int, need, free structs.Resources) (ok bool, hold Hold) {
 	if !validShare(c.Share) {
 		return false, holdNoContract(c.Customer)
--- a/decide/random.go
+++ b/decide/random.go
@@ -15,7 +15,7 @@
 // below maps x to 0..n-1; n must be above 0.
 func below(x uint64, n int) int { return int((x >> 32) * uint64(n) >> 32) }
 
-// hashStrings is 64-bit FNV-1a over both strings with a separator, mixed.
+// hashStrings applies mix to the 64-bit FNV-1a hash of a, a separator and b.
 func hashStrings(a, b string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
--- a/decide/relief.go
+++ b/decide/relief.go
@@ -32,11 +32,11 @@
 	// checkpoint; both 0 to 1. Runtime is the whole job's expected duration.
 	Progress, Saved float64
 	Runtime         time.Duration
-	// Speed is the present throttle setting, 1 for none.
+	// Speed is the present speed; 1 means not throttled.
 	Speed       float64
 	Slots       int
 	MemoryBytes int64
-	// Borrowed is set if its customer holds more than its quota on the instance.
+	// Borrowed is set if Customer holds more than its quota on the instance.
 	Borrowed bool
 }
 
@@ -62,7 +62,7 @@
 	ActionEvict    ActionKind = "evict"
 )
 
-// Action is one decision of Relieve. Speed is the new throttle setting.
+// Action is one decision of Relieve. Speed is the task's new speed.
 type Action struct {
 	Kind   ActionKind
 	Job    structs.JobID
@@ -74,7 +74,8 @@
 // Tuning of Relieve.
 const (
 	// Tasks are throttled if a service's inflation is above toleratedInflation.
-	// Their speed is raised again below restoredInflation, for hysteresis.
+	// Their speed is raised below restoredInflation, for hysteresis. A strict
+	// latency target lowers both (see inflationLimit).
 	toleratedInflation = 2.6
 	restoredInflation  = 2.2
 	// equalWeightCalls is the number of calls at which a measurement has the same
@@ -316,8 +317,8 @@
 	return sum
 }
 
-// inflationLimit returns the inflation that s may have: toleratedInflation, or
-// less if the latency target is close to the undisturbed time.
+// inflationLimit returns toleratedInflation or, if less, the inflation at which
+// the median reaches targetPart of the latency target.
 func inflationLimit(s *ServicePressure, m *Interference) float64 {
 	if s == nil {
 		return toleratedInflation
@@ -388,9 +389,9 @@
 	r.overLimitSince = now
 }
 
-// restore raises the speed of the least harmful throttled task, step by step,
-// while the predicted inflation stays at most halfway between restoredInflation
-// and the limit.
+// restore raises the speeds of throttled tasks, the least harmful task first,
+// while each service's predicted inflation stays at most halfway between
+// restoredInflation and its limit.
 func (r *ReliefTracker) restore(now time.Duration, st *ReliefState, m *Interference) {
 	if !r.settled(now) {
 		return
--- a/decide/scorer.go
+++ b/decide/scorer.go
@@ -159,7 +159,8 @@
 // service, weighted by the service's load and present inflation, plus a small
 // penalty for capacity left unused.
 //
-// It returns false if a service would be disturbed beyond maxDisturbed.
+// It returns false if a service that isn't idle would be disturbed beyond
+// maxDisturbed by more than negligible harm.
 func (s *scorer) score(v *BatchView, i int, k int32, need, free structs.Resources, maxDisturbed float64) (float64, bool) {
 	sum := 0.0
 	if s.model != nil {
--- a/decide/sizes.go
+++ b/decide/sizes.go
@@ -66,7 +66,7 @@
 func (s *Sizes) Dropped() uint64 { return s.dropped }
 
 // Observe records the peak use and the duration of one run; unknown values are 0.
-// Callers must pass only runs that completed or were stopped for using too much.
+// Callers must pass only runs that completed or that used more than expected.
 // Observe returns false if it drops the measurement.
 func (s *Sizes) Observe(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration) bool {
 	bad := !nonNegative(used) || used.MemoryBytes > maxMemory || used.MilliCores > maxMilliCores ||
--- a/decide/urgent.go
+++ b/decide/urgent.go
@@ -55,8 +55,7 @@
 // ChooseUrgent returns the index of the candidate for the next attempt, or -1
 // and the reason why there is none. It compares three random usable candidates of
 // the entry's data centre by predicted duration. It considers other data centres
-// only if none is usable, or if the best one has its last slot free or would be
-// late.
+// only if none is usable, or if the best one has one free slot or would be late.
 func ChooseUrgent(q UrgentQuery, cs []Candidate, m *Interference) (index int, hold Hold) {
 	if len(cs) == 0 {
 		return -1, Hold{Reason: ReasonNoBackend, Refusal: structs.RefusedUnknownService}
@@ -100,8 +99,8 @@
 }
 
 // pick draws at random until it has compared enough usable candidates of the local
-// data centre, or of the others. If few are usable, it scans all from a random
-// start, so that a single usable candidate is always found.
+// data centre, or of the others. If it finds too few, or the best would be late, it
+// scans all from a random start, so that a single usable candidate is always found.
 func pick(q *UrgentQuery, cs []Candidate, m *serviceModel, local bool) choice {
 	best, found := choice{index: -1}, 0
 	r := q.Random
@@ -159,10 +158,10 @@
 }
 
 // predictDuration returns the likely duration of the call on c. The measured
-// service time is delayed, and the learnt one ignores properties of the instance;
-// the age of the report determines their weights. confirmed is the part of likely
-// that calls measured on the instance support. A call is refused as late only if
-// confirmed exceeds the time left.
+// service time is delayed, so it counts less the older the report is. The learnt
+// one ignores properties of the instance. confirmed is likely, but at most the
+// measured time multiplied by the predicted inflation. A call is refused as late
+// only if confirmed exceeds the time left.
 //
 // Guards against: all calls with a deadline of 2 s are refused with "no backend
 // server would answer before the deadline", although the service is fast. It comes
@@ -195,9 +194,9 @@
 }
 
 // penalizeOccupancy adds up to an eighth for slots in use, so that the emptier of
-// two equal candidates is chosen. For the last free slot it adds half as much
-// again: another entry's call or a task has often taken the slot when the call
-// arrives, and the refusal costs an attempt.
+// two equal candidates is chosen. For the last free slot it adds another half:
+// another entry's call or a task often takes the slot before the call arrives,
+// and the refusal costs an attempt.
 func penalizeOccupancy(t time.Duration, c *Candidate) time.Duration {
 	t += (t/8 + 1) * time.Duration(busySlots(c)) / time.Duration(max(c.Slots, 1))
 	if onLastSlot(c) {
