--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -14,7 +14,7 @@
 	"persimmonrock.example/structs"
 )
 
-// LeastLoaded sends calls and tasks to the instance with the most free slots.
+// LeastLoaded sends each call and task to the least loaded instance.
 type LeastLoaded struct{}
 
 // Name implements policy.Policy.
@@ -153,7 +153,7 @@
 // service's best time.
 type ThresholdEviction struct {
 	LeastLoaded
-	// Above is the multiple, Pause the time between evictions on an instance.
+	// Above is the multiple, Pause the least time between evictions on an instance.
 	Above        float64
 	Pause        time.Duration
 	bestTime     map[structs.Service]time.Duration
@@ -180,7 +180,7 @@
 	}
 }
 
-// Relieve evicts one task while a service is above the threshold.
+// Relieve evicts one task if a service is above the threshold, at most one per Pause.
 func (t *ThresholdEviction) Relieve(now time.Duration, a *policy.Agent) []decide.Action {
 	if lastEviction, ok := t.lastEviction[a.Index]; ok && now-lastEviction < t.Pause || len(a.Tasks) == 0 {
 		return nil
