--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -24,7 +24,7 @@
 	historyRetention = time.Minute
 )
 
-// StepRelief marks a decision in a job's timeline.
+// StepRelief marks an applied action in a job's timeline.
 const StepRelief structs.Step = "task-relief"
 
 // Controller throttles and evicts the tasks of one instance.
@@ -132,8 +132,7 @@
 	}
 }
 
-// Sample returns at most one measurement that the receiver of sent does not have
-// yet, and records it in sent.
+// Sample returns at most one measurement not yet sent, and records it in sent.
 func (c *Controller) Sample(sent Sent) []wire.Sample {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -23,7 +23,6 @@
 	countResolution = 1.0 / 16
 )
 
-// numberedSample is the measurement of one service for heartbeats to carry.
 type numberedSample struct {
 	sample wire.Sample
 	number uint64
@@ -51,8 +50,8 @@
 // service sent to it.
 type Sent map[structs.Service]uint64
 
-// next returns the newest measurement of the service whose last sent measurement
-// is the oldest, and records it in sent.
+// next chooses, of the services with an unsent measurement, the one whose last sent
+// measurement is the oldest. It returns the unsent one and records it in sent.
 func (s *samples) next(sent Sent) []wire.Sample {
 	best := numberedSample{}
 	for name, k := range s.latest {
