--- a/decide/pressure/belief.go
+++ b/decide/pressure/belief.go
@@ -51,8 +51,8 @@
 
 // belief summarizes the samples of a pair.
 type belief struct {
-	// logBayesFactor is the logarithm of the samples' likelihood if the pair
-	// presses over their likelihood if it doesn't.
+	// logBayesFactor is the log of a ratio: the samples' likelihood if the pair
+	// presses to their likelihood if it doesn't.
 	logBayesFactor float64
 	// high is the mean weight if the pair presses, low if it doesn't.
 	high, low float64
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -15,7 +15,7 @@
 
 // A new filling image first runs beside one serving image only. Its weights
 // beside the others must be estimated. Without estimates, it is placed beside
-// serving images on which it presses, and slowed beside the others.
+// serving images on which it presses, and slowed where it presses on none.
 func TestEstimatesCarryOverToSimilarServingImages(t *testing.T) {
 	var m Model
 	for _, a := range []string{"a1", "a2"} {
--- a/decide/pressure/light.go
+++ b/decide/pressure/light.go
@@ -7,10 +7,10 @@
 	priorLightEvidence = 0.5
 )
 
-// Light is the common weight of all pairs that don't press. The load of one
-// such pair on a serving task is below the noise of a sample. All such filling
-// tasks together use half a worker, and then cause a tenth of the load that
-// the serving task can bear.
+// Light is the common weight of all pairs known not to press. The load of one
+// such pair on a serving task is below the noise of a sample. If all such filling
+// tasks together use half a worker, they cause a tenth of the load that the
+// serving task can bear.
 func (m *Model) Light() float64 {
 	if m.version == 0 {
 		return priorLight
@@ -18,8 +18,8 @@
 	return m.light
 }
 
-// lightWeight fits one weight to all pairs that don't press, after subtracting
-// the load of the pairs that press.
+// lightWeight fits one weight to all pairs known not to press, after subtracting
+// the load of the other pairs.
 func (m *Model) lightWeight() float64 {
 	load, square := priorLight*priorLightEvidence, priorLightEvidence
 	for _, e := range m.serving {
@@ -30,9 +30,9 @@
 	return min(pressThreshold, max(0, load/square))
 }
 
-// light returns two sums over the pairs of one serving image that don't press:
-// of the used share times the load that pressing pairs don't explain, and of
-// the square of the used share.
+// light returns two sums over the pairs of one serving image known not to press:
+// of the used share times the load that other pairs don't explain, and of the
+// products of their used shares.
 func (e *equations) light() (load, square float64) {
 	for i := range e.pairs {
 		if !e.isLight(i) {
--- a/decide/pressure/light_test.go
+++ b/decide/pressure/light_test.go
@@ -40,7 +40,6 @@
 	}
 }
 
-// Without samples the weight is priorLight.
 func TestLightWeightBeforeAnySample(t *testing.T) {
 	var m Model
 	if got := m.Light(); got != priorLight {
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -9,7 +9,7 @@
 //
 // decide.Interference, for the urgent path, learns the inflation by running
 // task and band of load. This package learns from the processor time that
-// filling work uses, which can be paced. The tail is not linear in it.
+// filling work uses, which pacing changes. The tail is not linear in that time.
 package pressure
 
 import (
@@ -69,7 +69,7 @@
 	serving map[string]*equations
 	// version counts solutions.
 	version uint64
-	// light is the common weight of all pairs that don't press.
+	// light is the result of Light after a Solve.
 	light float64
 	// differences caches results of Difference since the last solution.
 	differences map[[2]string]difference
@@ -203,7 +203,6 @@
 	}
 }
 
-// ownWeight is the weight by the pair's own samples.
 func (e *equations) ownWeight(filling string) Weight {
 	i, ok := e.index[filling]
 	if !ok {
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -12,14 +12,14 @@
 	targetFraction = 0.85
 	// loadMargin is the load kept free for changes until the next measurement.
 	loadMargin = 0.03
-	// If a tail is over its target for longer than maxOver, all work that may
-	// press on the task is paused, whatever the model says; after twice the
+	// If a tail is over its target for longer than maxOver, all work is paused
+	// whose weight isn't known to be at most ignoredWeight; after twice the
 	// time, all filling work. Users are affected after a few seconds.
 	maxOver = 1200 * time.Millisecond
 	// ignoredWeight is the weight up to which a known pair needs no pacing.
 	ignoredWeight = 0.15
-	// unknownPaceFactor multiplies, in each step, the pace of a filling image
-	// that forms an unknown pair with a serving task near its target.
+	// unknownPaceFactor bounds the next pace, relative to the current one, if the
+	// pair is unknown and the tail is above targetFraction of its target.
 	unknownPaceFactor = 0.4
 	// minPace is the pace below which work is paused.
 	minPace = 0.04
@@ -53,13 +53,13 @@
 // base, as a fraction of the target. A base is at most the task's tail.
 const defaultBaseFraction = 1 / 4.5
 
-// Pace returns the pace of each element of filling: the highest that the tails
-// of all serving tasks allow. Work that presses on none runs at full speed,
-// unless a tail has been over its target for more than twice maxOver.
+// Pace returns the pace of each element of filling: the highest that maxRise and
+// the tails of all serving tasks allow. Work that presses on none rises to full
+// speed, unless a tail has been over its target for more than twice maxOver.
 //
 // The spare load of the serving tasks is given to the jobs in the order of
-// their ranks. If jobs shared a spare load equally that is too small for all
-// of them, all would end too late to be of use.
+// their ranks. If a spare load too small for all jobs were shared equally, all
+// would end too late to be of use.
 func Pace(serving []Serving, filling []Filling, weight func(Pair) Weight) []float64 {
 	spare := make([]float64, len(serving))
 	for k := range serving {
@@ -92,7 +92,6 @@
 	return order
 }
 
-// measured reports whether the task has a target and a measured tail.
 func (s *Serving) measured() bool { return s.Target > 0 && s.Tail > 0 }
 
 // spare is the load that filling work may put on the task.
--- a/decide/pressure/regroup.go
+++ b/decide/pressure/regroup.go
@@ -9,8 +9,7 @@
 // Task is one serving task that may be moved.
 type Task struct {
 	Image string
-	// Step identifies the task's step; at most one task of a step moves at a
-	// time.
+	// Step identifies the task's step; at most one task of a step moves in a pass.
 	Step int
 	// Worker is the index of its worker.
 	Worker int
@@ -167,7 +166,6 @@
 	return list
 }
 
-// fixed reports whether task i may not move.
 func (g *grouping) fixed(i int) bool { return g.tasks[i].Fixed || g.movedSteps[g.tasks[i].Step] }
 
 // bestFrom returns the best move of a task off a worker, if the move gains more
