--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -39,9 +39,9 @@
 	OfStep int
 	// Barred excludes the worker, whatever its free capacity.
 	Barred bool
-	// LastingOnly excludes the worker for tasks that end by themselves, because
-	// their attempts are bounded. Attempts of lasting tasks are not, so lasting
-	// tasks must not wait beside free capacity.
+	// LastingOnly excludes the worker for all but lasting tasks, because other
+	// tasks have a bounded number of attempts. Lasting tasks do not, and must not
+	// wait beside free capacity.
 	LastingOnly bool
 }
 
