--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -20,7 +20,7 @@
 	Total    structs.Resources
 	Free     structs.Resources
 	Services []wire.ServiceLoad
-	// Uses has one entry for each customer; Quota and Expected are not set.
+	// Uses has one entry for each customer; only the slots in use are set.
 	Uses []decide.SlotUse
 	// Service, ServiceFree and ServiceUses are only set for AdmitUrgent: the
 	// called service, its free slots, and the slots in use by customer.
@@ -70,9 +70,9 @@
 	// changed by delta. ObserveLoad reports a change of a service's slots in use.
 	ObserveTasks(now time.Duration, instance int, k structs.Kind, delta float64)
 	ObserveLoad(now time.Duration, instance int, s structs.Service, inUse int)
-	// ObserveUsage reports the peak use of a run that ended, or (with ran 0) of a
-	// run killed for using too much.
+	// ObserveUsage reports the peak use of a run that completed, or (with ran 0) of
+	// a run killed for using too much.
 	ObserveUsage(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
-	// ObserveEnd reports the end of a run; ok is false if it failed by itself.
+	// ObserveEnd reports that a run completed (ok) or failed, not that it was stopped.
 	ObserveEnd(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
 }
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -19,14 +19,13 @@
 	customer structs.Customer
 }
 
-// agentState is the state kept for one agent.
 type agentState struct {
 	history *decide.History
 	model   *decide.Interference
 	memory  decide.ReliefTracker
 	demand  map[structs.Customer]*decide.Demand
 	// combined is the demand of all urgent calls together. Calls of a customer
-	// count only up to its quota.
+	// count only up to its quota, but at least one.
 	combined decide.Demand
 	// services is the demand of each customer for each service's slots.
 	services    map[demandKey]*decide.Demand
