--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -147,8 +147,8 @@
 	s.enqueue(t.job)
 }
 
-// killForMemory kills the largest task until the others fit into memory, as the
-// platform does.
+// killForMemory kills tasks, the largest first, until the others fit into memory,
+// as the platform does.
 func (s *simulation) killForMemory(at int) {
 	n := &s.nodes[at]
 	for {
@@ -266,8 +266,8 @@
 	s.reschedule(at)
 }
 
-// tickAgent is an agent's work of each second: it sends load and measurements,
-// and takes the policy's actions.
+// tickAgent is an agent's work of each second: it sends its load, at the end of a
+// window the measurements, and applies the policy's actions.
 func (s *simulation) tickAgent(at int) {
 	s.events.push(s.now+tickEvery, eventAgentTick, at, 0)
 	s.advance(at)
--- a/decide/model/result.go
+++ b/decide/model/result.go
@@ -18,7 +18,7 @@
 	ByCustomer [customers]*hdrhistogram.Histogram
 	// Calls counts ended calls, InTime those answered within their deadline.
 	Calls, InTime, Unanswered int
-	// Refusals counts the times that a caller was refused and asked to retry.
+	// Refusals counts the times that none of a caller's attempts was admitted.
 	Refusals, Attempts int
 	// Done is the number of finished batch jobs by customer.
 	Done [customers]int
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -21,9 +21,9 @@
 	s.tryCall(id)
 }
 
-// tryCall makes one attempt. After a refusal, which means that nothing ran, it
-// makes further attempts within the policy's retry budget. If no attempt is
-// admitted, the caller retries after the Retry-After until its deadline.
+// tryCall makes up to maxAttempts attempts, those after the first within the
+// policy's retry budget. If none is admitted, nothing ran, and the caller retries
+// after the Retry-After until its deadline.
 func (s *simulation) tryCall(id int) {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
@@ -88,8 +88,7 @@
 	return s.candidateBuffer
 }
 
-// admitCall starts the call if the agent admits it, and reports whether the call
-// was started.
+// admitCall starts the call and returns true if the agent admits it.
 func (s *simulation) admitCall(id, at int) bool {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
@@ -152,8 +151,8 @@
 	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-// updateView copies the exact state of a backend, except inUse, into an entry's
-// view, as the load on an agent's answer does.
+// updateView copies the present state of a backend, except inUse, into an entry's
+// view, as the load sent with an agent's answer does.
 func (s *simulation) updateView(v *view, node, backend int) {
 	n := &s.nodes[node]
 	v.at = s.now
@@ -169,8 +168,8 @@
 	taken time.Duration
 }
 
-// receiveLoad applies a heartbeat, which is loadDelay old, at every entry that
-// has no newer state.
+// receiveLoad applies a heartbeat at every entry that has no newer state. Only
+// inUse is loadDelay old; updateView copies the rest as it is now.
 func (s *simulation) receiveLoad(i int) {
 	r := &s.loadReports[i]
 	for k, b := range s.nodes[r.node].backends {
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -21,16 +21,16 @@
 type Options struct {
 	Seed     uint64
 	Duration time.Duration
-	// Flood makes customer 0 send ten times its usual load for the middle
-	// half of the run.
+	// Flood makes customer 0 send ten times its usual calls, and an extra job
+	// every 60 ms, in the middle half of the run.
 	Flood bool
 	// Load multiplies the rate of batch jobs; 1 leaves some capacity free on
 	// average, 1.5 does not.
 	Load float64
 	// NoBatch leaves out all batch jobs, to measure the undisturbed times.
 	NoBatch bool
-	// NoDisturbances leaves out waves, shifts, failing workers, cancellations
-	// and jobs that can never run.
+	// NoDisturbances leaves out waves, shifts, failing workers, cancellations,
+	// and jobs that can never run or always fail.
 	NoDisturbances bool
 }
 
@@ -85,7 +85,7 @@
 	rack     string
 	total    structs.Resources
 	services []int
-	// Tasks that start from failsFrom until failsUntil fail.
+	// Tasks that start between failsFrom and failsUntil fail.
 	failsFrom, failsUntil time.Duration
 }
 
@@ -286,8 +286,8 @@
 	}
 }
 
-// drawJobs draws each customer's jobs: steady streams (see Options.Load), noisy
-// waves of one kind, jobs that can never run, and cancellations.
+// drawJobs draws each customer's jobs: steady streams (see Options.Load), waves of
+// one kind, jobs that can never run, the flood, and cancellations.
 func (w *Workload) drawJobs(r *rand.Rand) {
 	d := w.Options.Duration
 	for c := range customers {
