--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -74,7 +74,7 @@
 }
 
 // grade is the program of a task: steps of one second, each with a checkpoint.
-// A start of a job that already has a final state is recorded in w.broken.
+// A start of a job that has a final state or no row is recorded in w.broken.
 func (w *cluster) grade(ctx context.Context, in *instance, t memory.Task) ([]byte, error) {
 	w.checkNotFinal(t, "starts")
 	for left := w.runTime - time.Duration(len(t.Checkpoint))*time.Second; left > 0; left -= time.Second {
--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -104,8 +104,9 @@
 	Entry structs.EntryID
 	// Address is this entry's own RPC address, "ip:port".
 	Address string
-	// ShardLease is the time for which another entry must see a shard row
-	// unchanged before it may take the shard over.
+	// ShardLease is the length of this entry's shard leases. Another entry may
+	// take a shard over after it has seen the row unchanged for this time plus
+	// LeaseMargin.
 	ShardLease time.Duration
 	// LeaseMargin is added to every lease length that this entry waits out.
 	LeaseMargin time.Duration
@@ -113,20 +114,22 @@
 	FlushEvery time.Duration
 	// ScanEvery is the interval of reading the shard rows.
 	ScanEvery time.Duration
-	// AgentScanEvery is the interval of reading the agents' lease rows.
+	// AgentScanEvery is the interval of reading the agents' lease rows; with
+	// more than maxUnstretchedRows rows the interval is longer.
 	AgentScanEvery time.Duration
-	// PlanEvery is the interval of placement while jobs are queued.
+	// PlanEvery is the interval at which a round of placement runs if one is due.
 	PlanEvery time.Duration
 	// ResendEvery is the interval at which an unanswered start or stop is
-	// sent again.
+	// sent again. After failed exchanges it doubles, up to maxResendPause.
 	ResendEvery time.Duration
 	// StoreTimeout bounds one request to the table service.
 	StoreTimeout time.Duration
 	// MaxFailures is the number of failed runs after which a job is failed.
 	MaxFailures int
-	// Retain is the number of final jobs that a shard keeps in memory.
+	// Retain is the number of ended (final, not parked) jobs that a shard keeps
+	// in memory.
 	Retain int
-	// JobRetention is the least time for which rows of final jobs are kept, with
+	// JobRetention is the least time for which rows of ended jobs are kept, with
 	// their results and checkpoints.
 	JobRetention time.Duration
 }
--- a/entry/batch/change.go
+++ b/entry/batch/change.go
@@ -12,7 +12,8 @@
 )
 
 // change is one requested change of a job. The shard's writer calls decide with
-// the job's latest state, and settle once the result is durable.
+// the job's latest state, and settle once the result is durable or the change
+// has failed.
 type change struct {
 	job structs.JobID
 	// decide returns the job's next state, one of the errors below, or a refusal.
@@ -150,7 +151,8 @@
 	return j
 }
 
-// requeueChange requeues a job whose claim provably ended without a report.
+// requeueChange requeues a job whose claim provably ended without a report, or
+// cancels the job if its cancellation was requested.
 func (t *tenure) requeueChange(id structs.JobID, e structs.Epoch) *change {
 	return t.endChange(wire.TaskReport{Job: id, Shard: t.shard, Epoch: e, End: wire.EndEvicted})
 }
--- a/entry/batch/deliver.go
+++ b/entry/batch/deliver.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// sendDue reports whether a send to any instance is due by time. sendDueJobs
-// itself notices agents' new reports, at the next lease check. The caller holds
-// t.mu.
+// sendDue reports whether a send to any instance is due by time. A send that an
+// agent's new report makes due is found by sendDueJobs at the next lease check.
+// The caller holds t.mu.
 func (t *tenure) sendDue(now time.Time) bool {
 	for _, o := range t.outboxes {
 		if !now.Before(o.nextDue) {
@@ -161,8 +161,8 @@
 			o.nextDue = earlier(o.nextDue, r.nextSend)
 			continue
 		}
-		// The agent may become reachable, or the write that requeues the job may
-		// fail.
+		// The job is checked again soon: the agent may become reachable, or the
+		// write that requeues the job may fail.
 		o.nextDue = earlier(o.nextDue, now.Add(t.m.cfg.PlanEvery))
 	}
 	return unsent
--- a/entry/batch/evidence.go
+++ b/entry/batch/evidence.go
@@ -105,8 +105,8 @@
 
 // fence marks a lapsed lease as fenced. The write is conditional on the version
 // that was seen unchanged, so it fails if the holder has renewed in time or a
-// new incarnation has written the row. The next reading shows the row after an
-// unknown outcome.
+// new incarnation has written the row. If the outcome is unknown, the next scan
+// shows it.
 func (m *Manager) fence(ctx context.Context, s observedLease[structs.AgentLease]) {
 	key := structs.AgentLeaseKey(s.lease.Instance)
 	fenced := s.lease
@@ -180,8 +180,8 @@
 }
 
 // instancesWithNewerLease returns the instances whose agent reports a newer
-// lease than one of their jobs names, while the row as last read doesn't show
-// it.
+// lease than one of their jobs names, while the row as last read doesn't prove
+// that the job's lease has ended.
 func (t *tenure) instancesWithNewerLease(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/expire.go
+++ b/entry/batch/expire.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxOffloaded bounds the marks of offloaded jobs. Once there are more jobs,
-	// each one that is not in memory is looked up in the table service.
+	// maxOffloaded bounds the marks of offloaded jobs. Once more are offloaded,
+	// a submission or cancellation reads the job's row if the job is not in memory.
 	maxOffloaded = 500_000
 	// expirePage is the number of rows that a pass over a shard reads at once.
 	expirePage = 500
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// cacheFinal puts a final job into memory, unless the job is there already.
+// cacheFinal puts job j into memory if it is final and not there already.
 func (t *tenure) cacheFinal(j structs.Job, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,8 +149,8 @@
 }
 
 // deletable reports whether the row of job j may be deleted now, and first
-// deletes the objects that the row names. A final row without the retention
-// period of its end gets the current one instead.
+// deletes the objects that the row names. The row of an ended job that doesn't
+// name the retention period of its end is stamped with the current one and kept.
 func (t *tenure) deletable(j structs.Job, version uint64) bool {
 	if !ended(j.State) {
 		return false
--- a/entry/batch/manager.go
+++ b/entry/batch/manager.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Drain finishes pending transactions and releases all shards, so that other
+// Drain commits pending changes and releases all shards, so that other
 // entries acquire them at once. It returns when all are released or ctx ends.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.mu.Lock()
--- a/entry/batch/ownership.go
+++ b/entry/batch/ownership.go
@@ -111,8 +111,8 @@
 		if m.owned[id] != nil {
 			continue
 		}
-		// This entry has no tenure of the shard. A row that names it was left by an
-		// ended tenure or a former process: no other entry serves the shard.
+		// This entry has no tenure of the shard. A row that names this entry was left
+		// by an ended tenure or a former process: no other entry serves the shard.
 		unowned := s.lease.Owner == "" || s.lease.Owner == m.cfg.Entry
 		if unowned || m.lapsed(s) {
 			orphanAfter := m.cfg.ShardLease
--- a/entry/batch/place.go
+++ b/entry/batch/place.go
@@ -31,7 +31,7 @@
 			t.claim(j, agent, snapshot.ShareSlots[j.Customer], p.Borrowed)
 		}
 	}
-	// Jobs on which a full round didn't decide are part of the next round.
+	// Jobs left undecided when the placer reached Max are part of the next round.
 	for id := range jobs {
 		t.reconsider(id)
 	}
--- a/entry/batch/random_test.go
+++ b/entry/batch/random_test.go
@@ -49,8 +49,8 @@
 	refused  map[string]bool
 }
 
-// submit tries one entry after another while the outcome is unknown. It
-// abandons the job if the first try is refused as not run.
+// submit submits 20 jobs of one customer. It tries one entry after another until
+// a job is accepted, but abandons a job whose first try is refused as not run.
 func (c *client) submit(target int) {
 	customer := structs.Customer([]string{"acme", "kowhai", "hill"}[target%3])
 	for range 20 {
--- a/entry/batch/refuse.go
+++ b/entry/batch/refuse.go
@@ -15,7 +15,7 @@
 	retryFull    = 10 * time.Second
 )
 
-// refusal builds the final answer to a request that changed nothing.
+// refusal returns a refusal that says that the request changed nothing.
 func (m *Manager) refusal(t structs.RefusalType, status int, step, format string, args ...any) *structs.Refusal {
 	return &structs.Refusal{
 		Type: t, Status: status, Outcome: structs.NotRun,
--- a/entry/batch/room.go
+++ b/entry/batch/room.go
@@ -7,14 +7,14 @@
 	"persimmonrock.example/structs"
 )
 
-// agentsView holds the directory's agents by instance, shared by all shards for
-// one round.
+// agentsView holds the directory's agents by instance. All shards share it; it
+// is rebuilt once it is older than half of PlanEvery.
 type agentsView struct {
 	mu      sync.Mutex
 	builtAt time.Time
 	all     map[structs.InstanceID]AgentView
 	// capacities is the free capacity of each instance in this view, less
-	// reservations; changes counts those that could let a waiting job start.
+	// reservations. changes counts the changes that could let a waiting job start.
 	capacities map[structs.InstanceID]capacity
 	changes    uint64
 	revision   structs.Revision
@@ -49,7 +49,8 @@
 	return v.all, v.changes
 }
 
-// updateCapacities counts a change if any instance's free capacity has grown.
+// updateCapacities counts one change if any instance is new or may fit a job
+// that it did not fit before.
 func (v *agentsView) updateCapacities(capacities map[structs.InstanceID]capacity) {
 	for id, now := range capacities {
 		if before, known := v.capacities[id]; !known || now.hasMoreThan(before) {
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -21,14 +21,14 @@
 	forwardPause = 100 * time.Millisecond
 	// maxUnsentTries bounds the attempts at an owner that can't be reached.
 	maxUnsentTries = 5
-	// stallLimit is the longest time for which new requests wait behind a
-	// transaction whose outcome is unknown. After it they are refused at once.
+	// stallLimit is the time for which a transaction's outcome may be unknown
+	// before new requests to its shard are refused at once.
 	stallLimit = time.Second
 )
 
 // Submit stores a job, or returns the stored one if the same ID and body were
-// submitted before. A caller that may repeat it must set job.ID; Submit fills
-// an empty one.
+// submitted before. A caller that may repeat the submission must set job.ID;
+// Submit fills an empty one.
 func (m *Manager) Submit(ctx context.Context, job structs.Job) (structs.Job, *structs.Refusal) {
 	if job.ID == "" {
 		job.ID = structs.JobID(rand.Text())
@@ -84,8 +84,9 @@
 	return jobs, refusals
 }
 
-// Get returns a job from this entry's memory if it owns the shard, else from
-// the table service.
+// Get returns a job from this entry's memory if the entry holds the shard's
+// lease and no transaction in flight may have changed the job, else from the
+// table service.
 func (m *Manager) Get(ctx context.Context, customer structs.Customer, id structs.JobID) (structs.Job, *structs.Refusal) {
 	shard := structs.ShardOf(customer)
 	if t := m.tenure(shard); t != nil && t.leaseValid() {
@@ -143,7 +144,7 @@
 }
 
 // callOwner runs a repeatable request at the owner of a shard. Once the request
-// may have reached an owner, it returns only on success or at the deadline.
+// may have taken effect, callOwner returns only on success or at the deadline.
 func (m *Manager) callOwner(ctx context.Context, s structs.ShardID, step string, id structs.JobID, call ownerCall) *structs.Refusal {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -239,7 +240,7 @@
 }
 
 // ServeReport records ends of claims. A report is settled only once the end is
-// durable or the report void for good.
+// durable, or the claim had ended before, or the owner has no such job.
 func (m *Manager) ServeReport(r wire.ReportRequest, reply *wire.ReportReply) error {
 	reply.Settled = make([]bool, len(r.Reports))
 	m.deps.Directory.Observe(r.Load)
@@ -306,7 +307,8 @@
 	refusals := make([]*structs.Refusal, len(ids))
 	changes := make([]*change, len(ids))
 	for i, id := range ids {
-		// Only final jobs are recalled: without the row there is nothing to cancel.
+		// A failed recall is ignored: a job that is not in memory has ended or never
+		// existed, so there is nothing to cancel.
 		_ = t.recall(ctx, id)
 		changes[i] = t.cancelChange(customer, id)
 	}
@@ -349,7 +351,7 @@
 	return waiters
 }
 
-// stalled reports whether an outcome has been unknown beyond stallLimit.
+// stalled reports whether an outcome has been unknown for over stallLimit.
 func (t *tenure) stalled() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/tenure.go
+++ b/entry/batch/tenure.go
@@ -17,7 +17,7 @@
 	version uint64
 	// digest identifies the submitted body, also after the payload is dropped.
 	digest uint64
-	// confirmed is set once the agent has answered the start of this epoch.
+	// confirmed is set once the agent has accepted the start of this epoch.
 	confirmed bool
 	// mayHaveSent is set before the first start of this epoch is sent, and
 	// for every running job that an earlier tenure claimed.
@@ -78,8 +78,8 @@
 	// lease and version are the shard row as last confirmed.
 	lease   structs.ShardLease
 	version uint64
-	// validUntil is the end of the lease by this process's own clock, counted
-	// from before the write that confirmed the lease was sent.
+	// validUntil is the end of the lease by this process's own clock: ShardLease
+	// after the time just before the last confirmed write was first sent.
 	validUntil time.Time
 	loaded     bool
 	draining   bool
@@ -95,9 +95,9 @@
 	// outboxes hold what has still to be sent to each instance: starts without an
 	// answer, and stops.
 	outboxes map[structs.InstanceID]*outbox
-	// finals are the ended jobs in memory, as they ended or were read; offloaded
-	// marks jobs removed from memory, and expired are jobs whose rows are to be
-	// deleted.
+	// finals are the ended jobs in memory, in the order in which they ended or
+	// were read. offloaded marks ended jobs removed from memory. expired are jobs
+	// whose rows are to be deleted.
 	finals    []structs.JobID
 	offloaded offloaded
 	expired   []structs.JobID
--- a/entry/batch/writer.go
+++ b/entry/batch/writer.go
@@ -102,7 +102,7 @@
 }
 
 // submit passes changes to the writer; false means that the tenure is not
-// serving and none of them will have an effect.
+// serving and the changes will have no effect.
 func (t *tenure) submit(changes ...*change) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
