--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -75,8 +75,8 @@
 }
 
 // attempt sends the call to one agent after another, as far as that is safe,
-// and returns the first complete answer. While an agent is unresponsive, another
-// may be tried in parallel.
+// and returns the first complete answer. While an agent is slow or unresponsive,
+// an idempotent call may be sent to another in parallel.
 func (s *Server) attempt(ctx context.Context, a *attempts) (Answer, *structs.Refusal) {
 	if refused := s.start(ctx, a); refused != nil {
 		return Answer{}, s.final(a, refused)
@@ -141,9 +141,10 @@
 }
 
 // replaceUnresponsive starts another attempt when the agents of all attempts in
-// flight are unresponsive, or returns a refusal after unresponsiveTimeout. Only
-// an idempotent call is sent again: an unresponsive agent may have run it. Other
-// calls wait for their own deadline, since the agent may yet resume and answer.
+// flight are unresponsive. If no attempt can be started, it returns a refusal
+// after unresponsiveTimeout. Only an idempotent call is sent again: an
+// unresponsive agent may have run it. Other calls wait for their own deadline,
+// since the agent may yet resume and answer.
 func (s *Server) replaceUnresponsive(ctx context.Context, a *attempts) *structs.Refusal {
 	if !a.idempotent || a.hasResponsive() || len(a.inFlight) == 0 || ctx.Err() != nil {
 		return nil
--- a/entry/urgent/call_test.go
+++ b/entry/urgent/call_test.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// In a long outage every attempt fails and other agents are always known. Callers
-// must be refused at once, with fewer than 1.1 attempts a call, so that retries
-// don't multiply the load on the remaining agents.
+// In a long outage every attempt fails, and each call could be sent to further
+// agents. Callers must be refused at once, with fewer than 1.1 attempts a call, so
+// that retries don't multiply the load on the remaining agents.
 func TestRetriesInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 1000
--- a/entry/urgent/fleet_test.go
+++ b/entry/urgent/fleet_test.go
@@ -33,8 +33,8 @@
 }
 
 // fakeAgent serves each call for the duration of work, even if the caller has
-// left, and reports the median. While the channel frozen is open, the agent sends
-// nothing.
+// left, and reports its median service time. While the channel frozen is open,
+// the agent sends nothing.
 type fakeAgent struct {
 	wire.AgentPeer
 	fleet    *fleet
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -17,8 +17,8 @@
 	// promptDelay bounds the wait of a prompt write while a transaction is in
 	// flight; without one the write is sent at once.
 	promptDelay = 5 * time.Millisecond
-	// deferrableDelay bounds the wait for a prompt write by a deferrable one (an
-	// answer that its caller already has).
+	// deferrableDelay bounds the time for which a deferrable write (of an answer
+	// that the caller already has) waits to join a prompt write's transaction.
 	deferrableDelay = 50 * time.Millisecond
 	// maxGroupBytes bounds a transaction, so that a prompt write doesn't wait
 	// for the transfer of long answers.
--- a/entry/urgent/judge.go
+++ b/entry/urgent/judge.go
@@ -22,8 +22,8 @@
 		RetryAfter: h.RetryAfter, Step: "call.choose"}
 }
 
-// noAgentsRetryAfter is the Retry-After for a service without agents: agents
-// that can reach this entry report within a heartbeat.
+// noAgentsRetryAfter is the Retry-After for a service without agents. An agent
+// that can reach this entry reports within a heartbeat, 2 s while agents are few.
 const noAgentsRetryAfter = 2 * time.Second
 
 // noAgents refuses a call to a service that was offered until recently.
@@ -90,8 +90,8 @@
 }
 
 // evaluate returns the answer or refusal in a reply. A reply to another request
-// is never given to the caller; it violates an invariant, and the call may have
-// run.
+// violates an invariant. It is never given to the caller, and the call counts as
+// one that may have run.
 func (s *Server) evaluate(a *attempts, agent directory.Agent, reply wire.CallReply) (Answer, *structs.Refusal) {
 	if reply.Request != a.request.ID {
 		s.Counters.Mismatched.Add(1)
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -39,7 +39,7 @@
 // agents. The guard: an agent that has not answered a call and sends nothing is
 // asked for its load on the same connection. A working agent answers from memory
 // at once, also during a long call at its backend server. An agent that doesn't
-// is excluded until it does.
+// answer in time is excluded until it answers or sends another message.
 type liveness struct {
 	dir      Directory
 	peers    wire.Dialer
--- a/entry/urgent/record.go
+++ b/entry/urgent/record.go
@@ -76,9 +76,9 @@
 	stop     context.CancelFunc
 
 	// Begun counts keyed calls that got a claim, Replayed those answered from a
-	// record, InDoubt those refused as in doubt. Pending counts final states still
-	// being written, Dropped those abandoned: calls of these keys stay in doubt and
-	// are never run again.
+	// record, InDoubt those refused because an earlier attempt may have run. Pending
+	// counts final states still being written, Dropped those abandoned: calls of
+	// these keys stay in doubt and are never run again.
 	Begun, Replayed, InDoubt, Dropped atomic.Int64
 	Pending                           atomic.Int64
 	// Stamped counts records to which the sweep added an epoch, Deleted those that
