--- a/entry/retention/retention.go
+++ b/entry/retention/retention.go
@@ -32,9 +32,9 @@
 	readTimeout    = 2 * time.Second
 )
 
-// row is the value of structs.RetentionKey. Period is the longest that any entry
-// was configured with, so that one entry's wrong setting can't shorten the
-// retention.
+// row is the value of structs.RetentionKey. Period is the longest period with
+// which any entry was configured, so that one entry's wrong setting can't shorten
+// the retention.
 type row struct {
 	Epoch  structs.RetentionEpoch `json:"epoch"`
 	Period structs.Duration       `json:"period"`
@@ -72,8 +72,9 @@
 	row     row
 	version uint64
 	known   bool
-	// changedAt is compared by the monotonic clock alone: a step of the wall clock
-	// must not advance the epoch early.
+	// changedAt is when this process first read the current row. It is compared by
+	// the monotonic clock alone: a step of the wall clock must not advance the
+	// epoch early.
 	changedAt time.Time
 	readAt    instant
 
@@ -121,7 +122,8 @@
 	}
 }
 
-// poll reads the epoch and advances it after a whole period without a change.
+// poll reads the epoch. It creates a missing row, and advances the epoch after a
+// whole period without a change.
 func (c *Counter) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
