--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// configWait bounds how long the store holds a feed back, and so when a
-	// silent connection is noticed. A change must be in force within 2 s.
+	// configWait is the time after which the store answers a feed request even
+	// without changes. It bounds the time until a silent connection is noticed: a
+	// change must be in force within 2 s.
 	configWait = 500 * time.Millisecond
 	// feedIdleTimeout ends a feed that receives nothing for this long beyond
 	// its wait. The rows are then listed instead: a feed would deliver every
@@ -125,7 +126,7 @@
 			f.reportLost(ctx, err)
 			f.Counters.Failed.Add(1)
 			f.log.Info().Err(err).Bool("feed", listed).Dur("took", f.now()-asked).Msg("configuration not read")
-			// After these faults the rows are listed again: changes may have
+			// After these two errors the rows are listed again: changes may have
 			// been made while the feed was silent.
 			listed = listed && !errors.Is(err, rowstore.ErrCompacted) && !errors.Is(err, rowstore.ErrUnknown)
 			wait.For(ctx, configRetry)
@@ -185,9 +186,9 @@
 	f.confirmed.Store(int64(asked))
 }
 
-// applyDrains applies changes of drains, or replaces all drains by a list. A
-// list counts as newer even if it changes nothing here: from another process,
-// agents may have received a drain that has ended since.
+// applyDrains applies the drain rows of a feed (changes is set) or of a list,
+// which replaces all drains. A list counts as newer even if it changes nothing
+// here: another process may have sent agents a drain that has ended since.
 func (f *Follower) applyDrains(rows []rowstore.Row, at rowstore.Stamp, changes bool) {
 	if f.source.Drained == nil {
 		return
@@ -223,7 +224,7 @@
 	if same {
 		return
 	}
-	f.log.Info().Strs("data_centres", next.Names()).Uint64("version", next.Version).Msg("drained data centres")
+	f.log.Info().Strs("data_centres", next.Names()).Uint64("version", next.Version).Msg("set of drained data centres changed")
 }
 
 // applyConfig puts a configuration into force; took is the duration of its
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake handles the clients' calls about jobs of steps at an entry: it
-// accepts a job once the store has it, reports states and cancels jobs.
+// Package intake handles the clients' calls at an entry about jobs that consist
+// of steps. It accepts a job once the store has it, reports states and cancels jobs.
 package intake
 
 import (
@@ -23,16 +23,16 @@
 const (
 	// writePause is the pause before a write is repeated.
 	writePause = 60 * time.Millisecond
-	// refusedRetryTime bounds the retries of a write that the store refuses:
-	// the client's refusal must come at once.
+	// refusedRetryTime bounds the retries of a write that certainly had no
+	// effect: the client's refusal must come at once.
 	refusedRetryTime = 250 * time.Millisecond
 	// retryAfter is the time after which a refused client may retry. Outages of
 	// the store last seconds, and a client waits for three seconds.
 	retryAfter = time.Second
 	// peerTimeout bounds a request to the scheduler.
 	peerTimeout = 300 * time.Millisecond
-	// noteTimeout bounds the notification of the scheduler of a stored job. If
-	// a notification is lost, the scheduler finds the job in the store's feed.
+	// noteTimeout bounds the notification of the scheduler of a stored job or
+	// cancellation. If it is lost, the scheduler finds the row in the store's feed.
 	noteTimeout = 500 * time.Millisecond
 	// unavailableAfter is the time without an answer of the store, direct or
 	// through another entry, after which the store counts as unavailable. The
@@ -77,7 +77,7 @@
 	return &Service{store: store, config: config, elector: elector, clock: clock, log: log}
 }
 
-// Stop marks the process as about to end.
+// Stop marks the process as about to end: Ready returns false from then on.
 func (s *Service) Stop() { s.stopping.Store(true) }
 
 // Stopping reports whether the process is about to end.
@@ -151,8 +151,9 @@
 
 // write applies a write whose condition is the absence of its row. It repeats
 // the write until the outcome is known, ctx ends or the store counts as
-// unavailable: a write without an answer may take effect seconds later, and
-// only a repeat under the same condition shows its outcome.
+// unavailable; while certainly nothing was written, for refusedRetryTime at most.
+// A write without an answer may take effect seconds later, and only a repeat
+// under the same condition shows its outcome.
 func (s *Service) write(ctx context.Context, t rowstore.Txn) outcome {
 	begun := time.Now()
 	uncertain := false
@@ -224,7 +225,7 @@
 	go func() {
 		var reply dispatch.NoteReply
 		if err := leader.Call(context.Background(), "Scheduler.Note", args, &reply, noteTimeout); err != nil {
-			s.log.Debug().Err(err).Msg("scheduler not notified; it finds the job in the store")
+			s.log.Debug().Err(err).Msg("scheduler has not confirmed a notification; it reads the row from the feed, too")
 		}
 	}()
 }
@@ -311,7 +312,7 @@
 	}
 }
 
-// pauseRetry pauses before a repeated read and reports whether ctx is valid.
+// pauseRetry pauses before a repeated read. It returns false if ctx has ended.
 func (s *Service) pauseRetry(ctx context.Context) bool {
 	wait.For(ctx, writePause)
 	return ctx.Err() == nil
