--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -29,7 +29,7 @@
 	Agents() []AgentView
 	// Entries returns the entries that count as alive, this one included.
 	Entries() []structs.EntryID
-	// Observe records a load that came with an agent's answer.
+	// Observe records a load that came with an agent's answer or report.
 	Observe(load wire.Load)
 }
 
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -126,7 +126,8 @@
 	return released, refused
 }
 
-// Owner returns the address of the entry that owns a shard, "" if unknown.
+// Owner returns the address of the entry that holds a shard's lease, "" if no
+// such entry is known.
 func (m *Manager) Owner(s structs.ShardID) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
