--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -30,7 +30,7 @@
 	request    Request
 	idempotent bool
 	deadline   time.Time
-	// hedgeDelay is the 95th percentile of the service's durations, if known.
+	// hedgeDelay is the service's 95th percentile (latencies.p95), 0 if unknown.
 	hedgeDelay time.Duration
 	tried      []structs.InstanceID
 	count      int
