--- a/agent/runner/capacity.go
+++ b/agent/runner/capacity.go
@@ -30,7 +30,7 @@
 
 // capacityRefusal returns "" if the worker's capacity is known to suffice for
 // the runs that are or may be on it, else the reason. Runs that are ordered or
-// being stopped count until an end is listed. The caller holds mu.
+// being stopped count until they end or are void. The caller holds mu.
 func (r *Runner) capacityRefusal(inc *incarnation) string {
 	used, sized := inc.used()
 	switch {
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -18,7 +18,7 @@
 	// failed call if the run crashes its worker at once.
 	promptCrashTime = 250 * time.Millisecond
 	// promptDownTime is the longest time from a worker's last answer to the
-	// first refused call after a crash: a listing and the pause after it.
+	// first refused call after a crash. It covers a listing and its pause.
 	promptDownTime = time.Second
 	// maxLoggedRuns bounds the runs named in one log line.
 	maxLoggedRuns = 16
@@ -33,9 +33,9 @@
 	changed uint64
 }
 
-// freshRuns lists the runs that may have crashed the worker: they may have
-// begun, and at its last answer had been on it for less than provenAfter. A
-// worker that announced its shutdown has not crashed. The caller holds mu.
+// freshRuns lists the runs that may have crashed the worker: runs that may have
+// begun and were not proven at its last answer. A worker that announced its
+// shutdown has not crashed. The caller holds mu.
 func (inc *incarnation) freshRuns() []dispatch.SuspectRun {
 	if inc.leaving {
 		return nil
@@ -50,15 +50,15 @@
 	return list
 }
 
-// downPromptly reports whether a crash must have come soon after the worker's
-// last answer. A later crash may have come after the worker's last lease, when
-// the worker runs nothing.
+// downPromptly reports whether a crash must have come while the worker had a
+// lease: the last lease has not lapsed, or the worker was down within
+// promptDownTime of its last answer. Without a lease the worker runs nothing.
 func (inc *incarnation) downPromptly() bool {
 	return !inc.lapsed || inc.downAt > 0 && inc.downAt-inc.answeredAt <= promptDownTime
 }
 
-// recordFailure records the time of the first call without an answer and of the
-// first call that the worker's address refused. The caller holds mu.
+// recordFailure records when, since the worker's last answer, a call first
+// failed and first failed with ErrDown. The caller holds mu.
 func (r *Runner) recordFailure(inc *incarnation, err error) {
 	if inc.failedAt == 0 && (errors.Is(err, workerctl.ErrUnknown) || errors.Is(err, workerctl.ErrDown)) {
 		inc.failedAt = r.deps.Now()
@@ -88,8 +88,7 @@
 	}
 }
 
-// reportProven reports, once, that a watched run is proven not to crash its
-// worker. The caller holds mu.
+// reportProven reports once that a watched run is proven. The caller holds mu.
 func (r *Runner) reportProven(inc *incarnation, x *run) {
 	if x.watched && !x.provenReported && x.proven(inc.answeredAt) {
 		x.provenReported = true
@@ -98,7 +97,7 @@
 }
 
 // formerIncarnations lists the ended incarnations, and the runs that may have
-// crashed ended or lapsed incarnations that changed after version since.
+// crashed an incarnation which ended or lapsed after version since.
 func (r *Runner) formerIncarnations(since uint64) (ids []workload.WorkerID, freshRuns []dispatch.SuspectRun) {
 	for _, f := range r.former {
 		ids = append(ids, f.id)
--- a/agent/runner/fresh_test.go
+++ b/agent/runner/fresh_test.go
@@ -8,7 +8,7 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// A run that may have begun is suspected until it was there for provenAfter.
+// A run that may have begun is suspected of a crash until it is proven.
 func TestFreshRunsAreThoseThatMayHaveCrashedTheWorker(t *testing.T) {
 	const answered = time.Hour
 	cases := []struct {
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -13,22 +13,22 @@
 
 const (
 	// holdWait bounds a listing's wait for a run to end, and so the age of the
-	// lease and of the rough figures, which cover half a second.
+	// lease and of the figures in RunStatus.Rough, which cover half a second.
 	holdWait = 500 * time.Millisecond
 	// lossyWait replaces holdWait for lossyPeriod after an unanswered listing.
 	lossyWait   = 100 * time.Millisecond
 	lossyPeriod = 3 * time.Second
-	// holdRetryPause is the pause after a failed listing of a candidate, or
-	// after more than firstTries failures in a row.
+	// holdRetryPause is the pause after a failed listing of a candidate, and
+	// after each failed listing beyond the first firstTries in a row.
 	holdRetryPause = 100 * time.Millisecond
-	// endPause bounds the wait for the ends of the last listing to be stored:
-	// the next listing would return at once with the same ends.
+	// endPause bounds the wait until the ends of the last listing are stored. A
+	// listing before that returns at once with the same ends.
 	endPause = 40 * time.Millisecond
 	// idleWait bounds the wait for a worker's first report.
 	idleWait = time.Second
 )
 
-// holdLoop lists the worker and renews its lease, one call at a time.
+// holdLoop lists the worker's runs and renews its lease, one call at a time.
 func (r *Runner) holdLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -102,9 +102,9 @@
 	}
 }
 
-// checkUnresponsive records that the worker does not answer, so that nothing
-// more is placed there, and later that its last lease has expired. From then on
-// nothing runs there, whether the worker is gone or only unreachable.
+// checkUnresponsive records that the worker has not answered for
+// unresponsiveAfter: nothing more is placed there. Later it records that the
+// last lease has expired: the worker, gone or only unreachable, runs nothing.
 func (r *Runner) checkUnresponsive(inc *incarnation) {
 	now := r.deps.Now()
 	if now-inc.answeredAt <= unresponsiveAfter {
@@ -178,7 +178,7 @@
 	order := workerctl.HoldOrder{Token: r.token, Lease: r.leaseLimit(inc), Seen: inc.storedEnd, Wait: r.listingWait(inc)}
 	r.counters.Holds++
 	if inc.failures > 0 {
-		// Runs may have ended since the lost call.
+		// List at once: runs may have ended since the failed call.
 		order.Wait = 0
 	}
 	callCtx, cancel := context.WithTimeout(ctx, order.Wait+inc.answers.timeout(inc.failures+1))
@@ -226,7 +226,7 @@
 	}
 	r.mu.Unlock()
 	if fenced {
-		r.deps.Log.Error().Err(err).Uint64("token", r.token).Msg("a newer agent holds the worker")
+		r.deps.Log.Error().Err(err).Uint64("token", r.token).Msg("worker refused the listing")
 	}
 	if ctx.Err() != nil || gone {
 		return
@@ -290,7 +290,7 @@
 	x, ok := inc.runs[s.Run]
 	if !ok {
 		// A run of an earlier process of this agent: its size is unknown
-		// until the scheduler repeats its order.
+		// until the scheduler repeats its start order.
 		x = &run{id: s.Run, inherited: true}
 		inc.runs[s.Run] = x
 		r.deps.Log.Info().Stringer("run", s.Run).Msg("run found on the worker")
@@ -337,10 +337,11 @@
 	}
 }
 
-// makeVoid marks the run void and keeps it until the scheduler has read this.
+// makeVoid marks the run void: it is not on the worker and never will be. It is
+// kept until the scheduler has read this.
 func (r *Runner) makeVoid(_ *incarnation, x *run, reason string) {
 	x.state = dispatch.RunVoid
 	x.reason = reason
 	x.changed = r.recordChange(true)
-	r.deps.Log.Info().Stringer("run", x.id).Str("why", reason).Msg("run void")
+	r.deps.Log.Info().Stringer("run", x.id).Str("why", reason).Msg("run is not on the worker and never will be")
 }
--- a/agent/runner/orders.go
+++ b/agent/runner/orders.go
@@ -13,8 +13,8 @@
 const (
 	// retryPause is the pause before an order is repeated.
 	retryPause = 30 * time.Millisecond
-	// maxNotDoneTries bounds the tries of a start that the worker does not
-	// carry out: it may be unhealthy, and another worker serves better.
+	// maxNotDoneTries bounds the tries of a start that fails with ErrNotDone:
+	// the worker may be unhealthy, and the run is better placed elsewhere.
 	maxNotDoneTries = 3
 	// maxOrderAge is the age above which an order is refused, since a delayed
 	// order's job may have been cancelled. An order echoes the time of a
@@ -72,8 +72,8 @@
 	return ""
 }
 
-// acceptDrain records whether the data centre is drained. Calls overtake each
-// other, so an older version never replaces a newer one.
+// acceptDrain records whether the data centre is drained. Calls may overtake
+// each other, so only a newer version is recorded.
 func (r *Runner) acceptDrain(c dispatch.Claim) {
 	if c.DrainsVersion <= r.drainsVersion {
 		return
@@ -123,8 +123,8 @@
 }
 
 // startRefusal returns why x must not start, or "". This is the final check of
-// the worker's capacity: runs that are present, ordered or being stopped all
-// count until an end is listed. x is already among the runs.
+// the worker's capacity: runs that are present, ordered or being stopped count
+// until they end or are void. x is already among the runs.
 func (r *Runner) startRefusal(inc *incarnation, x *run) string {
 	if inc.worker.Draining || inc.leaving {
 		return "the worker is leaving"
@@ -141,7 +141,7 @@
 	return r.capacityRefusal(inc)
 }
 
-// start repeats one start order until its outcome is known.
+// start repeats one start order until its outcome is known or it is abandoned.
 func (r *Runner) start(ctx context.Context, inc *incarnation, x *run) {
 	begun := r.deps.Now()
 	for try := 1; ctx.Err() == nil; try++ {
@@ -183,9 +183,9 @@
 	}
 }
 
-// sendRefusal returns why a start whose first try was at begun must not be sent
-// under lease, or "". The worker's capacity may have shrunk since the first
-// try. The caller holds mu.
+// sendRefusal returns why a start, first tried at begun, must not be sent with
+// lease, or "". The worker's capacity may have shrunk since begun. The caller
+// holds mu.
 func (r *Runner) sendRefusal(inc *incarnation, lease workerctl.Clock, begun time.Duration) string {
 	switch {
 	case r.drained:
@@ -234,7 +234,7 @@
 		}
 		return false, "the worker refused: " + string(refused.Reason)
 	}
-	r.deps.Log.Warn().Err(err).Stringer("run", x.id).Bool("may_have_begun", x.uncertain).Msg("start not answered")
+	r.deps.Log.Warn().Err(err).Stringer("run", x.id).Bool("may_have_begun", x.uncertain).Msg("start order failed")
 	return false, ""
 }
 
@@ -298,7 +298,7 @@
 }
 
 // stop repeats a stop order until the worker answers. The next listing shows
-// the run's end, or that the run was never there.
+// the run's end, or that the run is not on the worker.
 func (r *Runner) stop(ctx context.Context, inc *incarnation, x *run) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -325,7 +325,7 @@
 			r.mu.Unlock()
 			return
 		}
-		r.deps.Log.Warn().Err(err).Stringer("run", x.id).Msg("stop not answered")
+		r.deps.Log.Warn().Err(err).Stringer("run", x.id).Msg("stop order failed")
 		time.Sleep(retryPause)
 	}
 }
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -18,7 +18,7 @@
 	fullPace     = 100
 	// paceRepeat is the time after which an unchanged pace is sent again.
 	paceRepeat = 2 * time.Second
-	// startedProgress is the progress of a lasting task that has started up.
+	// startedProgress is the progress, in percent, of a started lasting task.
 	startedProgress = 100
 )
 
@@ -186,7 +186,8 @@
 	return x.tailTarget > 0 && x.state == dispatch.RunPresent && x.progress >= startedProgress && x.rough > 0
 }
 
-// rateGain is the weight of a new measurement against the earlier ones.
+// rateGain is the weight of a new measurement in run.rate; with 1 the earlier
+// ones don't count.
 const rateGain = 1.0
 
 // updateRough records a new rough figure of a run (see workerctl.RunStatus).
@@ -211,8 +212,8 @@
 // logged: a rough figure alone is sometimes above the target for half a second.
 const minLoggedOver = time.Second
 
-// logOver logs that the tail of a serving task was over its target from since
-// until now.
+// logOver logs that a serving task's tail is no longer over its target, if it
+// was from since until now and for at least minLoggedOver.
 func (r *Runner) logOver(inc *incarnation, x *run, since time.Duration) {
 	over := r.deps.Now() - since
 	if since == 0 || x.overSince != 0 || over < minLoggedOver {
@@ -295,8 +296,8 @@
 	return r.sampleInterval
 }
 
-// takeSample records tails and the filling work. The scheduler learns from
-// them.
+// takeSample records the tails and the filling work if a sample is due and a
+// serving task runs. The scheduler learns from them.
 func (r *Runner) takeSample(inc *incarnation) {
 	now := r.deps.Now()
 	if interval := r.currentSampleInterval(inc); interval <= 0 || now-r.sampledAt < interval {
@@ -324,7 +325,7 @@
 	if len(s.Serving) == 0 {
 		return
 	}
-	// The list is sorted by image.
+	// fillingWork sorts by image, so the work of one image is adjacent.
 	for _, f := range inc.fillingWork() {
 		if n := len(s.Filling); n > 0 && s.Filling[n-1].Image == f.Image {
 			s.Filling[n-1].Used += f.Used
--- a/agent/runner/pace_test.go
+++ b/agent/runner/pace_test.go
@@ -12,7 +12,6 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// addRun adds the first run of a job to the worker.
 func (inc *incarnation) addRun(job workload.JobID, x run) {
 	x.id = workload.RunID{Task: workload.TaskID{Job: job}, Run: 1}
 	x.state = dispatch.RunPresent
--- a/agent/runner/register.go
+++ b/agent/runner/register.go
@@ -14,8 +14,8 @@
 
 const (
 	registerRetryPause = 150 * time.Millisecond
-	// recordTimeout bounds the attempts to record a found worker. The record
-	// only saves the next process a second of search.
+	// recordTimeout bounds the attempts to record a found worker. Without the
+	// record the next process waits up to a second for the worker's report.
 	recordTimeout = 5 * time.Second
 )
 
@@ -62,7 +62,7 @@
 	return stamp.Version, eris.Wrap(err, "write the agent's row")
 }
 
-// Record writes the worker that was found into the row, for the next process.
+// Record writes the found worker into the agent's row, for the next process.
 func (g Registration) Record(ctx context.Context, w workload.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 		if err == nil {
 			return
 		}
-		g.Log.Info().Err(err).Msg("found worker not recorded yet; trying again")
+		g.Log.Info().Err(err).Msg("worker could not be written into the agent's row; trying again")
 		time.Sleep(registerRetryPause)
 	}
 }
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -1,7 +1,7 @@
-// Package runner is the agent's side of jobs of steps. It alone calls the
-// worker beside the agent. It renews the worker's lease for as long as a
-// scheduler grants it, fences earlier agents of the same worker, enforces the
-// worker's capacity, carries out orders and reports runs and ends.
+// Package runner is the part of the agent that runs jobs of steps. It alone
+// calls the worker beside the agent. It renews the worker's lease for as long as
+// a scheduler grants it, fences earlier agents of the same worker, enforces the
+// worker's capacity, carries out orders and reports runs and their ends.
 package runner
 
 import (
@@ -56,12 +56,13 @@
 
 	epoch    uint64
 	grantEnd time.Duration
-	// drained forbids all starts here, as of drainsVersion.
+	// drained: the data centre is drained, as of drainsVersion; nothing starts.
 	drained       bool
 	drainsVersion uint64
 
 	incarnation *incarnation
-	// candidate is a reported or suggested worker that has not answered yet.
+	// candidate is a worker that has not answered yet; it has reported, or the
+	// previous process had found it.
 	candidate *workload.Worker
 	// candidateSeq is the number of the candidate's latest report.
 	candidateSeq uint64
@@ -91,7 +92,7 @@
 	Starts, Stops, Paces, Holds, HoldErrors, Refused, Ends, Lives int64
 	// RoomRefused counts starts that the agent refused for lack of capacity.
 	RoomRefused int64
-	// Unreadable counts reports of a worker that could not be decoded.
+	// Unreadable counts workers' reports that could not be decoded.
 	Unreadable int64
 }
 
@@ -123,13 +124,13 @@
 	failures     int
 	unansweredAt time.Duration
 	answers      answerTimes
-	// unresponsive says that the worker does not answer.
+	// unresponsive: no answer came for unresponsiveAfter, and nothing starts.
 	unresponsive bool
 	// lapsed says that the last lease has expired and the worker has not
 	// answered since: nothing runs there any more.
 	lapsed bool
-	// readEnd is the highest number of an end that was read, storedEnd the
-	// highest of an end that is stored.
+	// readEnd is the highest number of an end in a listing, storedEnd the
+	// highest of an end whose effect is stored.
 	readEnd   uint64
 	storedEnd uint64
 	ends      []endEntry
@@ -176,8 +177,8 @@
 	inherited bool
 	// provenReported says that the run was reported as proven (see proven).
 	provenReported bool
-	// calling says that an order of the run is in flight, uncertain that an
-	// order got no answer.
+	// calling says that a start of the run is in flight, uncertain that a start
+	// with unknown outcome may take effect.
 	calling   bool
 	uncertain bool
 	stopping  bool
@@ -192,10 +193,10 @@
 	firstProgress int
 	firstAt       time.Duration
 	slow          bool
-	// rate is the inverse of the tail of a serving task, smoothed.
+	// rate is the inverse of the tail of a serving task (see rateGain).
 	rate float64
-	// pace is the pace last sent to the worker, at pacedAt; a run for which
-	// none was sent works at full pace.
+	// pace is the last pace that was sent to the worker, at pacedAt; before the
+	// first one the run works at full pace.
 	pace    int
 	pacedAt time.Duration
 	// worked is the run's work up to workedAt, as time at full pace.
@@ -219,7 +220,7 @@
 // first call.
 //
 // Reports are accepted earlier, too: a worker that starts together with its
-// agent reports at once, and then not for a second. If that first report were
+// agent reports at once, and again after a second. If that first report were
 // lost while the agent registers, nothing would start there for a second.
 func (r *Runner) Registered(token uint64, before workload.Worker) {
 	r.token = token
@@ -263,8 +264,8 @@
 // arrives, so counting from the arrival is safe. Only a slow clock of the
 // worker would make the lease longer; margins on both sides cover this.
 //
-// The lease of a worker that does not answer is not extended: the worker may be
-// gone for good, and its tasks can start elsewhere only after the last lease.
+// After unresponsiveAfter without an answer the lease is not extended: the
+// worker may be gone, and its tasks start elsewhere only after the last lease.
 func (r *Runner) leaseLimit(inc *incarnation) workerctl.Clock {
 	now := r.deps.Now()
 	left := min(r.grantEnd-now, maxLease, r.cfg.MaxLease-leaseMargin)
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -8,8 +8,8 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// Watch returns the changes since args.Since: at once after an urgent change,
-// else after args.Wait.
+// Watch returns the changes since args.Since once one of them is urgent, else
+// after args.Wait. If args.Since is 0, it returns the whole state at once.
 func (r *Runner) Watch(ctx context.Context, args dispatch.WatchArgs) dispatch.WatchReply {
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
@@ -45,7 +45,7 @@
 	return r.report(args.Since)
 }
 
-// acknowledge drops ends that are stored and void runs that the caller read.
+// acknowledge drops ends that are stored and void runs that the caller has read.
 func (r *Runner) acknowledge(args dispatch.WatchArgs) {
 	inc := r.incarnation
 	if inc == nil {
@@ -144,7 +144,7 @@
 	r.wakeHold()
 }
 
-// suggest makes w the candidate without a report if there is no other worker.
+// suggest makes w the candidate, without a report, if no worker is known.
 func (r *Runner) suggest(w workload.Worker) {
 	if w.ID == "" {
 		return
