--- a/agent/tasks/end.go
+++ b/agent/tasks/end.go
@@ -67,8 +67,8 @@
 // Guards against two failures: the task is stopped before its checkpoint is
 // written, and all its progress is lost; or the report names a checkpoint that
 // does not exist. So the object is written first, then the task is stopped,
-// then the report is made. While the object store is down the task continues,
-// unless the instance must stop.
+// then the report is made. While no checkpoint can be written, the task
+// continues, unless the stop is forced.
 func (t *task) evict(ctx context.Context) *wire.TaskReport {
 	saved := t.saveCheckpoint(ctx)
 	if !saved {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// poll lists the worker's tasks and records the end of each task. It asks the
-// worker to forget ended tasks of earlier incarnations.
+// poll lists the worker's tasks and records their progress, use and ends. It
+// asks the worker to forget ended tasks of earlier incarnations.
 func (m *Manager) poll(ctx context.Context) {
 	watched := m.watched()
 	callCtx, cancel := context.WithTimeout(ctx, m.config.Timeout)
@@ -179,7 +179,7 @@
 	m.pollUsage(ctx)
 }
 
-// watched returns the tasks that the worker had started before the call.
+// watched returns the tasks that a listing requested from now on must contain.
 func (m *Manager) watched() map[Key]*task {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,7 +202,7 @@
 	}
 }
 
-// pollUsage records the largest measured use of each task.
+// pollUsage records the measured use of each task.
 func (m *Manager) pollUsage(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
--- a/agent/tasks/outbox.go
+++ b/agent/tasks/outbox.go
@@ -10,14 +10,14 @@
 	"persimmonrock.example/wire"
 )
 
-// maxReports bounds the ends in one message.
+// maxReports bounds the reports in one message.
 const maxReports = 128
 
-// outbox holds the ends that no entry has confirmed as settled.
+// outbox holds the reports of ended tasks that no entry has confirmed yet.
 type outbox struct {
 	pending map[Key]wire.TaskReport
 	order   []Key
-	// owners is, by shard, the entry that last settled an end of the shard.
+	// owners is, by shard, the entry that last confirmed one of its reports.
 	owners map[structs.ShardID]string
 	wake   chan struct{}
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// deliverEnds sends the pending ends until they are settled. It sends one
-// message at a time and pauses longer while nothing settles, to bound its rate.
+// deliverEnds sends the pending reports until they are confirmed. To bound its
+// rate it sends one message at a time and pauses longer while none is confirmed.
 func (m *Manager) deliverEnds(ctx context.Context) {
 	pause := m.config.Report
 	for {
@@ -77,8 +77,8 @@
 	return len(m.outbox.pending) > 0
 }
 
-// reportRound sends each pending end to the last known owner of its shard, or
-// to every entry if none is known. It returns the number of settled ends.
+// reportRound sends each pending report to the last known owner of its shard,
+// or else to one entry after another. It returns the number confirmed.
 func (m *Manager) reportRound(ctx context.Context) int {
 	total := 0
 	entries := m.deps.Entries()
@@ -144,7 +144,7 @@
 	return len(settled)
 }
 
-// removeSettled removes the settled ends and updates the owners of shards.
+// removeSettled removes the confirmed reports and updates the shards' owners.
 func (m *Manager) removeSettled(entry string, reports []wire.TaskReport, settled []bool, err error) []Key {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,8 +165,8 @@
 	return out
 }
 
-// requeue drops settled ends from the order. Ends that were sent but not
-// settled move behind the others, so that they don't delay those.
+// requeue drops confirmed reports from the order. Reports that were sent but
+// not confirmed move to the end, so that they don't delay the others.
 func (o *outbox) requeue(sent []wire.TaskReport) {
 	var rest, unsettled []Key
 	tried := make(map[Key]bool, len(sent))
--- a/agent/tasks/states.go
+++ b/agent/tasks/states.go
@@ -101,7 +101,6 @@
 	}
 }
 
-// recordProgress records the progress in the worker's status of a running task.
 func (t *task) recordProgress(s *infra.TaskStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -32,7 +32,7 @@
 	// lost says that the worker no longer listed the task.
 	lost bool
 	used structs.Resources
-	// progress is used for decisions about relief.
+	// progress is used to decide which tasks to throttle or evict.
 	progress progress
 
 	// checkpoint is the object key of the last checkpoint, checkpoints the
@@ -90,7 +90,7 @@
 }
 
 // held returns the time left of the agent's lease, and whether the lease that
-// covers the task is held. It is called before each effect.
+// covers the task is held.
 func (t *task) held() (time.Duration, bool) {
 	incarnation, left := t.m.deps.Lease.Held(time.Now())
 	return left, incarnation == t.grant.Incarnation && left > 0
@@ -150,7 +150,8 @@
 
 var errPausedDuringStart = errors.New("the agent was paused while it started the task")
 
-// pausedTooLong reports whether the lease lapsed, or nearly so, during a start.
+// pausedTooLong reports whether at most one worker lease is left of the agent's
+// lease after a start.
 //
 // Guards against a start that takes effect when the job already runs elsewhere.
 // It comes about when the agent is paused between its check of the lease and
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -27,7 +27,7 @@
 	Timeout time.Duration
 	// Retry is the first pause after a failed call, RetryMax the longest.
 	Retry, RetryMax time.Duration
-	// Report is the least time between two rounds of reports of ends.
+	// Report is the least time between two rounds of reports of ended tasks.
 	Report time.Duration
 }
 
@@ -66,8 +66,8 @@
 	deps   Deps
 	// Counters may be read at any time.
 	Counters Counters
-	// Changed, if set before Run, is called when the speed at which tasks of a
-	// kind run changes: by 1 at a start, by -1 at an end at full speed. It
+	// Changed, if set before Run, is called when the summed speed of the tasks
+	// of a kind changes: by 1 at a start, by -1 at an end at full speed. It
 	// must not call the manager.
 	Changed func(k structs.Kind, delta float64)
 
@@ -121,8 +121,8 @@
 //
 // Guards against a task that outlives the agent's lease row and runs in two
 // places. It comes about when the agent is paused between this check and the
-// worker's receipt of the renewal. A task can be renewed for at most one worker
-// lease after the check, and then runs for one more: two must be left.
+// worker's receipt of the renewal. A renewal can take effect up to one worker
+// lease after the check and lets the task run for one more: two must be left.
 func (m *Manager) coversRenewal(left time.Duration) bool { return left > 2*m.config.WorkerLease }
 
 // renewWorker extends the worker's leases of the tasks while enough of the
@@ -220,12 +220,12 @@
 	}
 }
 
-// Stop requests the stop of tasks. An unknown claim is reported as ended at
-// once, and never starts afterwards.
+// Stop requests the stop of tasks. If the agent holds its lease, an unknown
+// claim is reported as ended at once and never starts.
 //
 // Guards against a cancelled task that starts. It comes about when a
-// cancellation overtakes the start of its task and finds nothing. Therefore the
-// claim is recorded under the lock under which Start looks it up.
+// cancellation overtakes the start of its task. Therefore the claim is recorded
+// as refused, under the lock under which Start looks it up.
 func (m *Manager) Stop(refs []wire.TaskRef, reason wire.StopReason) {
 	held, _ := m.deps.Lease.Held(time.Now())
 	m.mu.Lock()
@@ -262,7 +262,7 @@
 	return n
 }
 
-// Unsettled returns the number of tasks and of ends that are not settled.
+// Unsettled returns the number of tasks without an end that an entry confirmed.
 func (m *Manager) Unsettled() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
