--- a/agent/ledger/batch.go
+++ b/agent/ledger/batch.go
@@ -23,7 +23,7 @@
 	measured int64
 }
 
-// excess is the memory that the task uses above its claim.
+// excess is the memory that the task uses above its declared size.
 func (t *task) excess() int64 { return max(0, t.measured-t.size.MemoryBytes) }
 
 // Reserve reserves a task's declared size, at least one slot, or returns why
@@ -80,11 +80,11 @@
 }
 
 // Measured records the highest memory use observed of a task. Memory used above
-// a claim is not free for later tasks; the claims themselves stay as admitted.
+// a declared size is not free for later tasks; reservations stay as admitted.
 //
 // Guards against tasks that the platform kills for lack of memory, again and
 // again. It comes about when a job declares far less memory than it uses: by
-// the claims the instance looks empty, and more tasks are placed there.
+// its declared size the instance looks empty, and more tasks are placed there.
 func (l *Ledger) Measured(k TaskKey, memory int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/batch_test.go
+++ b/agent/ledger/batch_test.go
@@ -10,9 +10,9 @@
 
 // Guards against an instance that gets more and more tasks until the platform
 // kills them. It comes about when tasks declare a tenth of the memory they use,
-// and free memory is counted by claims alone. Memory measured above a claim is
-// not free until the task has stopped. A task that uses less than its claim
-// frees nothing, since it may still need the rest.
+// and free memory is counted by declared sizes alone. Memory measured above a
+// declared size is not free until the task has stopped. A task that uses less
+// than it declared frees nothing, since it may still need the rest.
 func TestMemoryUsedAboveTheClaimIsNotFree(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
--- a/agent/ledger/inherit.go
+++ b/agent/ledger/inherit.go
@@ -19,7 +19,7 @@
 // when an agent is killed and a new one admits calls to all slots while the
 // worker still runs the old agent's tasks, until their lease lapses or they are
 // fenced. Therefore a ledger with Config.Survey admits nothing before its first
-// survey. Earlier agents can start no more tasks once the backend servers and
+// survey. Earlier agents can start no more work once the backend servers and
 // the worker have accepted this one.
 func (l *Ledger) Survey(running []WorkerTask, now time.Time) int {
 	l.mu.Lock()
@@ -47,9 +47,9 @@
 // Guards against a new agent that admits work to slots in which backend servers
 // still run calls of the old agent. Slots are shared by all services and by
 // batch tasks, so one server's announcement is not enough, and there is no list
-// of the servers. Every running server announces itself within Settle, twice
-// the time between announcements. A server that is paused for longer is named
-// by the others (see reserveAwaited).
+// of the servers. Every running server announces itself within Settle, by
+// default twice the time between announcements. A server that is paused for
+// longer is named by the others (see reserveAwaited).
 func (l *Ledger) unsettled(now time.Time) bool {
 	early := l.config.Settle > 0 && now.Sub(l.start) < l.config.Settle
 	return early || (l.config.Survey && !l.surveyed)
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -5,8 +5,9 @@
 //
 // A call's slot is freed by exactly one of: the whole answer, a proof that the
 // call did not run, a new incarnation of the backend server, or a list of the
-// server's requests without the call. The list counts only if the server made
-// it after it had carried out the agent's declaration that the request is void.
+// server's requests without the call. For a call that this agent admitted, the
+// server must have made the list after it carried out the agent's declaration
+// that the request is void.
 // A caller that disconnects frees nothing.
 package ledger
 
@@ -31,12 +32,12 @@
 	// Retention is the age of the last announcement above which an idle server
 	// is removed.
 	Retention time.Duration
-	// Survey makes the ledger admit nothing before its first survey, and Settle
-	// makes it admit nothing for that time after its start.
+	// With Survey the ledger admits nothing before its first survey. Settle is
+	// the time after its start in which it admits nothing.
 	Survey bool
 	Settle time.Duration
-	// OnBroken is called with each violated invariant, once for each kind, and
-	// the ledger's recent steps. It must not call the ledger.
+	// OnBroken is called once for each kind of violated invariant, with the
+	// ledger's recent steps. It must not call the ledger.
 	OnBroken func(what string, recent []Step)
 }
 
@@ -75,7 +76,7 @@
 	services map[structs.Service][]*server
 	calls    map[structs.RequestID]*call
 	tasks    map[TaskKey]task
-	// excess is the memory that tasks were measured to use above their claims.
+	// excess is the measured memory use above the tasks' declared sizes.
 	excess     int64
 	batchLoads []wire.BatchLoad
 	// uses and accounts hold each customer's use, see quota.go.
@@ -283,8 +284,8 @@
 }
 
 // Cut records that the exchange ended without a whole answer. The slot stays
-// taken, since the server may still work on the call. The slot is freed only if
-// the process that got the request has been replaced.
+// taken, since the server may still work on the call, unless the process that
+// got the request has been replaced.
 func (l *Ledger) Cut(id structs.RequestID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -302,7 +303,7 @@
 	l.trail.add(now, "cut", c.id, c.server.name, c.server.inUse)
 }
 
-// SetLease records the incarnation in the agent's lease row.
+// SetLease records the incarnation that the agent's lease row has now.
 func (l *Ledger) SetLease(n structs.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -25,8 +25,8 @@
 	return l
 }
 
-// join announces a server of 4 slots until the ledger admits calls to it, and
-// returns the server's guard.
+// join announces a server of 4 slots twice, the second time as one that has
+// accepted the agent, and returns the server's guard.
 func join(l *Ledger, incarnation uint64, now time.Time) *backend.Guard {
 	g := backend.NewGuard(incarnation, 4)
 	for range 2 {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Two customers share an instance. One that floods it with tasks gets more than
-// its quota while the other needs nothing. Once the other sends requests, the
-// first gets only slots that are free beside the other's quota.
+// Two customers share an instance. The first floods it with tasks and gets more
+// than its quota while the second needs nothing. Once the second sends
+// requests, the first gets only slots that are free beside the second's quota.
 func TestShares(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
--- a/agent/ledger/peers.go
+++ b/agent/ledger/peers.go
@@ -17,9 +17,9 @@
 	since time.Time
 }
 
-// reserveAwaited handles an announcement to another agent. It reserves the
-// slots of the server that made it and of the servers that it names, while this
-// agent does not know what they run.
+// reserveAwaited handles an announcement by a server that has not accepted this
+// agent. It reserves that server's slots if another agent used it, and those of
+// the servers that it names, while this agent doesn't know what they run.
 //
 // Guards against an instance that runs more than it can hold. It comes about
 // when an agent is killed while two backend servers work: the new agent
--- a/agent/ledger/pressure.go
+++ b/agent/ledger/pressure.go
@@ -76,7 +76,8 @@
 	Slots, Calls int
 }
 
-// Owed returns the counts since Owed was last called, and resets them.
+// Owed returns the counts since Owed was last called, and resets them. A
+// customer counts for at most the free slots of its quota.
 func (l *Ledger) Owed() Owed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -70,9 +70,8 @@
 	return a
 }
 
-// borrowOnlyShare stands for a contract that an entry has and this agent has
-// not received yet: the customer gets only slots that are in no other
-// customer's quota.
+// borrowOnlyShare is the share of a customer whose contract this agent may not
+// have received yet: the customer gets only slots in no other's quota.
 const borrowOnlyShare = 1e-9
 
 // accountAndContract returns the customer's account and the contract that
@@ -86,7 +85,7 @@
 	return a, contract
 }
 
-// admitCall decides whether the customer may hold one more slot for a call.
+// admitCall decides whether the customer may hold a slot for one more call.
 func (l *Ledger) admitCall(c structs.Customer, revision structs.Revision, now time.Time) Reason {
 	l.refresh(now)
 	a, contract := l.accountAndContract(c, revision)
--- a/agent/ledger/random_test.go
+++ b/agent/ledger/random_test.go
@@ -137,7 +137,7 @@
 }
 
 // killAgent ends the agent with its connections; its requests stay in flight.
-// As a zombie, the agent is only frozen, and admits calls again when it wakes.
+// With zombie the agent stays, and may still admit calls beside its successor.
 func (w *simulation) killAgent(zombie bool) {
 	if !zombie {
 		for _, m := range slices.Concat(w.inFlight, w.running) {
@@ -185,7 +185,8 @@
 	}
 }
 
-// finishAll delivers and ends all calls; then no slot may be taken.
+// finishAll drops requests that no agent waits for and ends all other calls;
+// then no slot may be taken.
 func (w *simulation) finishAll(t *rapid.T) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *message) bool { return !m.waiting })
 	for len(w.inFlight) > 0 {
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// StaleError is returned for an announcement that is older than a known one.
+// StaleError is returned for an announcement not newer than the last known one.
 type StaleError struct {
 	// Incarnation is the highest one announced under the server's name.
 	Incarnation uint64
@@ -234,8 +234,8 @@
 	}
 }
 
-// answer declares the server's orphaned calls void. Every answer repeats a call
-// until its slot is free, since an answer can be lost.
+// answer returns an answer that declares the server's orphaned calls void. Every
+// answer repeats a call until its slot is free, since an answer can be lost.
 func (l *Ledger) answer(s *server, now time.Time) backend.Answer {
 	s.answers++
 	out := backend.Answer{
@@ -282,8 +282,8 @@
 	return backend.Status{Leaving: s.leaving, InUse: s.inUse, Safe: s.leaving && s.inUse == 0}
 }
 
-// Offer counts the servers and slots of the instance; entries are notified of
-// each change.
+// Offer counts the instance's ready and leaving servers and the slots of the
+// ready ones; entries are notified of each change.
 type Offer struct {
 	Ready, Leaving, Slots int
 }
