--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -22,15 +22,15 @@
 	Instance structs.InstanceID
 	Address  string
 	Zone     structs.DataCentre
-	// Length is the time from sending a renewal to the latest end of all tasks.
+	// Length is the time after a renewal was sent by which all tasks have ended.
 	Length time.Duration
 	// Renew is the time between renewals, Timeout bounds one attempt, and Retry
 	// is the pause after a failed one.
 	Renew, Timeout, Retry time.Duration
 }
 
-// Fencer stops all tasks of holders below incarnation h, refuses them from then
-// on, and returns once the tasks have stopped. infra.Worker is one.
+// Fencer stops all tasks of holders below incarnation h, refuses these holders
+// from then on, and returns once the tasks have stopped. See infra.Worker.
 type Fencer interface {
 	Fence(ctx context.Context, h structs.Incarnation) error
 }
@@ -43,7 +43,7 @@
 // ErrNotHeld is returned when no lease is held.
 var ErrNotHeld = errors.New("lease: not held")
 
-// errLost is returned when another process has taken over or fenced the row.
+// errLost says that another process has taken over or fenced the row.
 var errLost = errors.New("lease: taken over")
 
 // Keeper takes the row, renews it, and takes it again after its loss.
@@ -151,8 +151,8 @@
 //
 // Guards against tasks that run in two places. It comes about when the previous
 // agent left tasks running: the entry takes a new incarnation as proof that
-// they have ended and runs them elsewhere. Therefore the worker stops them, and
-// refuses the previous holder, before the new incarnation can be read.
+// they have ended and runs them elsewhere. Therefore the worker stops them and
+// refuses the previous holder before the new incarnation is written.
 func (k *Keeper) take(ctx context.Context) error {
 	key := structs.AgentLeaseKey(k.config.Instance)
 	ctx, cancel := context.WithTimeout(ctx, k.config.Timeout)
@@ -215,10 +215,10 @@
 // renew raises the row's counter. The lease's length counts from before the
 // first attempt.
 //
-// Guards against a lease given up because an earlier renewal timed out and took
-// effect later. The next renewal then conflicts with a row that this keeper
-// wrote. Such a row is adopted and the renewal repeated on it. Only a row that
-// another process wrote means that the lease is lost.
+// Guards against a lease that is given up without need. It comes about when an
+// earlier renewal timed out and took effect later: the next one conflicts with
+// a row that this keeper wrote. Such a row is adopted and the renewal repeated.
+// Only a row that another process wrote means that the lease is lost.
 func (k *Keeper) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, k.config.Timeout)
 	defer cancel()
@@ -271,8 +271,8 @@
 	return len(op) > len(k.id) && op[:len(k.id)] == k.id
 }
 
-// Release marks the lease row as released: no task of this incarnation runs any
-// more. The caller has stopped all tasks and ended Run.
+// Release marks the lease row as released, if the lease is held: no task of this
+// incarnation runs any more. The caller has stopped all tasks and ended Run.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.mu.Lock()
 	next, version, held := k.row, k.version, !k.renewalSent.IsZero()
