--- a/agent/configuration/configuration.go
+++ b/agent/configuration/configuration.go
@@ -33,8 +33,7 @@
 	wakeJitter = 2 * time.Second
 	// timeout bounds one read and one request to an entry.
 	timeout = time.Second
-	// entryAttempts is the number of entries that are asked after a failed
-	// read.
+	// entryAttempts bounds the entries that are asked after a failed read.
 	entryAttempts = 2
 )
 
@@ -58,10 +57,9 @@
 	// known is the highest revision that this process knows to exist.
 	known structs.Revision
 
-	// Reads counts reads, Failed the reads without an answer, Asked the
-	// requests to entries. Older counts configurations that were dropped
-	// because they were not above the one in force, Unfit changes that start at
-	// another revision.
+	// Reads counts reads, Failed the failed ones, Asked the requests to
+	// entries. Older counts configurations that were dropped because they were
+	// not above the one in force, Unfit the changes from another revision.
 	Reads, Failed, Asked, Older, Unfit atomic.Int64
 }
 
@@ -70,7 +68,7 @@
 	return &Follower{table: table, ask: ask, apply: apply, onBroken: onBroken, wake: make(chan struct{}, 1)}
 }
 
-// Run reads at pollInterval until ctx ends.
+// Run reads every pollInterval, and soon after a wake, until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.read(ctx)
@@ -117,7 +115,8 @@
 	}
 }
 
-// Receive applies what an entry sent; whole or change may be nil.
+// Receive applies a configuration or a change of it that an entry sent; either
+// may be nil.
 func (f *Follower) Receive(whole *structs.Config, change *structs.ConfigChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +158,7 @@
 	return f.current
 }
 
-// read reads the table once, and asks entries if the table doesn't answer.
+// read reads the table once, and asks entries if the read fails.
 func (f *Follower) read(ctx context.Context) {
 	f.Reads.Add(1)
 	held := f.inForce()
@@ -175,7 +174,7 @@
 		f.askEntries(ctx, held.Revision)
 		return
 	}
-	// A table without a contract has no configuration to put into force.
+	// At FirstRevision the table has no contract to put into force.
 	if next.Revision > max(held.Revision, configtable.FirstRevision) {
 		f.mu.Lock()
 		f.install(next)
