--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -18,7 +18,7 @@
 	// failed call if the run crashes its worker at once.
 	promptCrashTime = 250 * time.Millisecond
 	// promptDownTime is the longest time from a worker's last answer to the
-	// first refused call after a crash. It covers a listing and its pause.
+	// first refused call after a crash: a listing and the pause after it.
 	promptDownTime = time.Second
 	// maxLoggedRuns bounds the runs named in one log line.
 	maxLoggedRuns = 16
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -75,7 +75,6 @@
 	image string
 }
 
-// jobFilling is the filling work of one job and image.
 type jobFilling struct {
 	pressure.Filling
 	job workload.JobID
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -62,7 +62,7 @@
 
 	incarnation *incarnation
 	// candidate is a worker that has not answered yet; it has reported, or the
-	// previous process had found it.
+	// previous process found it.
 	candidate *workload.Worker
 	// candidateSeq is the number of the candidate's latest report.
 	candidateSeq uint64
@@ -92,7 +92,7 @@
 	Starts, Stops, Paces, Holds, HoldErrors, Refused, Ends, Lives int64
 	// RoomRefused counts starts that the agent refused for lack of capacity.
 	RoomRefused int64
-	// Unreadable counts workers' reports that could not be decoded.
+	// Unreadable counts worker reports that could not be decoded.
 	Unreadable int64
 }
 
@@ -144,8 +144,7 @@
 	changed uint64
 }
 
-// clockReading is the worker's clock reading in an answer that arrived at local
-// time at.
+// clockReading is the worker's clock in an answer that came at local time at.
 type clockReading struct {
 	now workerctl.Clock
 	at  time.Duration
@@ -195,8 +194,8 @@
 	slow          bool
 	// rate is the inverse of the tail of a serving task (see rateGain).
 	rate float64
-	// pace is the last pace that was sent to the worker, at pacedAt; before the
-	// first one the run works at full pace.
+	// pace is the last pace sent to the worker, at pacedAt; before the first
+	// one the run works at full pace.
 	pace    int
 	pacedAt time.Duration
 	// worked is the run's work up to workedAt, as time at full pace.
@@ -207,7 +206,7 @@
 	overSince time.Duration
 }
 
-// maxFormer bounds the list of incarnations that have ended.
+// maxFormer bounds Runner.former.
 const maxFormer = 8
 
 // New returns a runner.
--- a/agent/runner/slow.go
+++ b/agent/runner/slow.go
@@ -8,7 +8,7 @@
 	// of two, and a failing worker takes six times as long or never finishes.
 	slowFactor = 3.5
 	// minSlowWatch is the least time for which progress is measured. Listings
-	// come at least every half second and show whole per cents.
+	// come every half second and show whole per cents.
 	minSlowWatch = 700 * time.Millisecond
 )
 
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -45,7 +45,7 @@
 	return r.report(args.Since)
 }
 
-// acknowledge drops ends that are stored and void runs that the caller has read.
+// acknowledge drops stored ends, and void runs that the caller has read.
 func (r *Runner) acknowledge(args dispatch.WatchArgs) {
 	inc := r.incarnation
 	if inc == nil {
