--- a/agent/tasks/end.go
+++ b/agent/tasks/end.go
@@ -35,7 +35,6 @@
 	return t.report(wire.EndEvicted, "stopped by the worker: "+s.Error)
 }
 
-// vanished reports whether the worker no longer lists the task.
 func (t *task) vanished() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -68,7 +68,7 @@
 }
 
 // recordEnd records the worker's status of the ended task; nil says that the
-// worker no longer lists the task.
+// worker no longer lists it.
 func (t *task) recordEnd(status *infra.TaskStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -262,7 +262,7 @@
 	return n
 }
 
-// Unsettled returns the number of tasks without an end that an entry confirmed.
+// Unsettled returns the number of tasks whose end no entry has confirmed.
 func (m *Manager) Unsettled() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
