--- a/agent/ledger/batch.go
+++ b/agent/ledger/batch.go
@@ -105,7 +105,6 @@
 	return free
 }
 
-// fits reports whether need is within total in each kind of resource.
 func (l *Ledger) fits(need, total structs.Resources) bool {
 	return need.Slots <= total.Slots &&
 		need.Accelerators <= total.Accelerators &&
--- a/agent/ledger/invariant.go
+++ b/agent/ledger/invariant.go
@@ -18,7 +18,6 @@
 	InUse   int
 }
 
-// trail is a ring buffer of the recent steps.
 type trail struct {
 	steps    [trailLength]Step
 	next     int
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -228,7 +228,6 @@
 	l.trail.add(now, "take", c.id, c.server.name, c.server.inUse)
 }
 
-// releaseSlot removes c and frees its slot.
 func (l *Ledger) releaseSlot(c *call, step string, now time.Time) {
 	if l.calls[c.id] != c {
 		l.invariantBroken("slot freed twice")
@@ -353,5 +352,4 @@
 
 func (l *Ledger) freeSlots() int { return l.config.Total.Slots - l.used.Slots }
 
-// overSlots reports whether more slots are in use than the instance has.
 func (l *Ledger) overSlots() bool { return l.used.Slots > l.config.Total.Slots }
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -92,8 +92,8 @@
 }
 
 // Two customers share an instance. The first floods it with tasks and gets more
-// than its quota while the second needs nothing. Once the second sends
-// requests, the first gets only slots that are free beside the second's quota.
+// than its quota while the second needs one slot. Once the second sends more
+// calls, the first gets only slots that are free beside the second's quota.
 func TestShares(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
--- a/agent/ledger/quota.go
+++ b/agent/ledger/quota.go
@@ -71,7 +71,7 @@
 }
 
 // borrowOnlyShare is the share of a customer whose contract this agent may not
-// have received yet: the customer gets only slots in no other's quota.
+// have received yet: the customer gets only slots outside all others' quotas.
 const borrowOnlyShare = 1e-9
 
 // accountAndContract returns the customer's account and the contract that
@@ -127,7 +127,6 @@
 	return Full
 }
 
-// useOf returns the customer's element of uses.
 func (l *Ledger) useOf(c structs.Customer, a *account) *decide.SlotUse {
 	if a.useIndex < 0 {
 		a.useIndex = len(l.uses)
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -163,8 +163,7 @@
 	return s
 }
 
-// recordAnnouncement stores the announcement and updates the services and the
-// memory in use.
+// recordAnnouncement stores a, and updates the services and the memory in use.
 func (l *Ledger) recordAnnouncement(s *server, a backend.Announcement) {
 	if old := s.announced.Service; old != a.Service {
 		l.services[old] = slices.DeleteFunc(l.services[old], func(o *server) bool { return o == s })
@@ -235,7 +234,7 @@
 }
 
 // answer returns an answer that declares the server's orphaned calls void. Every
-// answer repeats a call until its slot is free, since an answer can be lost.
+// answer repeats each call until its slot is free, since an answer can be lost.
 func (l *Ledger) answer(s *server, now time.Time) backend.Answer {
 	s.answers++
 	out := backend.Answer{
