--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -30,7 +30,7 @@
 }
 
 // Fencer stops all tasks of holders below incarnation h, refuses these holders
-// from then on, and returns once the tasks have stopped. See infra.Worker.
+// from then on, and returns once the tasks have stopped. infra.Worker is one.
 type Fencer interface {
 	Fence(ctx context.Context, h structs.Incarnation) error
 }
