--- a/agent/configuration/configuration_test.go
+++ b/agent/configuration/configuration_test.go
@@ -83,7 +83,6 @@
 	return b
 }
 
-// want checks the revision and the share in force.
 func (r *rig) want(revision structs.Revision, c structs.Customer, share float64) {
 	r.t.Helper()
 	if held := r.inForce(); held.Revision != revision || held.Contracts[c].Share != share {
@@ -130,7 +129,7 @@
 // An agent is frozen between reading the revision and reading the contract;
 // three versions are accepted before it resumes. The row read before the pause
 // is then old, and the row read after it is of another revision. The agent must
-// put the third version into force, none in between and no mix.
+// put the last version into force, and no mix.
 func TestAgentFrozenThroughThreeVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
@@ -184,9 +183,9 @@
 
 // Two entries answer one agent's heartbeats. The answer of the first was made
 // before a change and arrives after that of the second. Then changes arrive
-// that start at a revision which the agent no longer has or never had. The
-// contracts in force must stay. The agent must read soon after a newer revision
-// was named.
+// that start at a revision which the agent doesn't have, or lead to an older
+// one. The contracts in force must stay. The agent must read soon after a newer
+// revision was named.
 func TestLateAndUnfitChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
