--- a/agent/agent.go
+++ b/agent/agent.go
@@ -83,8 +83,8 @@
 	return a, nil
 }
 
-// maxRenewInterval bounds the time between renewals, whatever the lease's
-// length: observers count from the last one, and renewals so rare cost little.
+// maxRenewInterval bounds the time between renewals of a lease of any length:
+// observers count it from its last renewal, and renewals so rare cost little.
 const maxRenewInterval = 30 * time.Second
 
 func renewInterval(c Config) time.Duration { return min(maxRenewInterval, c.Lease/8) }
@@ -128,7 +128,6 @@
 	}
 }
 
-// load returns the agent's view of its instance.
 func (a *Agent) load() wire.Load {
 	l := a.ledger.Load(time.Now())
 	l.Instance = a.config.Instance
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -55,7 +55,7 @@
 	answerJSON(w, http.StatusOK, answer)
 }
 
-// serverChanged notifies entries at once that the instance's offer has changed.
+// serverChanged notifies entries that the instance's offer has changed.
 func (a *Agent) serverChanged(name string, announcement backend.Announcement) {
 	a.deps.Events.Record(structs.Event{Step: StepAnnounced, Peer: name, Detail: string(announcement.Service)})
 	a.deps.Log.Info().Str("backend", name).Str("service", string(announcement.Service)).Bool("leaving", announcement.Leaving).
@@ -89,8 +89,8 @@
 	answerStatus(w, status, ok)
 }
 
-// answerStatus answers with the state of a server. The agent sends no calls to
-// an unknown server, so an unknown server is safe to stop.
+// answerStatus answers with the state of a server, or 404 for an unknown one.
+// The agent sends no calls to such a server: it is safe to stop.
 func answerStatus(w http.ResponseWriter, s backend.Status, known bool) {
 	code := http.StatusOK
 	switch {
--- a/agent/batch_test.go
+++ b/agent/batch_test.go
@@ -149,7 +149,7 @@
 	})
 }
 
-// Guards against a task that vanishes with its worker and counts as stopped.
+// A task that vanishes from its worker must be reported as lost, not stopped.
 func TestTaskOfLostWorkerIsReportedAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, t.Context())
--- a/agent/call.go
+++ b/agent/call.go
@@ -190,7 +190,7 @@
 	a.deps.Events.Record(structs.Event{Step: step, Request: r.Request, Customer: r.Customer, Detail: detail})
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are not passed on: those of one connection, and Authorization.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -114,7 +114,7 @@
 	_, a, s, guard := startServing(t)
 	for i, c := range cases {
 		s.setAnswer(plain)
-		call(a, structs.RequestID(fmt.Sprint("warm", i)), time.Second) // leaves a kept connection
+		call(a, structs.RequestID(fmt.Sprint("warm", i)), time.Second) // leaves an idle connection
 		s.setAnswer(c.answer)
 		id := structs.RequestID(fmt.Sprint("r", i))
 		got := call(a, id, c.budget, c.headers...)
@@ -158,7 +158,7 @@
 		w.Header().Set(backend.HeaderRefused, string(backend.RefusedFull))
 		_, _ = w.Write(make([]byte, 65536))
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(50 * time.Millisecond) // work, not a condition
+		time.Sleep(50 * time.Millisecond) // simulated work
 		working.Store(false)
 	})
 	if got := call(a, "r1", time.Second); got.Refused != nil || len(got.Body) != 65536 || working.Load() {
@@ -231,7 +231,7 @@
 				go func() { _ = http.Serve(l, guard) }()
 				t.Cleanup(func() { l.Close() })
 			}()
-			a.client.CloseIdleConnections() // a kept connection that breaks proves nothing
+			a.client.CloseIdleConnections() // if an idle connection breaks, the call may have run
 			return call(a, "nobody", time.Second)
 		}},
 		{"leaving", structs.RefusedDraining, func() wire.CallReply {
@@ -304,7 +304,7 @@
 		})
 	}
 	for range 15 {
-		time.Sleep(40 * time.Millisecond) // load, not a condition
+		time.Sleep(40 * time.Millisecond) // lets calls run
 		setAgent(nil)
 		kill()
 		next, nextKill := r.agent()
--- a/agent/config.go
+++ b/agent/config.go
@@ -61,7 +61,7 @@
 	DefaultTimeout       = 5 * time.Second
 	// missedAnnouncements is the number of announcements a server may miss.
 	missedAnnouncements = 4
-	// settleAnnouncements is the number of announcement intervals in Settle.
+	// settleAnnouncements is the default of Settle in announcement intervals.
 	settleAnnouncements = 2
 	// serverRetention is the age of the last announcement above which an idle
 	// server is removed.
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -12,19 +12,19 @@
 // progress.
 const drainPollInterval = 5 * time.Millisecond
 
-// forceFraction is the fraction of a planned stop's time after which tasks are
-// stopped without a new checkpoint.
+// forceFraction is the fraction of the time left for handing over tasks after
+// which those that can't be checkpointed are stopped without a new checkpoint.
 const forceFraction = 0.6
 
 // Drain carries out a planned stop: it refuses new work at once, notifies every
-// entry and waits for their acknowledgement, waits for calls in progress,
-// checkpoints and hands over batch tasks, and releases the lease. When it has
-// returned, the process may close its sockets. ctx bounds all of it.
+// entry and waits up to Config.Notice for acknowledgements, waits for calls in
+// progress, checkpoints and hands over batch tasks, and releases the lease. When
+// it has returned, the process may close its sockets. ctx bounds all of it.
 //
 // Guards against a call that is cut off. It comes about when an entry that has
 // not been notified of the stop sends a call to a socket that has just been
 // closed. Therefore the sockets are closed only after every entry that answers
-// has acknowledged; calls that were sent before are refused or finished.
+// in time has acknowledged; earlier calls are refused or finished.
 func (a *Agent) Drain(ctx context.Context) error {
 	select {
 	case <-a.ready:
@@ -84,7 +84,6 @@
 	return nil
 }
 
-// beginDrain makes the agent refuse new work.
 func (a *Agent) beginDrain() {
 	if a.ledger.Draining() {
 		return
@@ -106,9 +105,9 @@
 	return nil
 }
 
-// handOverTasks evicts all tasks. After forceFraction of ctx's time it waits
-// for no more checkpoints, so that an object store that is down doesn't use all
-// of the time.
+// handOverTasks evicts all tasks. After forceFraction of the time left in ctx it
+// waits for no more checkpoints, so that an object store that is down doesn't
+// use all of the time.
 func (a *Agent) handOverTasks(ctx context.Context) error {
 	force := ctx
 	if deadline, ok := ctx.Deadline(); ok {
@@ -121,7 +120,7 @@
 }
 
 // setPlannedStop begins an operator's planned stop of the instance, or cancels
-// it. The process stays up and runs no work until the stop is cancelled.
+// it. The process stays up and admits no work until the stop is cancelled.
 func (a *Agent) setPlannedStop(cancelled bool) {
 	a.plannedMu.Lock()
 	defer a.plannedMu.Unlock()
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -94,7 +94,7 @@
 		r, a, s, _ := startServing(t)
 		eventually(t, "lease taken", func() bool { held, _ := a.lease.Held(time.Now()); return held > 0 })
 		s.setAnswer(func(w http.ResponseWriter, id structs.RequestID) {
-			time.Sleep(3 * time.Millisecond) // work, not a condition
+			time.Sleep(3 * time.Millisecond) // simulated work
 			if id == "long" {
 				time.Sleep(500 * time.Millisecond)
 			}
--- a/agent/entries.go
+++ b/agent/entries.go
@@ -38,7 +38,6 @@
 	asked atomic.Uint32
 }
 
-// entry is one entry that the agent reports to.
 type entry struct {
 	address string
 	wakeup  chan struct{}
@@ -70,7 +69,6 @@
 	return &entry{address: address, wakeup: make(chan struct{}, 1), answered: make(chan struct{}), lastContact: time.Now()}
 }
 
-// run sends heartbeats until ctx ends.
 func (e *entries) run(ctx context.Context) {
 	e.mu.Lock()
 	e.ctx = ctx
@@ -160,7 +158,7 @@
 	defer cancel()
 	held, _ := a.lease.Held(time.Now())
 	if !a.ledger.Settled(time.Now()) {
-		held = 0 // no claims yet, they would be refused
+		held = 0 // prevents claims, which the agent would refuse
 	}
 	load := a.load()
 	a.counters.hellos.Add(1)
@@ -195,7 +193,6 @@
 	return reply, eris.Wrapf(err, "ask %s for the configuration", address)
 }
 
-// omitKept removes from r the parts that the entry has kept.
 func (o *entry) omitKept(r wire.HelloRequest) wire.HelloRequest {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/agent/rig_test.go
+++ b/agent/rig_test.go
@@ -18,7 +18,7 @@
 	"persimmonrock.example/wire"
 )
 
-// fakeEntry is an entry that acknowledges every message.
+// fakeEntry acknowledges each message unless down or applyReport prevents it.
 type fakeEntry struct {
 	wire.EntryPeer
 	mu      sync.Mutex
@@ -113,8 +113,8 @@
 	store   *memory.Table
 	table   *fault.Control
 	objects *fault.Control
-	// process controls faults of the present agent's calls to its worker, table
-	// and objects those of calls to the stores. host.freeze freezes all.
+	// process, table and objects control the faults of the present agent's calls
+	// to its worker and to the two stores. host.freeze freezes all.
 	process *fault.Control
 	bodies  *memory.Objects
 	worker  *memory.Worker
@@ -249,7 +249,7 @@
 	}
 }
 
-// call makes one urgent call of granite with the given ID and headers.
+// call makes one urgent call of customer granite.
 func call(a *Agent, id structs.RequestID, budget time.Duration, headers ...wire.Header) wire.CallReply {
 	var reply wire.CallReply
 	_ = a.RPC().Call(wire.CallRequest{
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -87,12 +87,11 @@
 	return nil
 }
 
-// counters are the agent's own counters.
 type counters struct {
 	calls, answered, refused, cancels, overBudget atomic.Int64
 	cut, dialFailed, guardRefused, foreignAnswers atomic.Int64
 	hellos, helloFailed, configs                  atomic.Int64
-	// serving is the number of calls whose reply is not written yet.
+	// serving is the number of calls for which rpcServer.Call has not returned.
 	serving atomic.Int64
 }
 
--- a/agent/survey.go
+++ b/agent/survey.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Serving returns the number of backend servers on the instance that calls are
-// admitted to now.
+// Serving returns the number of ready backend servers on the instance, or 0
+// while the agent admits no work.
 func (a *Agent) Serving() int {
 	if a.Ready() != nil {
 		return 0
--- a/agent/twoplaces_test.go
+++ b/agent/twoplaces_test.go
@@ -113,7 +113,7 @@
 	return o
 }
 
-// applyReport applies a report; it ignores reports of other epochs.
+// applyReport applies a report; it ignores other epochs and jobs not running.
 func (o *owner) applyReport(r wire.TaskReport) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -138,7 +138,7 @@
 	return true
 }
 
-// resumeFrom records a checkpoint that exists and is not behind the last one.
+// resumeFrom records a checkpoint, which must exist and not be behind the last.
 func (o *owner) resumeFrom(j *job, key string) {
 	if key == "" {
 		return
@@ -271,8 +271,8 @@
 	h.entry.setDown(on)
 }
 
-// replace kills the agent and starts another. A zombie is frozen instead of
-// killed, and the returned function resumes it for a moment before it ends. The
+// replace kills the agent, or freezes it as a zombie, and starts another. The
+// returned function resumes a zombie for a moment and then kills it. The
 // functions in before run after the new agent's fault controls exist and before
 // the new agent starts.
 func (h *host) replace(zombie bool, before ...func()) func() {
@@ -360,7 +360,7 @@
 }
 
 // Long jobs run while agents are killed, frozen past their lease and resumed,
-// asked to evict, and cut off from the store, the entries or both. A job must
+// told to evict, and cut off from the store, the entries or both. A job must
 // never run in two places at once, must resume from its last checkpoint, and
 // must be done once.
 func TestRandomFailuresOfTasks(t *testing.T) {
@@ -390,7 +390,7 @@
 	})
 }
 
-// finish heals all faults, waits for the jobs to end and returns the problem
+// finish clears all faults, waits for the jobs to end and returns the problem
 // found, or "".
 func (o *owner) finish() string {
 	for _, h := range o.hosts {
