--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// StaleError is returned for an announcement that is older than a known one.
+// StaleError is returned for an announcement not newer than the last known one.
 type StaleError struct {
 	// Incarnation is the highest one announced under the server's name.
 	Incarnation uint64
@@ -163,8 +163,7 @@
 	return s
 }
 
-// recordAnnouncement stores the announcement and updates the services and the
-// memory in use.
+// recordAnnouncement stores a, and updates the services and the memory in use.
 func (l *Ledger) recordAnnouncement(s *server, a backend.Announcement) {
 	if old := s.announced.Service; old != a.Service {
 		l.services[old] = slices.DeleteFunc(l.services[old], func(o *server) bool { return o == s })
@@ -234,8 +233,8 @@
 	}
 }
 
-// answer declares the server's orphaned calls void. Every answer repeats a call
-// until its slot is free, since an answer can be lost.
+// answer returns an answer that declares the server's orphaned calls void. Every
+// answer repeats each call until its slot is free, since an answer can be lost.
 func (l *Ledger) answer(s *server, now time.Time) backend.Answer {
 	s.answers++
 	out := backend.Answer{
@@ -282,8 +281,8 @@
 	return backend.Status{Leaving: s.leaving, InUse: s.inUse, Safe: s.leaving && s.inUse == 0}
 }
 
-// Offer counts the servers and slots of the instance; entries are notified of
-// each change.
+// Offer counts the instance's ready and leaving servers and the slots of the
+// ready ones; entries are notified of each change.
 type Offer struct {
 	Ready, Leaving, Slots int
 }
