--- a/entry/relay/directpath.go
+++ b/entry/relay/directpath.go
@@ -15,16 +15,17 @@
 type comparison uint8
 
 const (
-	// directAnswers: the direct path answers about as soon as another entry.
+	// directAnswers: the direct path answered first or soon after.
 	directAnswers comparison = iota
-	// onlyPeerAnswered: another entry got an answer; this entry got none.
+	// onlyPeerAnswered: another entry got an answer; the direct path failed or
+	// lags.
 	onlyPeerAnswered
 	// noneAnswers: neither entry got an answer; the store may be down or slow.
 	noneAnswers
 )
 
-// compare calls the store directly and through another entry. A store that is
-// slow for all is not lost: relayed calls would only add to its load.
+// compare reads the probe key directly and through another entry. A store that
+// answers both slowly is not lost: relayed calls would only add to its load.
 func (s *Store) compare(ctx context.Context) comparison {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,14 +71,12 @@
 	return rowstore.Key{Table: entriesTable, Part: entriesPart, Key: s.ownAddress}
 }
 
-// askDirect reads the probe key directly.
 func (s *Store) askDirect(ctx context.Context) (a answer) {
 	k := s.probeKey()
 	a.rows, a.more, a.at, a.err = s.direct.List(ctx, k.Table, k.Part, k.Key, k.Key+"\x00")
 	return a
 }
 
-// askPeer reads the probe key through another entry.
 func (s *Store) askPeer(ctx context.Context) answer {
 	p := s.choosePeer(nil)
 	if p == nil {
@@ -106,10 +105,10 @@
 	return errors.Is(err, rowstore.ErrUnavailable) || errors.Is(err, rowstore.ErrUnknown)
 }
 
-// applyWithFallback makes a transaction directly and then through another
-// entry. While the direct path is lost, it uses two other entries, or one and
-// then the direct path. A transaction that is tried twice carries conditions,
-// so that at most one attempt takes effect and the other returns a conflict.
+// applyWithFallback applies a transaction directly and, if that fails, through
+// another entry. While the direct path is lost, it uses two other entries, or
+// one and then the direct path. The transaction's conditions let at most one
+// attempt take effect; the other returns a conflict.
 func (s *Store) applyWithFallback(ctx context.Context, direct func() answer, peerCall func(*dispatch.Link) answer) answer {
 	callDirect := func() answer { return s.callDirect(ctx, direct) }
 	p := s.choosePeer(nil)
@@ -128,7 +127,7 @@
 	return tryNext(ctx, viaPeer(), second)
 }
 
-// tryNext makes the second call if the first got no answer of the store.
+// tryNext makes the second call if the store did not answer the first.
 func tryNext(ctx context.Context, first answer, second func() answer) answer {
 	if !storeUnavailable(first.err) || ctx.Err() != nil {
 		return first
@@ -145,8 +144,8 @@
 	return second
 }
 
-// directUntilLost calls the store directly. As soon as the direct path is lost,
-// it also calls through another entry in parallel.
+// directUntilLost calls the store directly, and also through another entry if
+// that call fails or the direct path is lost.
 //
 // Failure guarded against: the store stops answering this machine. A pending
 // call would wait for its whole time-out, 1.5 s, before it takes another path;
@@ -176,7 +175,8 @@
 	return a
 }
 
-// markLost records that the direct path is lost.
+// markLost notifies pending calls that the direct path is lost and starts
+// probes.
 func (s *Store) markLost(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 		s.mu.Lock()
 		s.lost = make(chan struct{})
 		s.mu.Unlock()
-		s.log.Warn().Msg("store regained")
+		s.log.Warn().Msg("store answers directly again")
 		return
 	}
 }
@@ -227,7 +227,7 @@
 	return s.lost
 }
 
-// callPeer makes a call through another entry. A call that ctx ends does not
+// callPeer makes a call through another entry. A call ended by ctx does not
 // count as a failure of that entry.
 func (s *Store) callPeer(ctx context.Context, p *peer, call func(*dispatch.Link) answer) answer {
 	s.relayed.Add(1)
@@ -248,8 +248,8 @@
 }
 
 // chooseAnyPeer returns choosePeer's choice. If all entries are avoided, it
-// returns the entry whose avoidance ends first: while the store is slow, calls
-// through any entry fail, and the store may be fast again.
+// returns the entry whose avoidance ends first: the store may have been slow
+// for all and be fast again.
 func (s *Store) chooseAnyPeer(except *peer) *peer {
 	if p := s.choosePeer(except); p != nil {
 		return p
--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -26,8 +26,8 @@
 
 // plan describes the attempts of a read.
 type plan struct {
-	// answerTimeout is the time without a sign of an answer until the second
-	// attempt. Each further attempt follows after hedgeDelay.
+	// answerTimeout is the time without a sign of an answer until the first
+	// call of hedge; the next follow every hedgeDelay.
 	answerTimeout time.Duration
 	// feed marks a read that waits for changes.
 	feed bool
@@ -53,7 +53,7 @@
 	idlePeriods int
 	// peersOnly signals that only other entries get answers.
 	peersOnly chan struct{}
-	// indirect is set if the latest attempt was made through another entry.
+	// indirect is set if the latest attempt was to use another entry.
 	indirect bool
 	// lastPeer is the entry used by the latest indirect attempt.
 	lastPeer *peer
@@ -68,7 +68,7 @@
 	answer  answer
 }
 
-// race returns the first usable answer.
+// race returns the first usable answer, or an error if all attempts fail.
 func (s *Store) race(ctx context.Context, p plan) answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,8 +107,8 @@
 	}
 }
 
-// hedge starts another attempt after a period without a sign of an answer,
-// except after a feed's first. For feeds and directFirst reads it also checks
+// hedge starts another attempt after a period without a sign of an answer; a
+// feed skips its first period. For feeds and directFirst reads it also checks
 // the direct path in every checkEvery-th period, from the first on.
 func (r *race) hedge(ctx context.Context) {
 	if (r.plan.feed || r.plan.directFirst) && r.idlePeriods%checkEvery == 0 {
@@ -120,7 +120,8 @@
 	r.idlePeriods++
 }
 
-// checkDirect checks whether the store answers other entries but not this one.
+// checkDirect marks the direct path as lost unless it answers in time. If only
+// another entry gets an answer, checkDirect notifies a directFirst read.
 func (r *race) checkDirect(ctx context.Context) {
 	found := r.relay.compare(ctx)
 	if found != directAnswers {
@@ -136,7 +137,7 @@
 }
 
 // handleResult records the result of an attempt and reports whether the result
-// is usable. If the first attempt fails, handleResult starts another at once.
+// is usable. If the only attempt so far fails, it starts another at once.
 func (r *race) handleResult(ctx context.Context, a attemptResult) bool {
 	i := slices.Index(r.open, a.attempt)
 	if i < 0 {
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -18,14 +18,14 @@
 	relay *Store
 	// direct reads from the store directly.
 	direct rowstore.Reader
-	// directFirst is the plan's option for its reads.
+	// directFirst is copied to the plan of each read.
 	directFirst bool
 }
 
 var _ rowstore.Reader = (*Reader)(nil)
 
 // Reader returns a reader with the given direct path, which may have longer
-// time-outs. Its answers are large, so other entries are used only if the
+// time-outs. It is for large answers, so other entries are used only if the
 // direct path fails or gets no answer while another entry does.
 func (s *Store) Reader(direct rowstore.Reader) *Reader {
 	return &Reader{relay: s, direct: direct, directFirst: true}
@@ -51,8 +51,8 @@
 	return a.rows, a.more, a.at, a.err
 }
 
-// Feed implements rowstore.Reader. All attempts together wait for changes no
-// longer than a single one.
+// Feed implements rowstore.Reader. Later attempts wait for changes only for the
+// rest of wait.
 //
 // A feed answers after its wait at the latest, and one feed is always pending.
 // So a feed is the first call to time out when the store stops answering this
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -19,7 +19,8 @@
 
 const (
 	// callTimeout bounds a transaction through another entry, readTimeout a
-	// read beyond its own wait. Another path is tried in parallel sooner.
+	// read after its wait for changes. Reads try another path in parallel
+	// sooner.
 	callTimeout = 900 * time.Millisecond
 	readTimeout = 3 * time.Second
 	// minAnswerTimeout and maxAnswerTimeout bound a feed's time-out beyond its
@@ -198,7 +199,7 @@
 	return s.reader().Feed(ctx, table, after, wait)
 }
 
-// observe records the duration of a read by the direct path.
+// observe records the duration of a successful read by the direct path.
 func (s *Store) observe(err error, duration time.Duration) {
 	if err != nil || duration < 0 {
 		return
