--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -20,7 +20,8 @@
 const (
 	// MinHeartbeat is the default heartbeat interval while agents are few.
 	MinHeartbeat = 2 * time.Second
-	// MaxHeartbeat bounds the age of an idle agent's load.
+	// MaxHeartbeat is the longest interval. It bounds the age of an idle
+	// agent's load.
 	MaxHeartbeat = 3 * time.Minute
 	// overdueHeartbeats is the number of missed heartbeats after which an agent
 	// is excluded while others are available: the agent may be paused, and a
@@ -55,7 +56,7 @@
 	// Outstanding counts calls of this entry that the agent has not answered.
 	Outstanding int
 	// Suspect agents could not be reached recently or are unresponsive. Overdue
-	// agents have missed heartbeats.
+	// agents have sent nothing for overdueHeartbeats intervals.
 	Suspect, Overdue bool
 }
 
@@ -69,8 +70,8 @@
 	lastContact  time.Time
 	interval     time.Duration
 	suspectUntil time.Time
-	// unresponsive is set while the agent leaves calls unanswered; any message
-	// of the agent clears it.
+	// unresponsive is set while calls stay unanswered; a heartbeat or newer
+	// load clears it.
 	unresponsive bool
 }
 
@@ -246,8 +247,8 @@
 // agent has offered for serviceRetention.
 //
 // Failure guarded against: all agents of a service are removed for lack of
-// contact, and callers are refused because the service does not exist, which is
-// no reason to retry.
+// contact, and callers are told that the service does not exist, so they don't
+// retry.
 func (d *Directory) Service(s structs.Service) (agents []Agent, known bool) {
 	now := time.Now()
 	d.mu.RLock()
@@ -313,7 +314,7 @@
 	r.agent.Outstanding += n
 }
 
-// Suspect excludes for suspectTime an agent that could not be reached.
+// Suspect excludes an unreachable agent for suspectTime.
 func (d *Directory) Suspect(id structs.InstanceID) {
 	rec := d.recordOf(id)
 	rec.mu.Lock()
@@ -327,9 +328,8 @@
 	return a.Age, known
 }
 
-// SetUnresponsive excludes an agent that does not answer until the agent sends
-// a message, or, if unresponsive is false, includes it again. It does not
-// restore a removed agent.
+// SetUnresponsive excludes an agent until its next heartbeat or newer load;
+// false includes it again. A removed agent stays removed.
 func (d *Directory) SetUnresponsive(id structs.InstanceID, unresponsive bool) {
 	d.mu.RLock()
 	rec := d.agents[id]
@@ -342,7 +342,8 @@
 	rec.mu.Unlock()
 }
 
-// Sweep removes agents that have sent nothing for several heartbeats.
+// Sweep removes agents that have sent nothing for missedHeartbeats intervals,
+// unless calls to them are in flight.
 func (d *Directory) Sweep() {
 	now := time.Now()
 	lost := 0
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -232,8 +232,8 @@
 }
 
 // Guards against callers that wait for their deadlines in vain. It came about
-// when they were sent to a paused agent with open connections. The agent must
-// be excluded after two missed heartbeats and included again after one answer.
+// when calls went to a paused agent with open connections. The agent must be
+// excluded after two missed heartbeats and included again after one answer.
 func TestOverdueAgentIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New("e:1", nil, nil, structs.NoEvents{}, zerolog.Nop())
--- a/entry/directory/entries.go
+++ b/entry/directory/entries.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-// EntriesIfChanged returns Entries, or nil if the agent already has that list.
+// EntriesIfChanged returns Entries, or nil if sum is that list's hash.
 func (d *Directory) EntriesIfChanged(sum uint64) []string {
 	list := d.Entries()
 	if wire.EntriesSum(list) == sum {
@@ -32,7 +32,6 @@
 	return list
 }
 
-// others returns the entries other than this one.
 func (d *Directory) others() []string {
 	var list []string
 	for _, address := range d.Entries() {
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -132,8 +132,9 @@
 	m.dir.SetEntries(addresses)
 }
 
-// deleteExpired deletes rows that have not changed for long. The delete is
-// conditional on the row's version, so a row renewed meanwhile stays.
+// deleteExpired deletes rows unchanged for memberDeleteAfter expiry periods.
+// The delete is conditional on the row's version, so a row renewed meanwhile
+// stays.
 func (m *Members) deleteExpired(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	var expired []infra.Cond
