--- a/entry/contracts/change.go
+++ b/entry/contracts/change.go
@@ -39,8 +39,9 @@
 
 // Apply makes the change and returns the revision that accepted it. If two
 // operators change one contract from the same revision, one succeeds and the
-// other gets a precondition refusal. A repeated operation returns the revision
-// of its first acceptance and changes nothing.
+// other gets a precondition refusal. An operation repeated within the last
+// recentOperations returns the revision of its first acceptance and changes
+// nothing.
 func (s *Store) Apply(ctx context.Context, c Change) (structs.Revision, *structs.Refusal) {
 	for {
 		revision, err := s.apply(ctx, c)
@@ -121,7 +122,7 @@
 // checkKeys refuses a contract with another customer's key.
 //
 // Failure guarded against: two operators assign one key to two customers
-// through two entries at once, and the key's holder is taken for either
+// through two entries at once, and a caller with the key counts as either
 // customer, by chance. checkKeys compares the contracts of the revision on
 // which the change is conditional, so no other change can come in between.
 func (s *Store) checkKeys(ctx context.Context, c Change, at structs.Revision) error {
@@ -153,8 +154,8 @@
 	return slices.ContainsFunc(a, func(h string) bool { return slices.Contains(b, h) })
 }
 
-// asUnavailable converts a read's error from unknown outcome to unavailable: a
-// failed read has changed nothing.
+// asUnavailable converts a read's unknown outcome or time-out to
+// ErrUnavailable: a failed read has changed nothing.
 func asUnavailable(err error) error {
 	if errors.Is(err, infra.ErrUnknown) || errors.Is(err, context.DeadlineExceeded) {
 		return infra.ErrUnavailable
--- a/entry/contracts/doc.go
+++ b/entry/contracts/doc.go
@@ -2,8 +2,8 @@
 // makes changes to it.
 //
 // The table service decides which changes are accepted. It has a row for each
-// contract and one revision row, which every accepted change increases in the
-// same transaction. The view only ever moves to a higher revision. A view that
-// could not be confirmed during a pause of its process is confirmed before its
-// next use.
+// contract and one row with the revision, which every accepted change increases
+// in the same transaction. The view only ever moves to a higher revision. A
+// view that could not be confirmed during a pause of its process is confirmed
+// before its next use.
 package contracts
--- a/entry/contracts/race_test.go
+++ b/entry/contracts/race_test.go
@@ -4,7 +4,7 @@
 
 import "runtime"
 
-// init limits tests in fake time to one processor under the race detector.
+// init limits this package's tests to one processor under the race detector.
 //
 // Failure guarded against: the Go runtime runs due channel timers of a synctest
 // bubble on whichever thread polls them. The timers share the bubble's one race
--- a/entry/contracts/store.go
+++ b/entry/contracts/store.go
@@ -36,9 +36,9 @@
 type Options struct {
 	// Poll is the pause between two reads of the revision row.
 	Poll time.Duration
-	// Stale is how long after the end of the last confirmation the view may
-	// still be served. Stale is above Poll plus the time-out of one attempt, so
-	// that only a paused process exceeds it.
+	// Stale is how long the view may be served after the last confirmation,
+	// even a failed one. It must exceed Poll plus the time-outs of a
+	// confirmation, so that only a paused process reaches it.
 	Stale time.Duration
 }
 
@@ -55,9 +55,8 @@
 	confirming chan struct{}
 	wake       chan struct{}
 
-	// Reads counts the reads sent to the table service, Failed those without an
-	// answer. Held counts the requests refused because the view could not be
-	// confirmed after a pause.
+	// Reads counts the attempts to read the table service, Failed those that
+	// failed. Held counts the requests that Serve refused.
 	Reads  atomic.Int64
 	Failed atomic.Int64
 	Held   atomic.Int64
@@ -124,8 +123,8 @@
 	}
 }
 
-// Confirm updates the view to the table service's revision. If the service does
-// not answer, it asks the other entries.
+// Confirm updates the view to the table service's revision. If the read fails,
+// Confirm asks the other entries.
 func (s *Store) Confirm(ctx context.Context) {
 	started := time.Now()
 	select {
