--- a/entry/admin.go
+++ b/entry/admin.go
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// adminConfig lists the revision in force in each process.
+// adminConfig lists each known process's revision; agents' are as of their last
+// heartbeats.
 func (e *Entry) adminConfig(w http.ResponseWriter, r *http.Request) *structs.Refusal {
 	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -11,7 +11,6 @@
 // callerHeaders are the request headers that are passed to the backend server.
 var callerHeaders = []string{"Accept", "Accept-Language", "Content-Encoding", "Content-Type", "Traceparent"}
 
-// serveCall serves one urgent call.
 func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, c structs.Contract) *structs.Refusal {
 	ctx, cancel, refused := withDeadline(r, c)
 	if refused != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -32,8 +32,8 @@
 	Zone structs.DataCentre
 	// Address is the advertised RPC address.
 	Address string
-	// Seeds are RPC addresses of other entries, used until the table service
-	// has been read.
+	// Seeds are RPC addresses of other entries, known without the table
+	// service.
 	Seeds []string
 	// OperatorKeyHashes are the hex SHA-256 hashes of the operators' keys.
 	OperatorKeyHashes []string
@@ -98,7 +98,7 @@
 	requests inflight
 }
 
-// New returns an entry that does nothing until Run.
+// New returns an entry; Run starts its background work.
 func New(c Config, d Deps) *Entry {
 	if c.MaxBody == 0 {
 		c.MaxBody = DefaultMaxBody
@@ -132,7 +132,7 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// sweepInterval is the time between two searches for unresponsive agents.
+// sweepInterval is the time between two calls of Directory.Sweep.
 const sweepInterval = time.Second
 
 // Run does the entry's background work until ctx ends.
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// refusalPeriod is how long a planned stop continues to answer before its
-// sockets may be closed.
+// refusalPeriod is the least time for which a stopping entry still answers
+// before its sockets may be closed.
 //
 // Failure guarded against: a caller sends its next request on a connection that
 // was kept open, just as the server closes the connection; the caller sees a
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -96,8 +96,8 @@
 	return "/v1/jobs/" + string(job.ID)
 }
 
-// rows returns the whole table. Of rows that are renewed all the time it
-// returns only the keys.
+// rows returns the whole table, but only the keys of rows that are renewed
+// periodically.
 func (s *testEntry) rows() map[string]infra.Row {
 	all := make(map[string]infra.Row)
 	list, err := s.table.Scan(s.t.Context(), "", "", 10_000)
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -28,7 +28,6 @@
 	return true
 }
 
-// end counts the end of a request.
 func (f *inflight) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,8 +37,7 @@
 	}
 }
 
-// close refuses new requests. It may be called only once, and wait only after
-// it.
+// close refuses new requests. It may be called only once and must precede wait.
 func (f *inflight) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -22,7 +22,8 @@
 	planner decide.Planner
 	sizes   decide.Sizes
 	health  decide.Health
-	// probes are the jobs that were sent to instances in quarantine.
+	// probes holds the job last sent to each instance in quarantine, until the
+	// job's end is reported.
 	probes map[structs.InstanceID]structs.JobID
 }
 
@@ -90,11 +91,11 @@
 // probe reports whether the instance is in quarantine and whether to probe it.
 //
 // Failure guarded against: a probe runs for longer than the pause between
-// probes, and a worker that fails what it starts is sent a second job and a
-// third, each of which loses a run. So the last probe's end must be reported
-// first. An end may never be reported, because the claim failed or another
-// entry recorded the end. The probe then counts as ended once the pause is over
-// and the agent runs no batch task.
+// probes, and a worker on which every job fails gets a second and a third, each
+// of which loses a run. So the last probe's end must be reported first. An end
+// may never be reported, because the claim failed or another entry recorded the
+// end. The probe then counts as ended once the pause is over and the agent runs
+// no batch task.
 func (p *placer) probe(now time.Duration, a batch.AgentView) (quarantined, probe bool) {
 	quarantined, due, _ := p.health.Worker(now, a.Instance)
 	pending := p.probes[a.Instance] != ""
