--- a/wire/client.go
+++ b/wire/client.go
@@ -190,8 +190,8 @@
 			return &PeerError{Step: method, Peer: l.address, Err: err}
 		}
 		done := make(chan *rpc.Call, 1)
-		// Go writes the request itself, and if the peer no longer reads, the
-		// write blocks beyond the caller's deadline.
+		// Go writes the request before it returns. If the peer no longer reads,
+		// the write blocks beyond the caller's deadline.
 		go c.Go(method, args, reply, done)
 		select {
 		case <-ctx.Done():
--- a/wire/cut_test.go
+++ b/wire/cut_test.go
@@ -141,8 +141,8 @@
 }
 
 // An agent's machine hangs: its kernel accepts connections, but the agent
-// neither handshakes nor reads. Each caller with 50 ms left must be refused in
-// time as not sent. Otherwise the callers wait one after the other for the
+// neither handshakes nor reads. Each caller with 50 ms left must get a not-sent
+// error in time. Otherwise the callers wait one after the other for the
 // handshake's time-out, which is seconds.
 func TestHungPeerDoesNotDelayCallersBeyondDeadline(t *testing.T) {
 	hung := listenLocal(t)
@@ -218,9 +218,9 @@
 	})
 }
 
-// Shutdown is called while the server sends its part of a handshake. After it
-// the server removes the connection's deadlines. Shutdown must not wait for
-// this idle connection until the context ends and then close others.
+// Shutdown is called while the server sends its part of a handshake. At its end
+// the server removes the read deadline. Shutdown must not wait for this idle
+// connection until the context ends and then close others.
 func TestShutdownDuringAHandshake(t *testing.T) {
 	s, _ := startAgent(t, &countingAgent{})
 	client, server := net.Pipe()
--- a/wire/entry.go
+++ b/wire/entry.go
@@ -119,8 +119,8 @@
 	Load Load
 }
 
-// ReportReply acknowledges reports by index: each that is in the table service
-// or void because of its epoch, but none of another entry's shard.
+// ReportReply acknowledges reports by index. Settled is set once the end is
+// stored or if the claim no longer holds, never for another entry's shard.
 type ReportReply struct {
 	Settled []bool
 }
--- a/wire/handshake.go
+++ b/wire/handshake.go
@@ -69,7 +69,6 @@
 	return found
 }
 
-// clientHandshake runs the client's side of the handshake.
 func clientHandshake(c net.Conn, secret []byte) error {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
--- a/wire/peer_test.go
+++ b/wire/peer_test.go
@@ -78,7 +78,6 @@
 	return c
 }
 
-// dialAuthenticated returns a connection after its handshake.
 func dialAuthenticated(t testing.TB, address string) net.Conn {
 	t.Helper()
 	c := dialRaw(t, address)
--- a/wire/server.go
+++ b/wire/server.go
@@ -194,7 +194,7 @@
 	s.rpc.ServeCodec(newCodec(counted, s.clock))
 }
 
-// expireIfClosing does for c what Shutdown does to each connection.
+// expireIfClosing ends reads from c if Shutdown was called.
 //
 // Failure guarded against: Shutdown is called during a handshake, which removes
 // the read deadline at its end. Shutdown would wait for this idle connection
