--- a/wire/dispatch/agentrow.go
+++ b/wire/dispatch/agentrow.go
@@ -11,8 +11,8 @@
 )
 
 // AgentsTable holds one row per agent. Each agent process writes the row at its
-// start. The written version is the process's fencing token, higher than those
-// of earlier processes.
+// start. The row's version is the process's fencing token, higher than those of
+// earlier processes.
 const AgentsTable = "agents"
 
 // agentParts is the number of partitions that hold the agents' rows. After a
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -17,7 +17,8 @@
 	dialTimeout = 600 * time.Millisecond
 	// keepAlive is the interval of probes for dead peers on idle connections.
 	keepAlive = time.Second
-	// redialDelay is the time after a failed dial in which calls get its error.
+	// redialDelay is the time after a failed dial in which calls fail without a
+	// new dial.
 	redialDelay = 60 * time.Millisecond
 )
 
@@ -40,8 +41,8 @@
 }
 
 // attempt is one dial, shared by all calls that need a connection during it. A
-// call waits for the dial no longer than for its own answer. Otherwise calls to
-// an unreachable peer would queue up behind one another's dials.
+// call waits for the dial no longer than its own time-out. With separate dials,
+// calls to an unreachable peer would queue up.
 type attempt struct {
 	done   chan struct{}
 	client *rpc.Client
--- a/wire/dispatch/link_test.go
+++ b/wire/dispatch/link_test.go
@@ -10,9 +10,8 @@
 )
 
 // Guards against a permanently unreachable scheduler that no entry replaces. It
-// came about when each state request dialled by itself, behind the others: the
-// entries' watch of the scheduler uses the same link and took longer and
-// longer.
+// came about when each request dialled in turn: the entries check the scheduler
+// on the same link, and the checks took longer and longer.
 func TestCallsToUnreachablePeerDoNotQueueUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLink("peer")
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -26,8 +26,8 @@
 	DrainsVersion uint64
 }
 
-// ReasonDrained is the reason of a void run whose data centre was drained
-// before the run began.
+// ReasonDrained is RunReport.Reason if a drain of the data centre prevented the
+// run's start.
 const ReasonDrained = "the data centre is drained"
 
 // StartOrder orders the agent to start one run that the store has recorded.
@@ -42,11 +42,11 @@
 	Ticket     string
 	// Gang says that the run works only together with the gang's other runs.
 	Gang bool
-	// Watched requests a report when the run is proven not to crash its worker:
-	// an earlier run of its task was on a worker that crashed.
+	// Watched requests a report once RunReport.Proven holds: an earlier run of
+	// the task was on a worker that crashed.
 	Watched bool
-	// Estimate is the client's estimate of the run time, for a task that ends
-	// by itself and works at its own pace; 0 for all other tasks.
+	// Estimate is the client's estimate of the run time; 0 for lasting, filling
+	// and gang tasks.
 	Estimate time.Duration
 }
 
@@ -54,7 +54,8 @@
 type OrderArgs struct {
 	Claim
 	Worker workload.WorkerID
-	// Seen is the End.Number up to which the incarnation's ends are stored.
+	// Seen is the End.Number up to which the ends of the incarnation's runs are
+	// stored.
 	Seen uint64
 	// Payloads holds the payloads of the started tasks, by job.
 	Payloads map[workload.JobID]string
@@ -95,8 +96,8 @@
 	Wait time.Duration
 	// SampleEvery is the time between samples of tail latency; 0 disables them.
 	SampleEvery time.Duration
-	// SampleUnknown is the interval while it is unknown whether a filling task
-	// slows a serving task beside it.
+	// SampleUnknown replaces SampleEvery while it is unknown whether a filling
+	// task slows a serving task beside it.
 	SampleUnknown time.Duration
 	// Pressure holds the learnt PairWeights of the worker's images, if changed.
 	Pressure []PairWeight
@@ -129,7 +130,7 @@
 	Tail float64
 }
 
-// FillingSample is the share of the worker that a filling image used.
+// FillingSample is the share of the worker's CPU that a filling image used.
 type FillingSample struct {
 	Image string
 	Used  float64
@@ -152,7 +153,7 @@
 	// Former lists earlier incarnations that are known to have ended.
 	Former []workload.WorkerID
 	// Fresh lists the runs that may have crashed an incarnation in Former, or
-	// the lapsed worker. The list is repeated until it is read.
+	// the lapsed worker. The list is repeated until WatchArgs.Since covers it.
 	Fresh []SuspectRun
 	Runs  []RunReport
 	Ends  []workload.End
@@ -161,8 +162,9 @@
 }
 
 // SuspectRun is a run that may have crashed its worker. Begun says that the run
-// was certainly there, and not for long; else its order may have come too late.
-// Soon says that the worker stopped answering shortly after the run's start.
+// was certainly on the worker, and not for long; otherwise its order may have
+// come too late. Soon says that the worker stopped answering shortly after the
+// run's start.
 type SuspectRun struct {
 	Run   workload.RunID
 	Begun bool
@@ -191,7 +193,8 @@
 	Reason string
 	// Slow says that the run progresses far more slowly than estimated.
 	Slow bool
-	// Proven says that the worker still answered a while after the run's start.
+	// Proven clears the run of crashing its worker, which still answered a
+	// while after the run's start.
 	Proven bool
 }
 
