--- a/structs/lease.go
+++ b/structs/lease.go
@@ -19,8 +19,8 @@
 	Incarnation Incarnation `json:"incarnation"`
 	Counter     uint64      `json:"counter"`
 	State       LeaseState  `json:"state"`
-	// Length is the time after a renewal was sent by which the holder has
-	// stopped all its tasks. Observers wait for Length and a margin.
+	// Length is how long after sending its last renewal the holder may still
+	// run tasks. Observers wait for Length and a margin.
 	Length  Duration   `json:"length"`
 	Address string     `json:"address"`
 	Zone    DataCentre `json:"data_centre"`
