--- a/structs/api/api.go
+++ b/structs/api/api.go
@@ -62,7 +62,7 @@
 	Unknown bool `json:"unknown,omitempty"`
 }
 
-// Config reports the revision in force and the revision of each process.
+// Config reports the revisions of the answering entry and of each process.
 type Config struct {
 	Revision  structs.Revision `json:"revision"`
 	Processes []Process        `json:"processes"`
