--- a/structs/workload/check.go
+++ b/structs/workload/check.go
@@ -5,7 +5,7 @@
 // Limits on a submitted job. They keep each of the job's rows below the store's
 // row size, and the planning time at a fraction of a second.
 const (
-	// MaxPayload is the greatest documented length of a payload, in bytes.
+	// MaxPayload is the documented limit of a payload, in bytes.
 	MaxPayload = 4000
 	maxSteps   = 200
 	maxTasks   = 5000
--- a/structs/workload/task.go
+++ b/structs/workload/task.go
@@ -54,7 +54,9 @@
 // EndKind is the way in which a run ended.
 type EndKind string
 
-// The ways in which a run ends.
+// The ways in which a run ends. EndLapsed: the worker's lease expired.
+// EndBroken: the gang lost a member. EndAlone: the run waited in vain for its
+// gang.
 const (
 	EndDone    EndKind = "done"
 	EndFailed  EndKind = "failed"
@@ -66,7 +68,7 @@
 
 // End is the end of one run, as its worker lists it.
 type End struct {
-	// Number counts the ends of one incarnation of a worker, from 1.
+	// Number counts the ended runs of one worker incarnation, from 1.
 	Number uint64
 	Run    RunID
 	Kind   EndKind
