--- a/entry/relay/directpath.go
+++ b/entry/relay/directpath.go
@@ -175,8 +175,7 @@
 	return a
 }
 
-// markLost notifies pending calls that the direct path is lost and starts
-// probes.
+// markLost notifies pending calls of the lost direct path and starts probes.
 func (s *Store) markLost(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -19,8 +19,7 @@
 
 const (
 	// callTimeout bounds a transaction through another entry, readTimeout a
-	// read after its wait for changes. Reads try another path in parallel
-	// sooner.
+	// read after its wait for changes. Reads also try another path sooner.
 	callTimeout = 900 * time.Millisecond
 	readTimeout = 3 * time.Second
 	// minAnswerTimeout and maxAnswerTimeout bound a feed's time-out beyond its
