--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -20,8 +20,7 @@
 const (
 	// MinHeartbeat is the default heartbeat interval while agents are few.
 	MinHeartbeat = 2 * time.Second
-	// MaxHeartbeat is the longest interval. It bounds the age of an idle
-	// agent's load.
+	// MaxHeartbeat bounds the age of an idle agent's load.
 	MaxHeartbeat = 3 * time.Minute
 	// overdueHeartbeats is the number of missed heartbeats after which an agent
 	// is excluded while others are available: the agent may be paused, and a
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -133,8 +133,7 @@
 }
 
 // deleteExpired deletes rows unchanged for memberDeleteAfter expiry periods.
-// The delete is conditional on the row's version, so a row renewed meanwhile
-// stays.
+// The delete is conditional on the version, so a row renewed meanwhile stays.
 func (m *Members) deleteExpired(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	var expired []infra.Cond
