--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -17,8 +17,7 @@
 	dialTimeout = 600 * time.Millisecond
 	// keepAlive is the interval of probes for dead peers on idle connections.
 	keepAlive = time.Second
-	// redialDelay is the time after a failed dial in which calls fail without a
-	// new dial.
+	// redialDelay is the pause after a failed dial; calls in it fail at once.
 	redialDelay = 60 * time.Millisecond
 )
 
