--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -125,7 +125,7 @@
 }
 
 // Run times are learnt from complete runs and replace the declared ones.
-// Partial runs must not count: they would lower run times and sizes.
+// Partial runs must lower neither run times nor sizes, but may raise sizes.
 func TestSizesAreLearntFromCompleteRuns(t *testing.T) {
 	p := newPlacer(model.New(), oneContract{})
 	end := func(e wire.TaskEnd, checkpoint string, ran time.Duration, memory int64) {
