--- a/infra/commit.go
+++ b/infra/commit.go
@@ -46,13 +46,13 @@
 // condition on a key that it also puts.
 //
 // Failure guarded against: the store applies a write and its answer is lost, or
-// applies it after the time-out. The store then returns ErrUnknown, and a
-// conflict for the repeat: on a row changed by the first attempt or since by
-// another process, or on a row that t only checks. CommitOnce can distinguish
-// these cases: a condition on a version is met at most once, and each row names
-// the operation that wrote it. A row with t.Op proves that t was applied. A row
-// that t puts and that still has the version of its condition proves that t was
-// not applied.
+// applies it after the time-out. The attempt returns ErrUnknown, and its repeat
+// a conflict: on a row changed by the first attempt or by another process, or
+// on a row that t only checks. CommitOnce can distinguish these cases: a
+// condition on a version is met at most once, and each row names the operation
+// that wrote it. A row with t.Op proves that t was applied. A row that t puts
+// and that still has the version of its condition proves that t was not
+// applied.
 //
 // Errors: ErrUnavailable, ErrInvalid and *ConflictError prove that t has not
 // been applied. *SupersededError means that later writes hide the outcome.
@@ -194,8 +194,8 @@
 // active.
 //
 // Failure guarded against: a recovering store is overloaded again because all
-// processes repeat their writes at once. The backoff grows, and a hash of the
-// operation ID shortens it by up to half, so that processes repeat at different
+// processes repeat their writes at once. The backoff grows, and a hash of id
+// shortens the backoff by up to half, so that processes repeat at different
 // times. A random source would have to be controlled by tests.
 func backOff(ctx context.Context, id string, attempt int) bool {
 	h := fnv.New32a()
--- a/infra/commit_test.go
+++ b/infra/commit_test.go
@@ -35,7 +35,6 @@
 	ownOp = "mine"
 )
 
-// outcome names a result of CommitOnce.
 type outcome string
 
 const (
--- a/infra/configtable/reader.go
+++ b/infra/configtable/reader.go
@@ -74,7 +74,8 @@
 }
 
 // scan reads all contracts at revision r. consistent is false if the revision
-// has changed at the end, since the pages may then be of several revisions.
+// has changed by the last page, since the pages may then be of several
+// revisions.
 func scan(ctx context.Context, t infra.Table, r structs.Revision) (config structs.Config, consistent bool, err error) {
 	config = structs.Config{Revision: r, Contracts: make(map[structs.Customer]structs.Contract)}
 	for after, full := "", true; full; {
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -1,8 +1,9 @@
 // Package configtable reads the accepted configuration from the table service.
 //
 // Processes poll the revision row, so it is small: it holds the revision and
-// the customers of the last few changes. A reader that lacks only these changes
-// reads only these customers' contracts; any other reader reads all contracts.
+// the customers of the last few changes. A reader that lacks only these
+// changes, of at most maxSingleReads customers, reads only their contracts; any
+// other reader reads all contracts.
 package configtable
 
 import (
@@ -37,7 +38,7 @@
 	Recent []Operation `json:"recent,omitempty"`
 }
 
-// Change is the customer of a change of a contract.
+// Change names the customer whose contract changed.
 type Change struct {
 	Customer structs.Customer `json:"customer"`
 	Removed  bool             `json:"removed,omitempty"`
--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -99,8 +99,8 @@
 	c.plan = p
 }
 
-// Next sets the faults of the next writes that the plan matches, one each,
-// before the plan's probabilities apply again.
+// Next queues faults for the next writes that the plan matches, one each. The
+// plan's probabilities apply again once the queue is empty.
 func (c *Control) Next(faults ...Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -75,12 +75,14 @@
 	// ErrUnknown means that the request may have had an effect or may still
 	// have one.
 	ErrUnknown = errors.New("platform: outcome unknown")
-	// ErrFenced means that a newer holder has fenced the worker.
+	// ErrFenced means that a newer holder has fenced the worker, or that Stop
+	// or Forget has ruled out the start.
 	ErrFenced = errors.New("platform: fenced by a newer holder")
 )
 
 // ConflictError means that a condition of a transaction did not hold and that
-// nothing was applied. Current is the present row, with Version 0 if absent.
+// nothing was applied. Current is that condition's row as it is now, with
+// Version 0 if absent.
 type ConflictError struct {
 	Current Row
 }
@@ -167,7 +169,7 @@
 	// named the job at this epoch or a later one, even if the worker did not
 	// know the task then: a start that arrives late must not run the task.
 	Start(ctx context.Context, t TaskStart) error
-	// Renew extends the lease of every running task of holder h to end at
+	// Renew makes the lease of every running task of holder h end at the time
 	// lease from now.
 	Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error
 	// Checkpoint returns the task's state; the task continues to run.
--- a/infra/memory/registry.go
+++ b/infra/memory/registry.go
@@ -19,8 +19,8 @@
 }
 
 // RunRegistry records when each run on a group of workers actually starts and
-// stops, independently of agents, leases and rows. It counts the runs of one
-// job that overlap or have the same epoch.
+// stops, independently of agents, leases and rows. It counts the pairs of runs
+// of one job that overlap or have the same epoch.
 type RunRegistry struct {
 	log zerolog.Logger
 
--- a/infra/memory/requests.go
+++ b/infra/memory/requests.go
@@ -28,7 +28,6 @@
 	return nil
 }
 
-// find returns the run of a job and epoch, or infra.ErrNotFound.
 func (w *Worker) find(ctx context.Context, id structs.JobID, e structs.Epoch) (*run, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/infra/memory/task.go
+++ b/infra/memory/task.go
@@ -34,16 +34,17 @@
 	r.visibleProgress(time.Now())
 }
 
-// A pace of up to minPace counts as standstill; a step then waits for
-// standstillWait before it reads the pace again.
+// A pace of up to minPace counts as standstill; Step then waits for
+// standstillWait or a change of the throttle before it reads the pace again.
 const (
 	minPace        = 1e-6
 	standstillWait = time.Hour
 )
 
-// Step does work that takes d at full speed alone on the instance. The work
-// takes longer while the task is throttled or slowed by its neighbours, and
-// doesn't progress at speed 0. Step returns ctx's error if the task has to stop.
+// Step does work that takes d for a task that is alone on the instance and not
+// throttled. The work takes longer while the task is throttled or slowed by its
+// neighbours, and doesn't progress at speed 0. Step returns ctx's error if the
+// task has to stop.
 func (t Task) Step(ctx context.Context, d time.Duration) error {
 	r := t.run
 	remaining := d
--- a/infra/memory/usage.go
+++ b/infra/memory/usage.go
@@ -11,7 +11,6 @@
 	fraction float64
 }
 
-// segment is a period of work at one speed and one slowdown.
 type segment struct {
 	from, to        time.Time
 	speed, slowdown float64
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -29,14 +29,14 @@
 	Instance structs.InstanceID
 	// Kinds holds the program of each kind; a task of another kind fails.
 	Kinds map[structs.Kind]Program
-	// StopDelay is the time for which a task's work continues after its
-	// program returned because it had to stop.
+	// StopDelay is the time for which the work of a stopped task continues
+	// after its program has returned.
 	StopDelay time.Duration
 	// UsageWindow is the length of a usage window, UsageLag the time from its
 	// end until its report is available. Progress has the same lag.
 	UsageWindow, UsageLag time.Duration
 	// Slowdown returns the factor by which neighbours slow a task of this kind
-	// now, 1 for none. Steps call it at their start and when the throttle
+	// now, 1 for none. Task.Step calls it at its start and when the throttle
 	// changes.
 	Slowdown func(structs.Kind) float64
 	// Actual returns a task's real resource usage; nil means the declared one.
--- a/infra/memory/worker_test.go
+++ b/infra/memory/worker_test.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// Guards against a task that runs twice: an agent is cut off and can't renew,
-// its worker stops the task when the lease lapses, the work takes 300 ms more to
-// end, and another worker starts the job. The registry must count the overlap
-// exactly if the second start came too early.
+// Guards against a task that runs twice. An agent is cut off and can't renew,
+// so its worker stops the task when the lease of 1 s lapses, and the work ends
+// 300 ms later. The registry must count an overlap if another worker starts the
+// job before that time, and only then.
 func TestLapsedLeaseStopsTaskAndOverlapsAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		after      time.Duration
--- a/infra/random_test.go
+++ b/infra/random_test.go
@@ -119,7 +119,7 @@
 }
 
 // checkVersions checks that the versions that a success returned are this
-// client's: a row that has one of them must have been written by its operation.
+// client's: a row that still has one of them must name the client's operation.
 func (c *client) checkVersions(txn infra.Txn, versions []uint64) {
 	for i, p := range txn.Puts {
 		row, err := c.table.Get(context.Background(), p.Key)
--- a/infra/remote/client.go
+++ b/infra/remote/client.go
@@ -21,7 +21,6 @@
 	errProtocol = errors.New("answer isn't of this protocol")
 )
 
-// client sends requests to one base URL.
 type client struct {
 	base     string
 	http     http.Client
@@ -91,7 +90,6 @@
 	return nil, c.refusal(x, resp, body)
 }
 
-// refusal returns the error of an unsuccessful answer.
 func (c *client) refusal(x exchange, resp *http.Response, body []byte) error {
 	var p problem
 	if resp.Header.Get(headerContent) != contentProblem || decodeStrict(body, &p) != nil || p.Status != resp.StatusCode {
--- a/infra/remote/counters.go
+++ b/infra/remote/counters.go
@@ -8,13 +8,13 @@
 	"persimmonrock.example/infra"
 )
 
-// Counters counts the requests and failures of one or more clients. The zero
-// value lacks only the time base of SinceAnswerMillis. Counters is safe for
-// concurrent use.
+// Counters counts the requests and failures of one or more clients. In the zero
+// value, only SinceAnswerMillis is meaningless. Counters is safe for concurrent
+// use.
 type Counters struct {
 	reads, writes, conflicts, unavailable, unknown atomic.Uint64
-	// lastAnswer is the time of the service's last answer in its own protocol,
-	// in ns since began.
+	// lastAnswer is the time of the service's last answer in its own protocol
+	// other than "unavailable" or "unknown", in ns since began.
 	lastAnswer atomic.Int64
 	began      time.Time
 }
@@ -33,8 +33,8 @@
 	// unavailable. Unknown counts writes of unknown effect.
 	Unavailable uint64 `json:"unavailable"`
 	Unknown     uint64 `json:"unknown"`
-	// SinceAnswerMillis is the time since the service's last answer, even while
-	// no requests are sent.
+	// SinceAnswerMillis is the time since the service's last answer other than
+	// "unavailable" or "unknown", even while no requests are sent.
 	SinceAnswerMillis int64 `json:"silent_ms"`
 }
 
@@ -65,7 +65,6 @@
 	c.reads.Add(1)
 }
 
-// recordAnswer records an answer in the service's own protocol.
 func (c *Counters) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.began))) }
 
 func (c *Counters) countFailure(cause error) {
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -151,7 +151,7 @@
 		body = compressed
 	}
 	w.WriteHeader(code)
-	// A write error means that the client has disconnected; the client treats
-	// the missing answer as unknown.
+	// A write error means that the client has disconnected; the client then
+	// treats the outcome of a write request as unknown.
 	_, _ = w.Write(body)
 }
--- a/infra/rowstore/memstore/memstore.go
+++ b/infra/rowstore/memstore/memstore.go
@@ -39,7 +39,7 @@
 	// maxQueueTime is the waiting time of a partition's transactions above
 	// which further ones are refused.
 	maxQueueTime = time.Second
-	// defaultIdle is the time after which most clients time out.
+	// defaultIdle is the time without data after which most clients time out.
 	defaultIdle = 1500 * time.Millisecond
 	// maxDelay is the longest delay of a write that is applied late.
 	maxDelay = 6 * time.Second
@@ -62,7 +62,7 @@
 	lostShare float64
 	applyLate bool
 	// muteShare is the share of reads that get no answer. failedUntil is the
-	// last time at which reads got no answer or a very late one.
+	// end of the last fault of reads.
 	muteShare   float64
 	failedUntil time.Time
 	// rate is the speed of each client's link in bytes a second, 0 unbounded.
@@ -103,7 +103,7 @@
 }
 
 // SetLost loses the answers of a share of the writes; with applyLate, these
-// writes are applied seconds later if their conditions still hold.
+// writes are applied 1 to 6 s later if their conditions still hold.
 func (s *Store) SetLost(share float64, applyLate bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,15 +124,14 @@
 
 func (s *Store) readsFail() bool { return s.muteShare > 0 || s.slowdown > slowReads }
 
-// recordReadFaults sets failedUntil to now if reads fail.
 func (s *Store) recordReadFaults() {
 	if s.readsFail() {
 		s.failedUntil = time.Now()
 	}
 }
 
-// ReadsHealthyFor returns the time since reads last got no answer or a very late
-// one; 0 while some do.
+// ReadsHealthyFor returns the time since the last fault of reads (SetMute, or
+// SetSlow above slowReads) ended, 0 during a fault.
 func (s *Store) ReadsHealthyFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +199,7 @@
 	idle  time.Duration
 }
 
-// bound ends a read when the client's adapter would time out.
+// bound returns a context that ends when the client's adapter would time out.
 func (c *client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	return progress.WithIdleTimeout(ctx, wait+c.idle)
 }
@@ -318,8 +317,8 @@
 	return rowstore.Stamp{}, nil, true
 }
 
-// enqueue returns the time until t is executed: the transactions of a partition
-// are executed one after another.
+// enqueue queues t and returns the time until its execution ends: the
+// transactions of a partition are executed one after another.
 func (s *Store) enqueue(t rowstore.Txn) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -336,7 +335,6 @@
 	return s.partBusyUntil[part].Sub(now), nil
 }
 
-// partOf returns the partition of a transaction's rows.
 func partOf(t rowstore.Txn) string {
 	switch {
 	case len(t.Puts) > 0:
@@ -424,7 +422,6 @@
 	return rows, more, s.stamp()
 }
 
-// pageRows is the maximum number of rows of a page.
 const pageRows = 500
 
 // Feed implements rowstore.Store.
--- a/infra/rowstore/rowstore.go
+++ b/infra/rowstore/rowstore.go
@@ -101,8 +101,8 @@
 	ErrCompacted = errors.New("row store: history dropped")
 )
 
-// ConflictError means that a condition did not hold. Rows are the present rows
-// of the conditions.
+// ConflictError means that a condition did not hold. Rows holds the rows of the
+// conditions as they are now, without absent ones.
 type ConflictError struct {
 	Rows []Row
 }
--- a/infra/rowstore/settle/settle.go
+++ b/infra/rowstore/settle/settle.go
@@ -17,8 +17,8 @@
 	// row is read. The wait follows the times of earlier answers.
 	minTimeout = 60 * time.Millisecond
 	maxTimeout = 600 * time.Millisecond
-	// quickRead is the time within which a read shows that the store is not
-	// slow, so that an answer that is still missing is likely lost.
+	// quickRead is the longest time of a read that shows that the store is not
+	// slow. An answer that is still missing then is likely lost.
 	quickRead = 100 * time.Millisecond
 	// readTimeout bounds a read of the row.
 	readTimeout = 500 * time.Millisecond
@@ -32,10 +32,11 @@
 // Failure guarded against: the store executes a transaction and its answer is
 // lost. The caller would wait for a time-out that fits the slowest store, and a
 // scheduler would place nothing meanwhile. If the row has another version than
-// the condition requires, the transaction has been executed or never will be,
-// and the row's value shows which. Otherwise, if the read was quick, Store
-// makes another attempt: the shared condition lets at most one attempt take
-// effect. A store that answers reads slowly gets no further attempts.
+// the condition requires, the transaction has been executed or never will be.
+// Store then returns a conflict with the row, whose value shows the caller
+// which. If the row still has the required version and the read was quick,
+// Store makes another attempt: the shared condition lets at most one attempt
+// take effect. A store that answers reads slowly gets no further attempts.
 type Store struct {
 	rowstore.Store
 
@@ -46,8 +47,8 @@
 // New returns a Store for the transactions of inner.
 func New(inner rowstore.Store) *Store { return &Store{Store: inner} }
 
-// Apply implements rowstore.Store. A conflict names only one row, so transactions
-// with several conditions, or none, go to the inner store directly.
+// Apply implements rowstore.Store. Only one row is read, so transactions with
+// several conditions, or none, go to the inner store directly.
 func (s *Store) Apply(ctx context.Context, t rowstore.Txn) (rowstore.Stamp, error) {
 	if len(t.Conds) != 1 {
 		return s.Store.Apply(ctx, t)
@@ -131,7 +132,6 @@
 	}()
 }
 
-// readRow reads the row of the condition.
 func (c *call) readRow(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -153,7 +153,6 @@
 	s.times.Observe(took)
 }
 
-// timeout returns the time-out of an answer.
 func (s *Store) timeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/infra/rowstore/settle/settle_test.go
+++ b/infra/rowstore/settle/settle_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// The transaction is executed and its answer is lost: the caller receives the
-// row's value long before the time-out.
+// The transaction is executed and its answer is lost: the caller receives a
+// conflict with the row's value long before the time-out.
 func TestLostAnswerIsFoundByRead(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetLost(1, false)
@@ -78,7 +78,7 @@
 }
 
 // Guards against several times the load on a slow store. It came about when
-// each missing answer counted as lost.
+// each missing answer counted as lost and led to another attempt.
 func TestSlowStoreGetsNoSecondAttempt(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
 		faulty.SetSlow(60)
--- a/infra/txn.go
+++ b/infra/txn.go
@@ -7,8 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid means that a request had no effect and can't succeed unchanged.
-// Repeating it is useless: it is a fault of the caller.
+// ErrInvalid means that the caller's request is wrong. The request had no
+// effect, and repeating it unchanged is useless.
 var ErrInvalid = errors.New("platform: invalid request")
 
 // CheckKey returns ErrInvalid unless key is valid UTF-8.
--- a/infra/workerctl/workerctl.go
+++ b/infra/workerctl/workerctl.go
@@ -31,15 +31,16 @@
 	Ticket string
 }
 
-// HoldOrder renews the lease, acknowledges ends and requests a Listing.
+// HoldOrder renews the lease, acknowledges reported ends of runs and requests a
+// Listing.
 type HoldOrder struct {
 	// Lease is the new end of the lease; 0 does not renew it.
 	Lease Clock
 	Token uint64
-	// Seen is the number of the last reported end that the worker may forget.
+	// Seen is the highest number of an end whose effect is stored; the worker
+	// drops the ends up to this number.
 	Seen uint64
-	// Wait is how long the worker may wait for another run's end before it
-	// answers.
+	// Wait is how long the worker may delay its answer until another run ends.
 	Wait time.Duration
 }
 
@@ -79,8 +80,8 @@
 	ErrGone = errors.New("worker: another incarnation")
 	// ErrNotDone means that the order had no effect.
 	ErrNotDone = errors.New("worker: not done")
-	// ErrDown means that nothing listens at the worker's address, so that the order
-	// had no effect: the worker has crashed or is unreachable.
+	// ErrDown means that nothing listens at the worker's address, so that the
+	// order had no effect: the worker is not running.
 	ErrDown = fmt.Errorf("nothing listens at the worker's address: %w", ErrNotDone)
 	// ErrUnknown means that the effect is not known and may come later.
 	ErrUnknown = errors.New("worker: outcome unknown")
--- a/infra/workload_test.go
+++ b/infra/workload_test.go
@@ -39,7 +39,7 @@
 
 var secret = []byte("a secret of the test's processes")
 
-// listen serves a node's RPC on loopback and returns its address and server.
+// listen returns a loopback listener and an RPC server for one node.
 func (d *deployment) listen() (net.Listener, *wire.Server) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +117,7 @@
 	return answer.StatusCode, string(text)
 }
 
-// sendUntil repeats a request until its answer has the status.
+// sendUntil repeats a request for up to 20 s until its answer has the status.
 func (d *deployment) sendUntil(status int, method, path, key, idempotency, body string) string {
 	d.t.Helper()
 	got, text := 0, ""
@@ -154,7 +154,7 @@
 }
 
 // Measures the store operations of each kind of request. An idempotent call
-// must need no store operation, or urgent checks fail while the store is down.
+// must need no operation on call rows, or it fails while the store is down.
 func TestStoreOperationsOfEachRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
