--- a/backend/announce.go
+++ b/backend/announce.go
@@ -16,7 +16,6 @@
 // maxAnswer bounds an answer of the agent in bytes.
 const maxAnswer = 4 << 20
 
-// errRefused says that the agent did not accept an announcement.
 var errRefused = errors.New("backend: announcement refused")
 
 // Run announces the server until ctx ends. It repeats a failed announcement
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -8,8 +8,8 @@
 	"persimmonrock.example/structs"
 )
 
-// maxVoid bounds the number of stored void requests, which are refused if they
-// arrive later.
+// maxVoid bounds the stored void requests, which are refused if they arrive
+// later; the oldest are dropped.
 const maxVoid = 16384
 
 // GuardCounters are the counters of a guard: requests that ended, and refused
@@ -50,7 +50,7 @@
 }
 
 // NewGuard returns a guard of a server process with the given incarnation and
-// number of slots. It refuses all requests until an agent has answered.
+// number of slots. The guard refuses all requests until an agent has answered.
 func NewGuard(incarnation uint64, slots int) *Guard {
 	return &Guard{
 		slots: slots, incarnation: incarnation,
@@ -119,10 +119,11 @@
 }
 
 // CarryOut fences earlier agents and stores the void requests, atomically for
-// Begin and Fill. It reports whether the agent's incarnation is new. The next
-// announcement is then due at once, since a new agent admits no request before
+// Begin and Fill. It reports whether the agent's incarnation is new. If so, the
+// next announcement is due at once, since a new agent admits no request before
 // it. CarryOut ignores the answer of an earlier agent, of another agent with
-// the accepted incarnation, and an answer with a lower number than the last.
+// the accepted incarnation, and an answer with a lower number than the last one
+// carried out.
 func (g *Guard) CarryOut(a Answer) (newAgent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,9 +155,9 @@
 }
 
 // Supersede raises the server's incarnation above known, the highest one that
-// the agent has observed. It does so only if the agent has accepted no
-// announcement, since no request can then have been sent to this process. It
-// reports whether the incarnation changed.
+// the agent has observed. It does so only if known is not lower and the agent
+// has accepted no announcement, since no request can then have been sent to
+// this process. It reports whether the incarnation changed.
 func (g *Guard) Supersede(known uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -8,11 +8,11 @@
 	HeaderRequest = "Persimmonrock-Request"
 	// HeaderAgent carries the agent's incarnation.
 	HeaderAgent = "Persimmonrock-Agent-Incarnation"
-	// HeaderBackend carries the incarnation of the server to which it is sent.
+	// HeaderBackend carries the incarnation of the server that is addressed.
 	HeaderBackend = "Persimmonrock-Backend-Incarnation"
 	// HeaderCustomer carries the customer for which the request runs.
 	HeaderCustomer = "Persimmonrock-Customer"
-	// HeaderRefused is set on a refusal by the server's guard, to a Refusal.
+	// HeaderRefused carries the Refusal of a request that the guard refused.
 	HeaderRefused = "Persimmonrock-Refused"
 )
 
@@ -22,14 +22,14 @@
 // The guard's refusals. All but RefusedActive prove that this request has not
 // run and never will on this server.
 const (
-	// RefusedFenced: the request comes from, or was sent to, an incarnation
-	// other than the current one.
+	// RefusedFenced: the request has no ID, or not the current incarnations of
+	// agent and server.
 	RefusedFenced Refusal = "fenced"
 	// RefusedVoid: the agent has declared the request void before it arrived.
 	RefusedVoid Refusal = "void"
 	// RefusedActive: a request with this ID runs already.
 	RefusedActive Refusal = "active"
-	// RefusedLeaving: the server is leaving.
+	// RefusedLeaving: the server accepts no new requests before its stop.
 	RefusedLeaving Refusal = "leaving"
 	// RefusedFull: all slots are in use.
 	RefusedFull Refusal = "full"
--- a/backend/server.go
+++ b/backend/server.go
@@ -55,7 +55,7 @@
 
 // Server guards a handler. Use it as the handler of the user's http.Server.
 type Server struct {
-	// Guard may be read at any time.
+	// Guard may be used at any time.
 	Guard    *Guard
 	Counters Counters
 	config   Config
