--- a/report/comparison/plot.go
+++ b/report/comparison/plot.go
@@ -19,7 +19,7 @@
 	boxWidth    = 1 * vg.Centimeter
 )
 
-// panel is one box plot, with a box over all seeds for each policy.
+// panel is one box plot of a metric; each policy has a box over all seeds.
 type panel struct {
 	title, unit, metric string
 }
--- a/report/comparison/run.go
+++ b/report/comparison/run.go
@@ -25,7 +25,6 @@
 	Docs string
 }
 
-// policyBuilder makes a policy for a fleet.
 type policyBuilder func(instances int, contracts map[structs.Customer]structs.Contract) policy.Policy
 
 type contender struct {
--- a/report/comparison/table.go
+++ b/report/comparison/table.go
@@ -92,7 +92,7 @@
 	return slices.Max(vs)
 }
 
-// table returns a Markdown table of the median and, in brackets, the worst seed.
+// table returns a Markdown table of each metric's median and worst value.
 func table(all []seedResults) string {
 	var b strings.Builder
 	b.WriteString("| figure: median (worst) |")
--- a/report/comparison/write.go
+++ b/report/comparison/write.go
@@ -9,8 +9,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Run simulates all seeds, writes the table into MEASUREMENTS.md and the plots
-// into the directory plots beside it, and returns the table.
+// Run simulates all seeds and returns the table. If o.Docs is set, it also
+// writes the table into MEASUREMENTS.md there and the plots into the directory
+// plots.
 func Run(o Options) (string, error) {
 	all := runAll(o)
 	out := fmt.Sprintf("%d seeds (1 to %d), %s of virtual time each, load %.1f.\n\n%s",
--- a/report/doc.go
+++ b/report/doc.go
@@ -1,2 +1,2 @@
-// Package report is described in docs/ARCHITECTURE.md.
+// Package report holds the comparison of policies in its subpackages.
 package report
