--- a/ops/breakdown/breakdown.go
+++ b/ops/breakdown/breakdown.go
@@ -69,14 +69,14 @@
 	// Unfinished, Failed and Cancelled count the other jobs by state.
 	Unfinished, Failed, Cancelled int
 	// OverTarget is the time, in seconds, for which serving tasks exceeded
-	// their targets. OverTargetFilled is the part of this time with filling
-	// work beside them.
+	// their targets. OverTargetFilled is the part of it with filling work
+	// beside these tasks.
 	OverTarget, OverTargetFilled float64
 	// LeftOut counts the lines that processes left out of their logs, by
 	// message; the other figures lack these lines.
 	LeftOut map[string]int
-	// Unaligned lists the processes placed by their wall clocks, since events
-	// link them to others on one side at most.
+	// Unaligned lists the processes whose lines are placed by their wall
+	// clocks, since events bound their clocks on one side at most.
 	Unaligned []string
 }
 
@@ -147,8 +147,8 @@
 }
 
 // addCriticalPath adds the time of j, following the slowest tasks back from its
-// end. Each step back moves to before the task's own end, even if the task's
-// placement has a later time, so that each task is visited at most once.
+// end. Each iteration continues before the end of the task just added, even if
+// its placement has a later time, so that no task is visited twice.
 func (h *history) addCriticalPath(j *job, s *Sum) {
 	before := math.Inf(1)
 	for {
@@ -176,8 +176,8 @@
 	return last
 }
 
-// firstPlaced returns the first placement time in the log, or the start of the
-// last run if a killed process lost its last lines.
+// firstPlaced returns the first placement time in the log. If a killed process
+// lost these lines, it returns the start of the last run.
 func (t *task) firstPlaced() float64 {
 	for _, r := range t.runs {
 		if r.placed > 0 {
@@ -246,7 +246,7 @@
 	return sum
 }
 
-// medianWork returns the median useful working time of a step's tasks.
+// medianWork returns the median useful work of a step's finished tasks.
 func (h *history) medianWork(j *job, step int) float64 {
 	var all []float64
 	for _, t := range j.tasks {
--- a/ops/breakdown/doc.go
+++ b/ops/breakdown/doc.go
@@ -1,5 +1,5 @@
-// Package breakdown attributes the time of jobs that end by themselves to
-// causes, from the logs of all processes.
+// Package breakdown reads the logs of all processes and attributes the time of
+// completed jobs with filling work to causes.
 //
 // A job is as slow as the slowest task of each of its steps. Its time from
 // becoming known to its end is therefore followed back along these tasks, and
--- a/ops/breakdown/jobs.go
+++ b/ops/breakdown/jobs.go
@@ -159,8 +159,8 @@
 	return r
 }
 
-// addRunEvent adds a start or an end. The scheduler logs only the ends that do
-// not advance a step; agents log all ends.
+// addRunEvent adds a run's start or end. The scheduler logs only the ends that
+// do not advance a step; agents log all ends.
 func (h *history) addRunEvent(l *line) {
 	r := h.run(l.Run)
 	if r == nil {
--- a/ops/breakdown/read.go
+++ b/ops/breakdown/read.go
@@ -29,10 +29,10 @@
 	Filled    bool    `json:"filled"`
 	// Checkpoint reports whether the run left a checkpoint at its end.
 	Checkpoint bool `json:"checkpoint"`
-	// Ran is set only in a scheduler's line about an end.
+	// Ran is set only in a scheduler's line about a run's end.
 	Ran *float64 `json:"ran"`
-	// Placements, with Occurrence and Step, are those of a job's step; see
-	// logs.PlacedRun.
+	// Placements lists the placed runs of the step that Occurrence and Step
+	// name; see logs.PlacedRun.
 	Occurrence int      `json:"occurrence"`
 	Step       int      `json:"step"`
 	Placements []string `json:"placements"`
--- a/ops/events/merge.go
+++ b/ops/events/merge.go
@@ -39,9 +39,9 @@
 const maxIDLength = 10
 
 // WriteText prints events as a table of lines up to LineWidth characters, in
-// the given order, that of the logical clock. Wall clock times are shown only
-// for readers. A request or job that all events belong to is named once, above
-// the table.
+// the given order, that of the logical clock. Wall clock times are only
+// printed. A request or job that all events belong to is named once, above the
+// table.
 func WriteText(w io.Writer, events []structs.Event) error {
 	out := bufio.NewWriter(w)
 	common := commonIDs(events)
--- a/ops/events/ring.go
+++ b/ops/events/ring.go
@@ -1,6 +1,6 @@
 // Package events keeps a process's part of the time line: a bounded ring of
-// typed events under a Lamport clock. It also merges and prints the parts of
-// many processes.
+// typed events, stamped by a Lamport clock. It also merges and prints the parts
+// of many processes.
 package events
 
 import (
--- a/ops/keys/keys.go
+++ b/ops/keys/keys.go
@@ -35,8 +35,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Match reports whether key has one of hashes. It always compares all hashes,
-// so that a caller can't learn from response times how close a guess was.
+// Match reports whether the hash of key is one of hashes. It always compares
+// all hashes, so that a caller can't learn from response times how close a
+// guess was.
 func Match(hashes []string, key string) bool {
 	given := []byte(Hash(key))
 	found := 0
--- a/ops/logs/limit.go
+++ b/ops/logs/limit.go
@@ -23,9 +23,9 @@
 	PerSecond int
 	// Now returns the time; nil means time.Now.
 	Now func() time.Time
-	// OnLeftOut, if set, is called after each second in which lines were left
-	// out, with the number of such lines by message. It must not log through the
-	// limited logger.
+	// OnLeftOut, if set, is called at the first line after a second in which
+	// lines were left out, with their number by message. It must not log
+	// through the limited logger.
 	OnLeftOut func(leftOut map[string]int)
 
 	mu      sync.Mutex
@@ -64,8 +64,9 @@
 	}
 }
 
-// admit counts a line and reports whether it may be written. report counts the
-// lines left out, by message, if this line is the first after their second.
+// admit counts a line and reports whether it may be written. report counts by
+// message the lines left out in an earlier second, if this line is the first
+// after it.
 func (l *Limit) admit(level zerolog.Level, message string) (pass bool, report map[string]int) {
 	now := time.Now
 	if l.Now != nil {
--- a/ops/logs/limit_test.go
+++ b/ops/logs/limit_test.go
@@ -10,8 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// At ten times the limit, no more lines than the limit are written, decisions
-// don't crowd out warnings, and the lines left out are counted.
+// At ten times the limit, no more lines than the limit are written, lines below
+// the warning level don't crowd out warnings, and the lines left out are
+// counted.
 func TestLimitBoundsLinesPerSecond(t *testing.T) {
 	now := time.Unix(100, 0)
 	l := &Limit{PerSecond: 50, Now: func() time.Time { return now }}
--- a/ops/logtime/logtime.go
+++ b/ops/logtime/logtime.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// reference returns the process not placed yet that shares events with most
-// others, or -1.
+// reference returns the unplaced process that shares events with most others,
+// or -1.
 func (l *Log) reference(bounds []map[int]bound, placed []bool) int {
 	best := -1
 	for i := range placed {
@@ -220,9 +220,9 @@
 	return best
 }
 
-// alignWith places first by its wall clock, then the processes that events link
-// to it, those with the narrowest bounds first. It returns the number of linked
-// processes.
+// alignWith places the process first by its wall clock and then the processes
+// that events link to it, by increasing width of their bounds. It returns the
+// number of linked processes.
 func (a *Axis) alignWith(first int, bounds []map[int]bound, placed []bool) int {
 	placed[first] = true
 	tree := []int{first}
--- a/ops/serve/guard.go
+++ b/ops/serve/guard.go
@@ -10,7 +10,7 @@
 	"persimmonrock.example/structs"
 )
 
-// guard applies the server's limits to each request for next.
+// guard returns a handler that passes requests to next within the limits.
 func (s *Server) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
@@ -30,8 +30,8 @@
 	})
 }
 
-// recoverPanic responds for a handler that panicked. net/http would cut the
-// connection, which a caller can't distinguish from a crash of the process.
+// recoverPanic responds for a handler that panicked before its response.
+// net/http would cut the connection, which callers can't tell from a crash.
 func (s *Server) recoverPanic(w *limitedResponse, r *http.Request) {
 	cause := recover()
 	if cause == nil {
--- a/ops/serve/stop.go
+++ b/ops/serve/stop.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxLinger bounds the time that a planned stop waits for connections
-	// without a request in progress.
+	// maxLinger bounds the time for which a planned stop waits for idle
+	// connections to close.
 	maxLinger = 2 * time.Second
 	// lingerPoll is the interval at which the stop checks for open connections.
 	lingerPoll = 10 * time.Millisecond
@@ -68,7 +68,6 @@
 	}
 }
 
-// closed reports whether a planned stop has closed the listeners.
 func (s *Server) closed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ops/settings/entry.go
+++ b/ops/settings/entry.go
@@ -17,8 +17,9 @@
 	Timeout structs.Duration `json:"timeout"`
 }
 
-// minCallRetention exceeds the longest call (1 h) plus the longest write of its
-// end (40 min), so that no record is deleted while its call may still run.
+// minCallRetention exceeds the longest call (1 h) plus the longest time to
+// write its end (40 min), so that no record is deleted while its call may still
+// run.
 const minCallRetention = 2 * time.Hour
 
 // Entry holds the settings of one entry process.
