--- a/sessions/machines/agent.go
+++ b/sessions/machines/agent.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// StopWorker announces the end of the worker to the agent and then ends it.
+// StopWorker announces the end of the worker to the running agent, if any, and
+// ends the worker.
 func (a *Agent) StopWorker() {
 	a.mu.Lock()
 	worker, r := a.worker, a.runner
--- a/sessions/machines/client.go
+++ b/sessions/machines/client.go
@@ -10,7 +10,8 @@
 )
 
 // Jobs is the interface of an entry for clients. Its methods return errors of
-// package workload; after any other error the outcome of the call is unknown.
+// package workload. After ErrUndecided or any other error, the outcome of the
+// call is unknown.
 type Jobs interface {
 	Submit(ctx context.Context, q workload.Queue, j workload.Job) error
 	State(ctx context.Context, q workload.Queue, id workload.JobID) (workload.State, error)
@@ -78,7 +79,8 @@
 	return c.entry(c.next)
 }
 
-// State reads a job's state, repeating until an entry answers.
+// State reads a job's state, repeating until an entry answers; "" means that
+// the job is unknown.
 func (c *Client) State(id workload.JobID) workload.State {
 	for {
 		service := c.service()
--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -32,8 +32,9 @@
 	return &workload.Config{Version: row.Version, Queues: []workload.Queue{q}}, nil
 }
 
-// Configure confirms a version of the configuration with size bytes of padding.
-// The operator's write succeeds whatever faults the store has.
+// Configure writes a version of the configuration with size bytes of padding.
+// The write succeeds whatever faults the store has; the version then counts as
+// confirmed.
 func (sim *Simulation) Configure(version uint64, size int) {
 	value, err := json.Marshal(configRow{Version: version, Filler: strings.Repeat("x", size)})
 	must(err)
@@ -53,7 +54,7 @@
 
 const (
 	// configApplyBound is the time within which a confirmed version must be in
-	// force at each reachable machine; it is the users' strictest bound.
+	// force at each reachable entry; it is the users' strictest bound.
 	configApplyBound = 2 * time.Second
 	// configPollInterval is the time between two checks of the served versions.
 	configPollInterval = 20 * time.Millisecond
@@ -77,13 +78,13 @@
 type observedConfig struct {
 	process *entryProcess
 	// calm is the time since which no fault has disturbed the entry; zero
-	// during a fault.
+	// during a fault or while the entry is down.
 	calm time.Time
 	// served is the version that this process served at the last check,
 	// servedSince the time of the check that first found it.
 	served      uint64
 	servedSince time.Time
-	// late marks an entry that was reported for serving too old a version.
+	// late is set while the entry's version is too old, once this is reported.
 	late bool
 }
 
@@ -108,7 +109,7 @@
 }
 
 // checkConfig checks that an entry serves no older version than before and,
-// while reachable, none older than the required one.
+// once reachable for contactTime, none older than requiredVersion.
 func (sim *Simulation) checkConfig(e *Entry) {
 	p := e.current()
 	calm := p != nil && !sim.isCut(e.Node) && !sim.isHidden(e.Node) && sim.Store.FaultFree(e.Node)
@@ -165,7 +166,8 @@
 	return 0
 }
 
-// requiredVersion returns the newest version that must be in force everywhere.
+// requiredVersion returns the newest readable version that was confirmed more
+// than configApplyBound ago.
 func (c *configWatch) requiredVersion(now time.Time) uint64 {
 	newest := uint64(0)
 	for _, v := range c.confirmed[c.overwritten:] {
@@ -193,8 +195,8 @@
 	return latest, true
 }
 
-// awaitConfig waits until all entries serve a version and returns how long
-// after from the last entry began to serve it.
+// awaitConfig waits until all entries serve a version and returns the time
+// between from and the last entry's change to it.
 func (sim *Simulation) awaitConfig(version uint64, from time.Time, within time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), from.Add(within))
 	defer cancel()
--- a/sessions/machines/crash.go
+++ b/sessions/machines/crash.go
@@ -47,7 +47,7 @@
 	w.running = map[workload.RunID]*activeRun{}
 }
 
-// endBroken ends a member of a gang that has lost another member.
+// endBroken ends a run whose gang has lost another member.
 func (w *Worker) endBroken(run workload.RunID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/sessions/machines/drain_test.go
+++ b/sessions/machines/drain_test.go
@@ -37,9 +37,9 @@
 	return n
 }
 
-// Guards against tasks that still start in a drained data centre, lasting tasks
-// that stay there, and a data centre that stays empty after its drain is
-// revoked.
+// Guards against tasks that start in a data centre later than drainStartBound
+// after its drain, lasting tasks that stay there, and a data centre that stays
+// empty after its drain is revoked.
 func TestNothingStartsInDrainedDataCentre(t *testing.T) {
 	simulate(t, Options{Entries: 3, Machines: 9, DataCentres: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 9))
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -313,9 +313,9 @@
 	})
 }
 
-// Half of all start orders get no answer, and are executed seconds later or not
-// at all. Each must be repeated soon, so that jobs are hardly delayed. An order
-// executed late finds its run started or ended, and has no effect.
+// Half of all start orders get no answer and arrive 2 to 12 s late. Each must
+// be repeated soon, so that jobs are hardly delayed. A late order has no
+// effect: its run has started or ended, or its lease has expired.
 func TestLostStartsAreRepeatedSoon(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 4}, func(t *testing.T, sim *Simulation, c *Client) {
 		for _, a := range sim.Agents() {
--- a/sessions/machines/logs_test.go
+++ b/sessions/machines/logs_test.go
@@ -85,9 +85,8 @@
 // 840 tasks per second start on a fleet, a worker crashes during some of the
 // runs, and each process may log 500 lines per second. Guards against a
 // scheduler that writes two lines for each task: most are dropped, and an
-// engineer can't tell from the log why a job was late. The log must cover every
-// job from its first line to its last, and every run from its placement to its
-// end.
+// engineer can't tell from the log why a job was late. The log must hold the
+// first and the last line of every job and the placement of every started run.
 func TestLogsOfAFleetCoverEveryRun(t *testing.T) {
 	const (
 		lines   = 500
--- a/sessions/machines/power_test.go
+++ b/sessions/machines/power_test.go
@@ -89,10 +89,10 @@
 }
 
 // The strong machine that schedules becomes unreachable. Guards against a slow
-// takeover: jobs wait 2.4 s until the lease has been unchanged for long enough,
-// then for a weak machine that read it first, and then for its handover to a
-// strong machine. As the holder does not answer, another strong machine must
-// acquire the lease within 1.5 s.
+// takeover: jobs wait 2.4 s until the lease counts as expired, and then until
+// the weak machine that read the lease first hands it to a strong one. As the
+// holder does not answer, another strong machine must acquire the lease within
+// 1.5 s.
 func TestStrongMachineReplacesUnresponsiveScheduler(t *testing.T) {
 	opt := Options{Entries: 12, Machines: 4, Power: powers(3, 9)}
 	simulate(t, opt, func(t *testing.T, sim *Simulation, c *Client) {
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -125,12 +125,10 @@
 		s.Need.CPU = 500 + d.rng.IntN(3000)
 		s.Checkpointing = d.rng.IntN(2) == 0
 		if d.rng.IntN(4) == 0 {
-			s.Spread = 2
+			s.Spread = 2 // concurrent tasks per machine
 		}
 		s.Fills = d.rng.IntN(4) == 0
 	}
-	// A Spread of 2 limits a step's concurrent tasks to two per machine, not
-	// their total.
 	lasts := d.rng.IntN(8) == 0
 	if lasts {
 		j = lastingJob(n, 1+d.rng.IntN(3))
--- a/sessions/machines/rules.go
+++ b/sessions/machines/rules.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// stateShown records a state that a client was shown.
+// stateShown checks and records a state that a client was shown.
 func (r *Rules) stateShown(id workload.JobID, s workload.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sessions/machines/shrink_test.go
+++ b/sessions/machines/shrink_test.go
@@ -7,7 +7,6 @@
 	"persimmonrock.example/structs/workload"
 )
 
-// shrunkCapacity is the capacity of the worker after the shrink.
 var shrunkCapacity = workload.Resources{CPU: 4000, Memory: 16000}
 
 // Guards against a worker that is filled to its former capacity after its
--- a/sessions/machines/simulation.go
+++ b/sessions/machines/simulation.go
@@ -42,8 +42,8 @@
 	DataCentres int
 	// Capacity is the capacity of each worker.
 	Capacity workload.Resources
-	// RestartDelay is the time until a worker that was crashed by a run
-	// restarts; 0 means three seconds.
+	// RestartDelay is the delay before a worker restarts after a run has
+	// crashed it; 0 means three seconds.
 	RestartDelay time.Duration
 	// Outcome returns the behaviour of a run.
 	Outcome func(workload.RunID) Outcome
@@ -77,8 +77,8 @@
 	hidden       map[string]bool
 	incarnations int
 	closed       bool
-	// configs checks that entries serve the confirmed configurations; nil
-	// before the first one.
+	// configs checks that entries serve the confirmed configurations; nil until
+	// one is confirmed.
 	configs *configWatch
 }
 
--- a/sessions/machines/simulation_test.go
+++ b/sessions/machines/simulation_test.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// await fails the test if a job does not end in the state want in time.
+// await returns the time until a job ends. The test fails unless the job ends
+// in the state want in time.
 func await(t *testing.T, c *Client, id workload.JobID, want workload.State, within time.Duration) time.Duration {
 	t.Helper()
 	begun := time.Now()
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -41,7 +41,7 @@
 	stopTime = 200 * time.Millisecond
 	// longestLease is the longest lease that a worker grants.
 	longestLease = 10 * time.Second
-	// listedEnds is the maximum number of ends in one listing.
+	// listedEnds is the maximum number of ended runs in one listing.
 	listedEnds = 500
 )
 
@@ -54,7 +54,7 @@
 	info    workload.Worker
 	// onCrash is called after a run has crashed the worker; it may be nil.
 	onCrash func()
-	// clockRate is the rate of the worker's clock against true time, 0.98 to 1.
+	// clockRate is the rate of the worker's clock relative to true time.
 	clockRate float64
 	began     time.Time
 
@@ -83,8 +83,8 @@
 	ended            []workload.End
 	number           uint64
 	lastAcknowledged uint64
-	// lapsedEnds is the highest end number when a lease last expired. An
-	// acknowledgement of an end up to this number does not count.
+	// lapsedEnds is the highest end number when a lease last expired. The rules
+	// ignore acknowledgements of ends up to this number.
 	lapsedEnds uint64
 	changed    chan struct{}
 	// formerCapacities holds the capacity from before each change.
@@ -213,7 +213,8 @@
 }
 
 // receive simulates the delay of a call and returns an error if the call is
-// lost or refused. For a late order it calls do after 2 to 12 s.
+// lost, refused or meant for another incarnation. For a late order it calls do
+// after 2 to 12 s.
 func (w *Worker) receive(ctx context.Context, incarnation workload.WorkerID, order bool, do func()) error {
 	w.mu.Lock()
 	unanswered := w.unresponsive || !w.alive
@@ -327,7 +328,8 @@
 	})
 }
 
-// progress returns the share of the run's work that is done, in whole per cent.
+// progress returns the share of the run's work that is done, in per cent; 100
+// for a lasting run.
 func (x *activeRun) progress() int {
 	switch {
 	case x.lasting:
