--- a/sessions/inproc/cluster.go
+++ b/sessions/inproc/cluster.go
@@ -148,8 +148,8 @@
 	return e
 }
 
-// Do sends one request to the entry's HTTP interface. If the entry is killed or
-// frozen, Do returns status 0 when ctx ends.
+// Do sends one request to the entry's HTTP interface. The status is 0 if ctx
+// ends before the answer or the entry is killed.
 func (e *Entry) Do(ctx context.Context, method, path, key, body string, header ...string) Response {
 	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+key)
--- a/sessions/inproc/network.go
+++ b/sessions/inproc/network.go
@@ -1,7 +1,7 @@
 // Package inproc runs entries, agents and backend servers in one process. A
 // simulated network between them can be cut, delay messages and lose answers.
-// It uses no sockets, so that whole sessions run under testing/synctest and
-// give the same result each time.
+// It uses no sockets, so that whole sessions run under testing/synctest and,
+// but for the order of simultaneous events, give the same result each time.
 package inproc
 
 import (
@@ -25,8 +25,8 @@
 // Fault is a fault that the network injects into one message.
 type Fault int
 
-// The faults of a message. With LoseAnswer the receiver handles the message,
-// but its answer is lost; Late delays the message, too.
+// The faults of a message. With LoseAnswer and Late the receiver handles the
+// message, but the answer is lost; Late also delays the message.
 const (
 	Deliver Fault = iota
 	Unsent
@@ -68,8 +68,8 @@
 	}
 }
 
-// Script sets a function that chooses the fault of each message before Chance
-// applies; nil removes it.
+// Script sets a function that chooses the fault of each message; where it
+// returns Deliver, Chance applies. nil removes the function.
 func (n *Network) Script(f func(Message) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/sessions/inproc/web.go
+++ b/sessions/inproc/web.go
@@ -16,7 +16,7 @@
 // and a backend server.
 type WebFault int
 
-// The faults of an HTTP exchange. CutBody delivers half of the body.
+// The faults of an HTTP exchange. WebCutBody delivers half of the body.
 const (
 	WebDeliver WebFault = iota
 	WebRefuse
