--- a/sessions/soak/deployment_test.go
+++ b/sessions/soak/deployment_test.go
@@ -25,8 +25,8 @@
 	// address.
 	firstPort = 21700
 	heartbeat = 500 * time.Millisecond
-	// workerRestartDelay is the time until a worker that a run has crashed
-	// restarts.
+	// workerRestartDelay is the delay before a worker restarts after a run has
+	// crashed it.
 	workerRestartDelay = 1500 * time.Millisecond
 )
 
