--- a/sessions/golden_test.go
+++ b/sessions/golden_test.go
@@ -206,9 +206,10 @@
 	})
 }
 
-// A call that is not idempotent is lost before the agent, between agent and
-// backend server, and after admission. A refusal may say "not run" only if that
-// is certain, and the count of executions must agree.
+// A call that is not idempotent is not sent to the agent, is lost on the way,
+// loses its answer, or finds the backend server's port closed. A refusal may
+// say "not run" only if that is certain, and the count of executions must
+// agree.
 func TestGoldenAccurateRefusals(t *testing.T) {
 	runGolden(t, "g5-refusals", options{slots: 2}, func(s *transcript) {
 		for _, fault := range []inproc.Fault{inproc.Unsent, inproc.LoseRequest, inproc.LoseAnswer} {
@@ -231,9 +232,10 @@
 }
 
 // The answer to a call is lost, and the call is repeated under its idempotency
-// key through the other entry. A second call is sent during a store outage and
-// repeated afterwards. Neither may run twice. A call whose key can't be stored
-// is refused immediately with a Retry-After header.
+// key through the other entry. A second call is sent through an entry that
+// can't reach the store, and is repeated afterwards. Neither may run twice. A
+// call whose key can't be stored is refused immediately with a Retry-After
+// header.
 func TestGoldenClaimOnce(t *testing.T) {
 	runGolden(t, "g6-once", options{entries: 2, slots: 2}, func(s *transcript) {
 		s.Net.Script(func(m inproc.Message) inproc.Fault {
@@ -300,7 +302,7 @@
 // Two operators change one contract from the same revision: one change is
 // accepted, the other refused with the current revision. A third operator
 // repeats a change. Meanwhile the other entry is frozen; once resumed, it must
-// decide its first request under the newest contract.
+// answer its first request with the newest contract.
 func TestGoldenConfiguration(t *testing.T) {
 	runGolden(t, "g9-config", options{entries: 2, slots: 2}, func(s *transcript) {
 		path := "/v1/admin/contracts/kowhai"
--- a/sessions/planned_test.go
+++ b/sessions/planned_test.go
@@ -54,8 +54,8 @@
 }
 
 // plannedStep is one step of a planned session: requests, a fault and a pause.
-// Entry and Instance select the target of the fault, Span the duration of a
-// freeze.
+// Entry and Instance select the target of the fault, Entry also the entries of
+// the requests; Span is the duration of a freeze.
 type plannedStep struct {
 	Checks, Jobs    int
 	Keyed, Plain    []int
@@ -114,9 +114,9 @@
 }
 
 // Runs sessions like those of TestRandomisedFaults. Rapid draws requests,
-// faults and times beforehand, so that it can shrink a failing plan. It ends a
-// failed check by a panic, which can't leave a synctest bubble, so failures are
-// collected and reported after the bubble has ended.
+// faults and times beforehand, so that it can shrink a failing plan. Rapid ends
+// a failed check by a panic, which can't leave a synctest bubble, so failures
+// are collected and reported after the bubble has ended.
 func TestPlannedFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -19,7 +19,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Sizes of a randomised session.
+// Sizes of a randomised session; randomMaxPause is in milliseconds.
 const (
 	randomLease    = 20 * time.Second
 	randomSettle   = 4 * time.Minute
@@ -34,8 +34,8 @@
 // of all kinds occur at any moment: entries and agents are killed, frozen,
 // disconnected and stopped as planned; the store is down or slow, loses answers
 // and delays writes; messages and HTTP answers are lost or late. Afterwards
-// every answer must be true, no claim executed twice, no instance ever beyond
-// its slots, no task run in two places, and each job in one final state.
+// every answer must be correct, no claim executed twice, no instance ever
+// beyond its slots, no task run in two places, and each job in one final state.
 //
 // The seeds are fixed; -seed and -seeds select others. TestPlannedFaults runs
 // sessions that can be shrunk.
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestRegressionSeeds runs seeds that have found faults. Seed 5311: a start
-// order that was never sent was requeued while its repeat arrived, and the task
-// ran twice.
+// TestRegressionSeeds runs seeds that have found faults. Seed 5311: a task was
+// requeued because its start order was not sent, while a repeat of the order
+// arrived; the task ran twice.
 func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{5311} {
@@ -270,7 +270,7 @@
 	c.s.Net.Cut(e.Name, i.Agent.Name, c.draw(2) == 0)
 }
 
-// faultyStore is a store that fails in every way.
+// faultyStore makes a store fail in every way.
 var faultyStore = fault.Plan{
 	Down: 0.1, Timeout: 0.1, LoseAnswer: 0.15, Delay: 0.15, Slow: 0.3,
 	Latency: fault.Range{Max: 500 * time.Millisecond}, AnswerTimeout: fault.Exactly(time.Second), ApplyDelay: fault.Range{Max: 10 * time.Second},
@@ -355,7 +355,7 @@
 	}
 }
 
-// checkJob reports a job that is stuck or ran in two places.
+// checkJob reports a job that is not final and an epoch that ran twice.
 func (c *chaos) checkJob(id string) {
 	if j := c.s.job(id); !j.State.Final() {
 		c.t.Errorf("job %s is %q (%s) after all faults ended; GET returns %s", id, j.State, j.Reason, c.s.request(c.s.entries[0], "GET", "/v1/jobs/"+id, "").Body)
