--- a/cmd/machine/common.go
+++ b/cmd/machine/common.go
@@ -1,5 +1,5 @@
-// Package machine runs the entry and the agent on the users' machines: it
-// connects both to the clients of the users' platform.
+// Package machine runs the entry and the agent on the users' machines and
+// connects both to the users' platform.
 package machine
 
 import (
@@ -88,7 +88,6 @@
 	return net.JoinHostPort(p.settings.IP.String(), strconv.Itoa(p.settings.FirstPort))
 }
 
-// listen opens a TCP listener at address.
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	return l, eris.Wrapf(err, "listen on %s", address)
@@ -163,7 +162,7 @@
 		p.log.Error().Err(err).Msg("could not reload settings; former settings stay in force")
 		return
 	}
-	p.log.Info().Bool("changed", s != p.settings).Msg("settings reloaded")
+	p.log.Info().Bool("changed", s != p.settings).Msg("settings file read again; changes need a restart")
 }
 
 // bootTimeHook adds the boot-time clock to each line, in microseconds. This
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -25,11 +25,11 @@
 const (
 	// grantShare is the fraction of the maximum lease that a scheduler grants.
 	grantShare = 0.6
-	// lingerAfterStop is the time for which a stopping entry serves calls on
-	// open connections, while the balancer detects that the entry is not ready.
+	// lingerAfterStop is the time for which a stopping entry still serves
+	// calls, while the balancer detects that the entry is not ready.
 	lingerAfterStop = 1200 * time.Millisecond
-	// configTimeout bounds the wait for the store in one attempt to read the
-	// operator's rows. Further attempts run at the same time.
+	// configTimeout bounds the time without data from the store in one attempt
+	// to read the operator's rows. Further attempts run at the same time.
 	configTimeout = 10 * time.Second
 	// stopReserve is the last part of the grace period, left free before the
 	// process is killed.
@@ -99,8 +99,8 @@
 	return p.stopEntry(service, clients)
 }
 
-// stopEntry serves open connections for lingerAfterStop, then closes each one
-// that has no open call.
+// stopEntry keeps serving clients for lingerAfterStop, then closes their
+// connections as soon as these have no open call.
 func (p *program) stopEntry(service *intake.Service, clients *http.Server) error {
 	service.Stop()
 	p.log.Info().Msg("entry stopping")
