--- a/cmd/persimmonrock/commands.go
+++ b/cmd/persimmonrock/commands.go
@@ -14,7 +14,6 @@
 	run     func(ctx context.Context, args []string, stdout, stderr io.Writer) int
 }
 
-// commands lists the commands of the binary.
 func commands() []command {
 	return []command{
 		{"entry", "run an entry process", runEntry},
@@ -32,7 +31,7 @@
 	}
 }
 
-// group returns a command that runs one of members, named by its next word.
+// group returns a command that runs the member named by its next word.
 func group(name, summary string, members []spec) command {
 	return command{name, summary, func(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 		var list []command
--- a/cmd/persimmonrock/dev_test.go
+++ b/cmd/persimmonrock/dev_test.go
@@ -108,7 +108,6 @@
 	}
 }
 
-// makePrintedCall makes the printed call as a user would.
 func makePrintedCall(t *testing.T, authorization, body, url string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
--- a/cmd/persimmonrock/drains.go
+++ b/cmd/persimmonrock/drains.go
@@ -72,7 +72,6 @@
 	return nil
 }
 
-// readMetrics reads the metrics of one entry.
 func readMetrics(ctx context.Context, address string) (drainMetrics, error) {
 	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
--- a/cmd/persimmonrock/explain.go
+++ b/cmd/persimmonrock/explain.go
@@ -83,7 +83,6 @@
 	}
 }
 
-// runSummary prints a breakdown of the jobs' time.
 func runSummary(files []string, stdout, stderr io.Writer) int {
 	var all breakdown.Log
 	err := readLogs(files, all.Read)
--- a/cmd/persimmonrock/fake_test.go
+++ b/cmd/persimmonrock/fake_test.go
@@ -25,13 +25,14 @@
 	contracts map[string]structs.Contract
 	accepted  map[string]structs.Revision
 	revision  structs.Revision
-	// behind counts the reads for which the agent of instance-2 still has the
-	// old revision.
+	// behind is the number of further reads that show the old revision for the
+	// agent of instance-2.
 	behind int
-	// busy counts the reads for which an instance still has work.
+	// busy is the number of calls and of tasks in progress; most requests about
+	// instances and backends lower it.
 	busy  int
 	state []structs.JobState
-	// loseAnswer closes the connection after the next change took effect.
+	// loseAnswer closes the connection after the next change has taken effect.
 	loseAnswer bool
 	// race adds a revision of the contract before the next change is applied.
 	race bool
--- a/cmd/persimmonrock/session.go
+++ b/cmd/persimmonrock/session.go
@@ -250,7 +250,6 @@
 	return text
 }
 
-// printJSON writes v as indented JSON.
 func (s *session) printJSON(v any) error {
 	encoder := json.NewEncoder(s.stdout)
 	encoder.SetIndent("", "  ")
--- a/cmd/persimmonrock/timeline.go
+++ b/cmd/persimmonrock/timeline.go
@@ -67,8 +67,8 @@
 	return 0, d, nil
 }
 
-// newest returns the newest event and the events at most last before it, or all
-// events if last is 0. Its result is only as exact as the wall clocks.
+// newest returns the events older than the newest one by at most last, or all
+// events if last is 0. The result is only as exact as the wall clocks.
 func newest(list []structs.Event, last time.Duration) []structs.Event {
 	if last == 0 || len(list) == 0 {
 		return list
