--- a/cmd/node/agent.go
+++ b/cmd/node/agent.go
@@ -58,8 +58,8 @@
 // Serving returns the number of backend servers that calls are admitted to now.
 func (a *Agent) Serving() int { return a.agent.Serving() }
 
-// backendTransport keeps one idle connection for each slot, so that a call does
-// not wait for a new connection.
+// backendTransport keeps up to one idle connection per slot, so that a call
+// does not wait for a new connection.
 func backendTransport(slots int) *http.Transport {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
--- a/cmd/node/command.go
+++ b/cmd/node/command.go
@@ -82,7 +82,7 @@
 	return Platform{Table: remote.NewTable(table, client), Objects: remote.NewObjects(objects, client)}
 }
 
-// run starts a process and waits for its end.
+// run starts a process and stops it at SIGTERM or SIGINT.
 func run(ctx context.Context, log zerolog.Logger, start func() (Process, error)) int {
 	p, err := start()
 	if err != nil {
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -22,7 +22,7 @@
 )
 
 // Platform holds the clients of the platform's services that one process uses.
-// Only agents use Worker.
+// Only agents use Worker and AnnounceEvery.
 type Platform struct {
 	Table   infra.Table
 	Objects infra.Objects
@@ -134,8 +134,8 @@
 // RPCAddress returns the address at which the process serves its peers.
 func (c *common) RPCAddress() string { return c.sockets.rpc.Addr().String() }
 
-// Ended returns a channel that receives the error of a server or of background
-// work that failed.
+// Ended returns a channel that receives an error if the HTTP server or the
+// background work fails.
 func (c *common) Ended() <-chan error { return c.ended }
 
 // start starts the servers and the background work.
--- a/cmd/node/peers_test.go
+++ b/cmd/node/peers_test.go
@@ -22,7 +22,7 @@
 )
 
 // connectedAgents starts one entry and the given agents. It returns the agents
-// that the entry knows and can call, as soon as there are want of them or after
+// that the entry knows and can call, once their number is want, or after
 // connectTimeout.
 func connectedAgents(t *testing.T, entry settings.Peers, agents map[structs.InstanceID]settings.Peers, want int) map[structs.InstanceID]bool {
 	t.Helper()
@@ -97,9 +97,9 @@
 	}
 }
 
-// All processes know the secret, but one has no certificate and another has a
-// foreign authority's. Neither may connect, since messages between processes
-// must not cross the network in the clear.
+// All processes know the secret, but one agent has no certificate and another's
+// is signed by a foreign authority. Neither may connect, since messages between
+// processes must not cross the network in the clear.
 func TestPeersRequireTLS(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	peers := func(a *certs.Authority, name string) settings.Peers {
