--- a/cmd/internal/client/admin.go
+++ b/cmd/internal/client/admin.go
@@ -126,8 +126,8 @@
 	return out, err
 }
 
-// Events returns the merged events of all processes after a logical time, of
-// request r or job j if given.
+// Events returns the merged events of all processes after a logical time, only
+// those of request r or job j if given.
 func (c *Client) Events(ctx context.Context, r structs.RequestID, j structs.JobID, after uint64) (TimeLine, error) {
 	q := url.Values{}
 	if r != "" {
--- a/cmd/internal/client/client.go
+++ b/cmd/internal/client/client.go
@@ -22,8 +22,8 @@
 	// maxAnswer bounds the part of an answer that is read into memory, in
 	// bytes.
 	maxAnswer = 256 << 20
-	// maxAttempts and firstDelay bound the repeats of an idempotent request;
-	// the delay doubles with each repeat.
+	// maxAttempts bounds the attempts at an idempotent request. firstDelay
+	// precedes the second one and doubles with each further one.
 	maxAttempts = 3
 	firstDelay  = 200 * time.Millisecond
 )
--- a/cmd/internal/client/jobs.go
+++ b/cmd/internal/client/jobs.go
@@ -72,8 +72,8 @@
 }
 
 // Release puts a parked job back into the queue. It requires an operator's key.
-// It is sent once, because a repeat might release the job after it was parked
-// again.
+// The request is sent once, because a repeat might release the job after it was
+// parked again.
 func (c *Client) Release(ctx context.Context, customer structs.Customer, id structs.JobID) (Job, error) {
 	var out Job
 	path := adminPath + "/jobs/" + url.PathEscape(string(customer)) + "/" + url.PathEscape(string(id)) + "/release"
