--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -14,13 +14,13 @@
 	"persimmonrock.example/structs"
 )
 
-// Reports run on nine instances while each agent loses its links to the
-// entries, to the store, to both or to its worker. The links are cut, held, or
-// held for answers only. A report whose agent can't renew its lease must run
-// again elsewhere; a report whose agent lost only the entries must continue.
-// After the links are restored, each report must have one result, and none may
-// have run in two places at once (G2). An agent can't distinguish a cut link
-// from a slow one, and held messages arrive late.
+// Reports (batch tasks) run on nine instances while each agent loses its links
+// to the entries, to the store, to both or to its worker. The links are cut,
+// held, or held for answers only. A report whose agent can't renew its lease
+// must run again elsewhere; a report whose agent lost only the entries must
+// continue. After the links are restored, each report must have one result, and
+// none may have run in two places at once (G2). An agent can't distinguish a
+// cut link from a slow one, and held messages arrive late.
 func TestTasksOfDisconnectedAgentsRunOnce(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t)
@@ -96,8 +96,8 @@
 	return links
 }
 
-// checkAll reads the counts of broken invariants of the workers and of every
-// process that still runs.
+// checkAll checks that no runs overlapped and that the processes that still run
+// count no broken invariants.
 func (w *cluster) checkAll() {
 	w.t.Helper()
 	if n := w.registry.Violations(); n != 0 {
@@ -131,7 +131,7 @@
 const keptAnswers = 12
 
 // startClaims announces a service for lodging claims on one instance. Its calls
-// block until the backend server is released.
+// block until the test closes the server's release channel.
 func (w *cluster) startClaims(i *instance, slots int64) *claims {
 	c := &claims{cluster: w, server: newBlockingServer(slots), count: sample.NewSubmissions(), received: make(map[string][]response)}
 	c.announceClaims(i, c.server)
--- a/cmd/e2e/failure_test.go
+++ b/cmd/e2e/failure_test.go
@@ -195,7 +195,7 @@
 	w.checkInvariants(w.entries[1])
 }
 
-// checkInvariants reads the process's own counts of broken invariants.
+// checkInvariants checks that a process counts no broken invariants.
 func (w *cluster) checkInvariants(p *process) {
 	w.t.Helper()
 	r := w.do(p, "GET", "/debug/vars", w.operator, "")
--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -341,8 +341,8 @@
 	return r
 }
 
-// contract creates a contract for the customer and returns its key after every
-// entry has the contract.
+// contract creates a contract and returns the customer's key once every entry
+// has the contract.
 func (w *cluster) contract(customer string, share float64) string {
 	w.t.Helper()
 	key := keys.Generate()
--- a/cmd/e2e/measure_test.go
+++ b/cmd/e2e/measure_test.go
@@ -81,7 +81,8 @@
 	w.measureJobs(key)
 }
 
-// callsPerChange is the number of measured calls for each timed change.
+// callsPerChange is the divisor of -measure that gives the number of timed
+// changes.
 const callsPerChange = 100
 
 // Measures the time from an operator's change until every process of a
@@ -146,7 +147,8 @@
 	_, _ = io.Copy(io.Discard, answer.Body)
 }
 
-// measureKeyed counts the store's writes for keyed non-idempotent calls.
+// measureKeyed measures the time and the store operations of keyed calls that
+// are not idempotent.
 func (w *cluster) measureKeyed(key string) {
 	n := *measured / 3
 	h := newHistogram()
--- a/cmd/e2e/relay_test.go
+++ b/cmd/e2e/relay_test.go
@@ -30,8 +30,8 @@
 	linkAnswersHeld
 )
 
-// network holds the relays between the processes of one test, by the address
-// that each process announces to the others.
+// network relays connections between the processes of one test and applies the
+// states of their links. Processes announce the addresses of relays.
 type network struct {
 	t       *testing.T
 	mu      sync.Mutex
