--- a/entry/scheduler/advice.go
+++ b/entry/scheduler/advice.go
@@ -85,9 +85,9 @@
 	return lift
 }
 
-// queueAdviceRequest queues a request about the given workers that are not
-// denied and have capacity for the step: at most adviceWorkers, by most free
-// CPU.
+// queueAdviceRequest queues a request about those of the given candidates that
+// are not denied and have capacity for the step. If these are more than
+// adviceWorkers, it takes the ones with the most free CPU.
 func (t *Term) queueAdviceRequest(v *view, among []int, s *step, id policy.Step, now time.Time) {
 	a := s.advice
 	if a.pending || now.Before(a.retryAt) || t.deps.Policy == nil {
@@ -136,7 +136,7 @@
 	now := time.Now()
 	q.advice.pending = false
 	t.deps.Log.Info().Err(err).Str("job", string(q.step.Job)).Int("step", q.step.Step).Int("asked", len(q.workers)).
-		Int("permitted", len(answer.Tickets)).Dur("valid", answer.Valid).Msg("advice")
+		Int("permitted", len(answer.Tickets)).Dur("valid", answer.Valid).Msg("tickets requested from the policy service")
 	if err != nil || len(answer.Tickets) == 0 {
 		q.advice.retryAt = now.Add(adviceRetry)
 	}
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -19,9 +19,8 @@
 }
 
 // barPressed bars the workers whose Presses is set for a task of s, if another
-// worker is large enough for the task. It is better that the task waits for
-// that worker than that it runs very slowly and takes serving tasks over their
-// targets.
+// worker is large enough for the task. Otherwise the task would run very slowly
+// and take serving tasks over their targets; waiting is better.
 func (v *view) barPressed(s *workload.Step) {
 	first := len(v.barred)
 	others := false
--- a/entry/scheduler/commit.go
+++ b/entry/scheduler/commit.go
@@ -92,7 +92,7 @@
 	run  int
 }
 
-// collect plans, and encodes every changed job.
+// collect makes a plan and encodes every changed job.
 func (t *Term) collect() round {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -260,8 +260,8 @@
 	}
 }
 
-// release releases the lease, so that another entry can take over at once: for
-// successorWait only the successor, if there is one.
+// release releases the lease, so that another entry can take over at once. If
+// there is a successor, no other entry may take the lease for successorWait.
 func (t *Term) release(ctx context.Context) {
 	lease := t.lease
 	lease.Count++
--- a/entry/scheduler/crash.go
+++ b/entry/scheduler/crash.go
@@ -16,8 +16,8 @@
 // next crash.
 
 const (
-	// crashesToFail is the number of certain crashes after which a task's job is
-	// failed: the task was on the worker, and no other job can be the cause.
+	// crashesToFail is the number of certain crashes (the task was on the worker,
+	// and no other job can be the cause) after which the task's job is failed.
 	crashesToFail = 2
 	// quickCrashesToFail is the same for consecutive crashes within moments of the
 	// task's start, of which only the last must be certain.
@@ -111,8 +111,8 @@
 		t.deps.Log.Info().Stringer("run", s.run).Str("worker", string(w.id)).Int("crashes", s.task.crashes).Bool("begun", s.begun).Bool("soon", s.soon).
 			Msg("run may have crashed its worker")
 	}
-	// Kept, since a worker lost as unreachable is lost again, as crashed, when its
-	// incarnation ends.
+	// The suspects are kept: a worker that became unreachable is removed again, as
+	// crashed, when its incarnation ends.
 	w.suspects = append(w.suspects, suspects...)
 	if loss.crashed {
 		t.countCertainCrash(w.suspects)
--- a/entry/scheduler/elector.go
+++ b/entry/scheduler/elector.go
@@ -29,8 +29,8 @@
 	// only waits for a slow store answers.
 	unansweredAfter = time.Second
 	// readsPerTxn is the longest duration of a transaction divided by a read's.
-	// The lease of a holder that does not answer must be unchanged for that many
-	// reads more.
+	// The lease of a holder that does not answer must also stay unchanged for the
+	// duration of a transaction beyond unansweredAfter.
 	readsPerTxn = 4
 	// pingTimeout bounds a request to the holder, minPingTimeout one that is sent
 	// shortly before unansweredAfter has passed.
@@ -71,11 +71,11 @@
 // watch holds an elector's observations of the lease.
 type watch struct {
 	version uint64
-	// versionSince is when version was first read since the last gap of
-	// maxReadGap, lastRead when the lease was last read.
+	// versionSince is when version was first read; lastRead is the latest read.
+	// After maxReadGap without a read, versionSince and watchedSince start anew.
 	versionSince time.Duration
 	lastRead     time.Duration
-	// watchedSince is when the lease was first read since the last such gap.
+	// watchedSince is when the lease was first read.
 	// requestedAt is when this entry last requested the lease, successorUntil the
 	// latest time at which the release of the lease is expected.
 	watchedSince   time.Duration
--- a/entry/scheduler/health.go
+++ b/entry/scheduler/health.go
@@ -108,7 +108,7 @@
 // mustAvoid reports whether a task that failed on candidate avoid at failedAt
 // must not run there yet: avoidFor has not passed, no success shows that the
 // worker has recovered, and another worker could take the task, now or later.
-// Lasting tasks may.
+// A lasting task may always run there.
 func (v *view) mustAvoid(s *workload.Step, avoid int, failedAt time.Duration) bool {
 	if avoid < 0 || s.Lasting || v.now >= failedAt+avoidFor || !v.workers[avoid].health.recentlyFailed(v.now) {
 		return false
--- a/entry/scheduler/learner.go
+++ b/entry/scheduler/learner.go
@@ -234,7 +234,7 @@
 		extra := own.Value * float64(s.Need.CPU) / float64(w.info.Capacity.CPU)
 		presses = presses || own.Known && extra > pressingExtra
 		if extra >= harmlessExtra {
-			// A task that does not press adds nothing, whatever others add.
+			// The load of other filling tasks counts only if this task presses.
 			extra += p.load[i]
 		}
 		worst = max(worst, extra)
--- a/entry/scheduler/leftover.go
+++ b/entry/scheduler/leftover.go
@@ -53,8 +53,8 @@
 }
 
 // leftover is the reserved CPU of w that filling work may use: the CPU that the
-// other tasks leave unused, bounded so that the sum with the free CPU stays
-// within fillLimit of each serving task.
+// other tasks leave unused. A result above 0 plus the free CPU is at most the
+// fillLimit of each serving task with a known load.
 //
 // A fixed share would leave processors idle while serving tasks have little
 // load, and take these tasks over their targets when they have much.
@@ -83,8 +83,9 @@
 	return int(max(0, left))
 }
 
-// fillLimit is the share of a worker that non-pressing filling work may use
-// until a serving task with this own load reaches its target.
+// fillLimit is the share of a worker that filling work may use until a serving
+// task with this own load reaches its target. The work is assumed to have the
+// weight of pairs that are known not to press (pressure.Model.Light).
 func (l *learner) fillLimit(v reservation, load float64) float64 {
 	// Tails are in milliseconds.
 	most := 1 - l.baseTails[v.image]/(1000*v.target.Seconds())
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		t.mu.Lock()
-		// Set before apply, which clears sentOrder if another process answers.
+		// sentOrder is set before apply, which clears it if another process answers.
 		if len(args.Order) > 0 && reply.Refused == "" {
 			l.sentOrder = args.Order
 		}
--- a/entry/scheduler/load.go
+++ b/entry/scheduler/load.go
@@ -51,7 +51,7 @@
 		before[workload.JobID(row.Key.Key)] = true
 	}
 	t.loaded = true
-	// Earlier schedulers have logged jobs with progress, hundreds in a fleet.
+	// Jobs with progress, hundreds in a fleet, were logged by earlier schedulers.
 	for _, j := range t.active {
 		if !before[j.spec.ID] {
 			t.logKnown(j)
--- a/entry/scheduler/quarantine.go
+++ b/entry/scheduler/quarantine.go
@@ -26,7 +26,7 @@
 	// quarantineShare is the share of a service's workers, one at least, that may
 	// be in quarantine at the same time.
 	quarantineShare = 1.0 / 4
-	// assumedProvenAfter is the age from which another job's run counts as proven.
+	// assumedProvenAfter is the age at which another job's run counts as harmless.
 	assumedProvenAfter = 1300 * time.Millisecond
 )
 
--- a/entry/scheduler/regroup.go
+++ b/entry/scheduler/regroup.go
@@ -21,8 +21,8 @@
 	pinFor = 4 * time.Second
 )
 
-// scaleUnit is the number of workers for which one move of a serving task per
-// check, and a few of filling tasks, keep up with learning. If one bound held
+// scaleUnit is the number of workers in a fleet for which moving one serving task
+// and a few filling tasks per check keeps up with learning. If one bound held
 // for a fleet of any size, serving tasks of a larger fleet would stay longer
 // beside work that presses on them.
 const scaleUnit = 20
@@ -72,8 +72,8 @@
 	return d
 }
 
-// servingTasks lists the placed serving tasks, in the same order in tasks and
-// found, and counts the tasks for which capacity is held.
+// servingTasks lists the placed serving tasks, and counts the tasks for which
+// capacity is held. tasks and found have the same order.
 func (t *Term) servingTasks(v *view) (tasks []pressure.Task, found []movable, moving int) {
 	now := time.Now()
 	steps := map[*step]int{}
@@ -123,7 +123,7 @@
 	return true
 }
 
-// barredFor returns the workers that may not take a task, whatever is free.
+// barredFor returns the workers that may not take a task even if it fits there.
 func (v *view) barredFor(j *job, s *step, k *task) map[int]bool {
 	barred := map[int]bool{}
 	on := map[workload.WorkerID]int{}
--- a/entry/scheduler/relocate.go
+++ b/entry/scheduler/relocate.go
@@ -20,10 +20,10 @@
 	relocatePerTask = 2
 )
 
-// relocate stops checkpointing filling runs that press on serving tasks, and so
-// hardly progress, if another worker has capacity and they would not press
-// there. Their tasks resume from the checkpoint there. Overdue jobs are left
-// alone. The caller has placed all tasks that it could.
+// relocate stops filling runs that press on serving tasks, and so hardly
+// progress, if they would not press on another worker that has capacity. Their
+// tasks resume there from a checkpoint; runs without checkpoints and overdue jobs
+// are left alone. The caller has placed all tasks that it could.
 func (t *Term) relocate(v *view) {
 	if v.now-t.lastRelocate < relocateEvery {
 		return
@@ -77,7 +77,7 @@
 		t.deps.Counters.Relocated.Add(1)
 		id := workload.TaskID{Job: j.spec.ID, Occurrence: o.number, Step: si, Index: i}
 		t.deps.Log.Info().Stringer("run", workload.RunID{Task: id, Run: k.run}).Str("from", string(k.worker)).
-			Str("room", string(v.workers[n].id)).Msg("relocate")
+			Str("room", string(v.workers[n].id)).Msg("filling task stopped to be relocated")
 		t.stop(id, k)
 	}
 	return moved
--- a/entry/scheduler/worker.go
+++ b/entry/scheduler/worker.go
@@ -27,8 +27,8 @@
 	used workload.Resources
 	// lasting is the part of used that lasting tasks reserve.
 	lasting workload.Resources
-	// fillLoad is the CPU of filling runs, serving the number of runs with a
-	// target for their tail latency.
+	// fillLoad is the CPU of filling runs; serving counts the runs with a target
+	// for their tail latency.
 	fillLoad int
 	serving  int
 	// fills sums the CPU of filling runs by image, images counts the serving runs
