--- a/decide/quota.go
+++ b/decide/quota.go
@@ -59,8 +59,8 @@
 
 // SlotUse is the use of slots by one customer on an instance.
 //
-// One row may have no customer. Its Urgent and Expected are those of all urgent
-// calls of the instance together. Customers' peaks seldom coincide, so this common
+// One element of a list may have no customer. Its Urgent and Expected are those of
+// all urgent calls of the instance. Customers' peaks seldom coincide, so this common
 // peak is a far better bound of the slots to keep free than the sum of the peaks.
 type SlotUse struct {
 	Customer structs.Customer
@@ -81,16 +81,16 @@
 
 func (u *SlotUse) held() int { return u.Urgent + u.Batch }
 
-// reserved returns the number of slots that must stay free for u: those that its
-// urgent calls are expected to need beyond those they hold, within its quota. Batch
-// tasks of u do not reduce the number: they must yield to its calls (see Relieve).
+// reserved returns the number of slots that must stay free for u's urgent calls:
+// those that they are expected to need, at most u's quota, less those that they hold.
+// Slots held by u's batch tasks don't count: these must yield to calls (see Relieve).
 func (u *SlotUse) reserved() int {
 	return max(0, min(u.Expected, u.Quota)-u.Urgent)
 }
 
 // reservedForOthers returns the number of slots that must stay free for customers
 // other than c, the number of further slots that all urgent calls together are
-// expected to need, and the row of c.
+// expected to need, and the element of c.
 func reservedForOthers(uses []SlotUse, c structs.Customer) (reserved, common int, own *SlotUse) {
 	common = 1 << 30
 	for i := range uses {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -82,8 +82,8 @@
 
 // Hedge reports whether a second copy of a call may be sent while the first still
 // runs, and takes a token if so. The call must be idempotent and have waited for at
-// least p95, the 95th percentile of such calls. A token must be left above a
-// reserve, which shrinks with the time that the call has waited.
+// least p95, the 95th percentile of such calls. The budget must have one token more
+// than a reserve, which shrinks with the time that the call has waited.
 func (b *RetryBudget) Hedge(now time.Duration, c structs.Customer, idempotent bool, waited, p95, remaining time.Duration) bool {
 	if !idempotent || p95 <= 0 || waited < p95 || remaining <= 0 {
 		return false
--- a/decide/urgent.go
+++ b/decide/urgent.go
@@ -157,11 +157,11 @@
 	return false
 }
 
-// predictDuration returns the likely duration of the call on c. The measured
-// service time is delayed, so it counts less the older the report is. The learnt
-// one ignores properties of the instance. confirmed is likely, but at most the
-// measured time multiplied by the predicted inflation. A call is refused as late
-// only if confirmed exceeds the time left.
+// predictDuration predicts the duration of the call on c. likely is a mean of the
+// measured service time, which is delayed and counts less the older the report is,
+// and the learnt one, which ignores properties of the instance. confirmed is the
+// smaller of likely and the measured time multiplied by the predicted inflation. A
+// call is refused as late only if confirmed exceeds the time left.
 //
 // Guards against: all calls with a deadline of 2 s are refused with "no backend
 // server would answer before the deadline", although the service is fast. It comes
