--- a/decide/pressure/light_test.go
+++ b/decide/pressure/light_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Guards against: half a worker of filling work that presses on no serving task
-// takes serving tasks over their targets. It comes about when the weight of such
-// pairs is taken as 0, because one pair adds less to a sample than the noise.
+// Guards against: serving tasks exceed their targets beside filling tasks of
+// small weight that together use half a worker. It comes about when the weight
+// is taken as 0, because the load of one pair is below the noise of a sample.
 func TestLightWeightIsFittedToAllPairs(t *testing.T) {
 	for _, light := range []float64{0.05, 0.15, 0.3} {
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -7,9 +7,10 @@
 // pair of images. A filling image presses on a serving image if that weight is well
 // above 0. Most pairs have a weight near 0, a few have a weight of 1 to 4.
 //
-// decide.Interference, for the urgent path, learns the inflation by running
-// task and band of load. This package learns from the processor time that
-// filling work uses, which pacing changes. The tail is not linear in that time.
+// decide.Interference, for the urgent path, learns the slowdown by one
+// running task of a kind, for each band of load. This package learns from the
+// processor time that filling work uses, which pacing changes. The tail is not
+// linear in that time.
 package pressure
 
 import (
@@ -63,15 +64,15 @@
 	Count float64
 }
 
-// Model holds the weights of all pairs. The zero value is ready for use; it is
-// not safe for concurrent use.
+// Model holds the weights of all pairs. The zero value is ready for use. A Model
+// is not safe for concurrent use.
 type Model struct {
 	serving map[string]*equations
-	// version counts solutions.
+	// version counts the calls of Solve.
 	version uint64
 	// light is the result of Light after a Solve.
 	light float64
-	// differences caches results of Difference since the last solution.
+	// differences caches the results of Difference since the last Solve.
 	differences map[[2]string]difference
 }
 
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -12,9 +12,9 @@
 	targetFraction = 0.85
 	// loadMargin is the load kept free for changes until the next measurement.
 	loadMargin = 0.03
-	// If a tail is over its target for longer than maxOver, all work is paused
-	// whose weight isn't known to be at most ignoredWeight; after twice the
-	// time, all filling work. Users are affected after a few seconds.
+	// If a tail is over its target for longer than maxOver, filling work is
+	// paused unless its weight is known to be at most ignoredWeight. After twice
+	// maxOver, all of it is paused. Users are affected after a few seconds.
 	maxOver = 1200 * time.Millisecond
 	// ignoredWeight is the weight up to which a known pair needs no pacing.
 	ignoredWeight = 0.15
--- a/decide/pressure/pressure_test.go
+++ b/decide/pressure/pressure_test.go
@@ -337,10 +337,10 @@
 	}
 }
 
-// Guards against: in a fleet of 240 workers, serving images stay mixed, and
-// serving tasks over their targets, for minutes. It comes about when each pass
-// makes one move, which separates a fleet of 11 workers within seconds. With one
-// move for each 20 workers both fleets take about as long.
+// Guards against: in a fleet of 240 workers, serving images stay mixed and
+// serving tasks exceed their targets for minutes. It comes about when each pass
+// makes one move. One move a pass separates 11 workers within seconds. With one
+// move for each 20 workers, both fleets take about as long.
 func TestRegroupScalesToALargeFleet(t *testing.T) {
 	mixed := func(workers, maxMoves, passes int) float64 {
 		tasks, free := mixedFleet(rand.New(rand.NewPCG(3, 5)), workers)
--- a/decide/pressure/regroup.go
+++ b/decide/pressure/regroup.go
@@ -29,7 +29,7 @@
 	Other int
 }
 
-// noOther is the Other of a move without an exchange.
+// noOther is the value of Move.Other for a move without an exchange.
 const noOther = -1
 
 // minGain is the cost reduction that a move must exceed, because a moved task
@@ -50,7 +50,7 @@
 // numbers the passes.
 //
 // Where two such images share a worker, nearly all filling work presses on one
-// of them. Placement can't avoid this: differences of images are learnt later.
+// of them. Placement can't avoid this: it precedes learning the differences.
 func Regroup(tasks []Task, free []workload.Resources, difference func(a, b string) float64, pass, maxMoves int) []Move {
 	g := newGrouping(tasks, free, difference)
 	mixed := g.mixed()
