--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -16,8 +16,8 @@
 	InTime Class = iota
 	// Late jobs can't, but can end within lateFactor times their objective.
 	Late
-	// Overdue jobs can't do that either. They use the capacity that the others
-	// leave.
+	// Overdue jobs can't end even in that time. They use the capacity that the
+	// other classes leave.
 	Overdue
 )
 
