--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -39,9 +39,9 @@
 	OfStep int
 	// Barred excludes the worker, whatever its free capacity.
 	Barred bool
-	// LastingOnly excludes the worker for all but lasting tasks, because other
-	// tasks have a bounded number of attempts. Lasting tasks do not, and must not
-	// wait beside free capacity.
+	// LastingOnly excludes the worker for all but lasting tasks. Other tasks have
+	// a bounded number of attempts. Lasting tasks can always be retried, and must
+	// not wait while any worker has free capacity.
 	LastingOnly bool
 }
 
@@ -65,8 +65,8 @@
 	// separationBonus separates serving and filling work: filling work raises
 	// the tail of serving tasks beside it, and must then be slowed.
 	separationBonus = 4.0
-	// fillPenalty penalizes a worker for serving tasks in proportion to its
-	// filling work.
+	// fillPenalty lowers a worker's score for a serving step in proportion to
+	// its filling work.
 	fillPenalty = 2.0
 	// mixPenalty separates serving tasks of different images. A filling image
 	// presses on about a third of the serving images. Beside one serving image
