--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -42,7 +42,8 @@
 	Calls, Slots int
 }
 
-// Policy is one complete set of decisions. All methods use one clock for now.
+// Policy is one complete set of decisions. In all methods, now is a reading of
+// the same clock.
 type Policy interface {
 	Name() string
 	// ChooseUrgent chooses the candidate for an attempt of a call at the given
