--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -127,8 +127,8 @@
 	s.enqueue(t.job)
 }
 
-// stopTask ends a run early. The work since the last checkpoint is lost, and
-// restartWork with it. planned is false for a kill for lack of memory.
+// stopTask ends a run early. The work since the last checkpoint is lost, and so
+// is restartWork. planned is false for a kill for lack of memory.
 func (s *simulation) stopTask(at, k int, planned bool) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
@@ -266,8 +266,8 @@
 	s.reschedule(at)
 }
 
-// tickAgent is an agent's work of each second: it sends its load, at the end of a
-// window the measurements, and applies the policy's actions.
+// tickAgent runs once a second for each agent. It sends the agent's load, reports
+// a measurement window that has ended, and applies the policy's actions.
 func (s *simulation) tickAgent(at int) {
 	s.events.push(s.now+tickEvery, eventAgentTick, at, 0)
 	s.advance(at)
--- a/decide/model/simulation.go
+++ b/decide/model/simulation.go
@@ -123,7 +123,7 @@
 	svcNames        [services]structs.Service
 }
 
-// backendRef locates a backend by the indexes of its node and within it.
+// backendRef locates a backend by its node's index and its index on that node.
 type backendRef struct{ node, backend int }
 
 // Run runs the workload with the policy that build returns.
