--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -89,7 +89,7 @@
 		}
 		c.events.Record(structs.Event{Step: StepRelief, Job: a.Job, Epoch: a.Epoch, Detail: string(a.Kind) + ": " + a.Reason})
 		if a.Kind == decide.ActionEvict {
-			c.log.Info().Str("job", string(a.Job)).Str("reason", a.Reason).Msg("evicting")
+			c.log.Info().Str("job", string(a.Job)).Str("reason", a.Reason).Msg("task eviction requested")
 		}
 	}
 }
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// minInformativeCalls is the number of calls from which a window replaces the
-	// last sample at once. Calls differ in size, so fewer calls are weak evidence.
+	// minInformativeCalls is the least number of calls with which a window always
+	// replaces the last sample. Calls differ in size: fewer are weak evidence.
 	minInformativeCalls = 3
-	// maxInformativeAge is the age of the last sample from which a window of fewer
-	// calls replaces it.
+	// maxInformativeAge is the age at which the last sample is replaced even by a
+	// window of fewer than minInformativeCalls calls.
 	maxInformativeAge = 10 * time.Second
 	// countResolution is the unit to which mean counts of tasks are rounded. A
 	// rounded count takes two or three bytes of a heartbeat, an exact one nine.
@@ -46,12 +46,13 @@
 	s.latest[observed.Service] = numberedSample{sample: toWire(observed), number: s.lastNumber, at: now}
 }
 
-// Sent holds, for one receiver, the number of the last measurement of each
-// service sent to it.
+// Sent holds, for one receiver and by service, the number of the last
+// measurement that was sent.
 type Sent map[structs.Service]uint64
 
 // next chooses, of the services with an unsent measurement, the one whose last sent
-// measurement is the oldest. It returns the unsent one and records it in sent.
+// measurement is the oldest. It returns that service's unsent measurement and
+// records it in sent.
 func (s *samples) next(sent Sent) []wire.Sample {
 	best := numberedSample{}
 	for name, k := range s.latest {
