--- a/agent/runner/answers.go
+++ b/agent/runner/answers.go
@@ -23,7 +23,7 @@
 //
 // A healthy worker answers within a few milliseconds; a worker on a slow
 // machine needs longer. With a timeout that fits the worker, a lost answer is
-// detected sooner, and the next answer repeats its reports of ends sooner.
+// detected sooner, and the ends of runs in it are reported again sooner.
 type answerTimes struct{ rtt.Estimator }
 
 // timeout returns the time that the given try of a call waits for its answer.
--- a/agent/runner/fresh.go
+++ b/agent/runner/fresh.go
@@ -34,8 +34,8 @@
 }
 
 // freshRuns lists the runs that may have crashed the worker: runs that may have
-// begun and were not proven at its last answer. A worker that announced its
-// shutdown has not crashed. The caller holds mu.
+// begun, and had not run for provenAfter at its last answer. A worker that
+// announced its shutdown has not crashed. The caller holds mu.
 func (inc *incarnation) freshRuns() []dispatch.SuspectRun {
 	if inc.leaving {
 		return nil
@@ -57,8 +57,8 @@
 	return !inc.lapsed || inc.downAt > 0 && inc.downAt-inc.answeredAt <= promptDownTime
 }
 
-// recordFailure records when, since the worker's last answer, a call first
-// failed and first failed with ErrDown. The caller holds mu.
+// recordFailure sets failedAt at the first ErrUnknown or ErrDown since the
+// worker's last answer, and downAt at the first ErrDown. The caller holds mu.
 func (r *Runner) recordFailure(inc *incarnation, err error) {
 	if inc.failedAt == 0 && (errors.Is(err, workerctl.ErrUnknown) || errors.Is(err, workerctl.ErrDown)) {
 		inc.failedAt = r.deps.Now()
@@ -88,7 +88,8 @@
 	}
 }
 
-// reportProven reports once that a watched run is proven. The caller holds mu.
+// reportProven reports, once, that a watched run is no longer suspected of a
+// crash (see proven). The caller holds mu.
 func (r *Runner) reportProven(inc *incarnation, x *run) {
 	if x.watched && !x.provenReported && x.proven(inc.answeredAt) {
 		x.provenReported = true
--- a/agent/runner/fresh_test.go
+++ b/agent/runner/fresh_test.go
@@ -8,7 +8,8 @@
 	"persimmonrock.example/wire/dispatch"
 )
 
-// A run that may have begun is suspected of a crash until it is proven.
+// A run that may have begun is suspected of a crash until it has run for
+// provenAfter.
 func TestFreshRunsAreThoseThatMayHaveCrashedTheWorker(t *testing.T) {
 	const answered = time.Hour
 	cases := []struct {
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -337,8 +337,8 @@
 	}
 }
 
-// makeVoid marks the run void: it is not on the worker and never will be. It is
-// kept until the scheduler has read this.
+// makeVoid marks the run void: it is not on the worker and never will be. The
+// record of the run is kept until the scheduler has read that it is void.
 func (r *Runner) makeVoid(_ *incarnation, x *run, reason string) {
 	x.state = dispatch.RunVoid
 	x.reason = reason
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -138,7 +138,7 @@
 }
 
 // servingJobs lists the jobs with started serving tasks on the worker. A job's
-// tasks carry the same load, and each tail is rough, so their mean is used.
+// tasks carry the same load, and each tail is rough: the tails are averaged.
 func (r *Runner) servingJobs(inc *incarnation) []pressure.Serving {
 	now := r.deps.Now()
 	index := map[workload.JobID]int{}
--- a/agent/runner/runner.go
+++ b/agent/runner/runner.go
@@ -187,7 +187,7 @@
 	progress  int
 	rough     float64
 	// estimate is the order's estimated run time, firstProgress the progress in
-	// the first listing, at firstAt. slow says that progress since is too slow.
+	// the first listing, at firstAt. slow says that later progress is too slow.
 	estimate      time.Duration
 	firstProgress int
 	firstAt       time.Duration
@@ -206,7 +206,7 @@
 	overSince time.Duration
 }
 
-// maxFormer bounds Runner.former.
+// maxFormer bounds the ended incarnations in Runner.former.
 const maxFormer = 8
 
 // New returns a runner.
@@ -218,7 +218,7 @@
 // had found, if any. It is called once, before Run and before the scheduler's
 // first call.
 //
-// Reports are accepted earlier, too: a worker that starts together with its
+// Reports are accepted before this call, too: a worker that starts with its
 // agent reports at once, and again after a second. If that first report were
 // lost while the agent registers, nothing would start there for a second.
 func (r *Runner) Registered(token uint64, before workload.Worker) {
