--- a/agent/tasks/task.go
+++ b/agent/tasks/task.go
@@ -150,8 +150,8 @@
 
 var errPausedDuringStart = errors.New("the agent was paused while it started the task")
 
-// pausedTooLong reports whether at most one worker lease is left of the agent's
-// lease after a start.
+// pausedTooLong reports whether, after a start, the agent's lease is lost or ends
+// within the length of one worker lease.
 //
 // Guards against a start that takes effect when the job already runs elsewhere.
 // It comes about when the agent is paused between its check of the lease and
