--- a/agent/ledger/inherit.go
+++ b/agent/ledger/inherit.go
@@ -20,7 +20,7 @@
 // worker still runs the old agent's tasks, until their lease lapses or they are
 // fenced. Therefore a ledger with Config.Survey admits nothing before its first
 // survey. Earlier agents can start no more work once the backend servers and
-// the worker have accepted this one.
+// the worker have accepted the new agent.
 func (l *Ledger) Survey(running []WorkerTask, now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/ledger/ledger.go
+++ b/agent/ledger/ledger.go
@@ -5,10 +5,10 @@
 //
 // A call's slot is freed by exactly one of: the whole answer, a proof that the
 // call did not run, a new incarnation of the backend server, or a list of the
-// server's requests without the call. For a call that this agent admitted, the
-// server must have made the list after it carried out the agent's declaration
-// that the request is void.
-// A caller that disconnects frees nothing.
+// server's active requests without the call. The list is enough for a call that
+// an earlier agent admitted. For a call of this agent, the server must have made
+// the list after it was told to refuse the request (see Announce). A caller that
+// disconnects frees nothing.
 package ledger
 
 import (
--- a/agent/ledger/ledger_test.go
+++ b/agent/ledger/ledger_test.go
@@ -131,9 +131,9 @@
 }
 
 // An agent is killed while two backend servers of its instance work. Its
-// successor receives the announcement of one of them. The successor may admit
-// no calls or batch tasks to slots that the other server may be using until it
-// knows what that server runs. This also holds if the other server has
+// successor receives the announcement of one of them. Until the successor knows
+// what the other server runs, it may admit no calls or batch tasks to slots that
+// the other server may be using. This also holds if the other server has
 // announced itself and the answer was lost: that server has not accepted the
 // new agent and has sent no list of its calls.
 func TestNewAgentReservesSlotsOfUnreportedServers(t *testing.T) {
@@ -226,9 +226,9 @@
 	}
 }
 
-// Guards against a service whose callers are refused after it was slow for a
-// while and is fast again. It comes about when the estimate of a call's
-// duration changes only with calls: with a high estimate there are none.
+// Guards against a service whose callers are still refused when it is fast
+// again after a slow period. It comes about when the estimate of a call's
+// duration changes only with calls: while it is high, entries send none.
 func TestEstimateOfASlowServerFades(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newLedger(t)
--- a/agent/ledger/quota_test.go
+++ b/agent/ledger/quota_test.go
@@ -8,10 +8,9 @@
 )
 
 // Guards against a panic of the agent when it counts the slots it owes. It
-// comes about when a customer's first calls reach an agent that has not
-// received its contract, with a pause between them, and the second admission
-// looks up the account before its refresh, which deletes the account: the
-// customer is then in uses without one.
+// comes about when a customer without a contract here calls again after a
+// pause. If the admission looks up the account before it calls refresh, refresh
+// deletes this account, and the customer is in uses without one.
 func TestAccountOfUnknownCustomerSurvivesRefresh(t *testing.T) {
 	l := New(Config{Instance: "i1", Total: structs.Resources{Slots: 8}})
 	now := time.Now()
--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -185,7 +185,7 @@
 // new agent first receives a late announcement from before its predecessor's
 // time, and chooses the predecessor's incarnation. A second late announcement
 // then looks as if the server had accepted the new agent, and its list lacks
-// the calls that run. A session is unique to a process.
+// the calls that run. The session, unique to a process, shows the difference.
 func (l *Ledger) incarnationCollides(s *server, a backend.Announcement) bool {
 	return a.AgentIncarnation == s.agent && a.AgentSession != l.session
 }
