--- a/agent/configuration/configuration.go
+++ b/agent/configuration/configuration.go
@@ -21,8 +21,8 @@
 )
 
 // Timing of the reads. With 1,000 agents they cost the table service 167 reads
-// a second. A change is in force within the longest pause, one timeout and two
-// requests to entries: 10 s, if the table service fails at that moment.
+// a second. Even if the table service fails, a change is in force within the
+// longest pause, one timeout and two requests to entries: 10 s.
 const (
 	pollInterval = 6 * time.Second
 	// pollJitter is the largest random deviation of a pause from pollInterval.
@@ -59,7 +59,8 @@
 
 	// Reads counts reads, Failed the failed ones, Asked the requests to
 	// entries. Older counts configurations that were dropped because they were
-	// not above the one in force, Unfit the changes from another revision.
+	// not above the one in force, Unfit the changes that don't lead from the one
+	// in force to a higher revision.
 	Reads, Failed, Asked, Older, Unfit atomic.Int64
 }
 
