--- a/agent/agent.go
+++ b/agent/agent.go
@@ -84,7 +84,7 @@
 }
 
 // maxRenewInterval bounds the time between renewals of a lease of any length:
-// observers count it from its last renewal, and renewals so rare cost little.
+// observers count a lease from its last renewal. Renewals so rare cost little.
 const maxRenewInterval = 30 * time.Second
 
 func renewInterval(c Config) time.Duration { return min(maxRenewInterval, c.Lease/8) }
--- a/agent/config.go
+++ b/agent/config.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// minLeases is the least number of worker leases in a lease: two are reserved
-// for a late renewal, the rest for a store outage that tasks can survive.
+// minLeases is the least ratio of Lease to WorkerLease: two worker leases are
+// reserved for a late renewal, the rest let tasks survive a store outage.
 const minLeases = 4
 
 func (c Config) check() error {
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// release retries for the time of Notice. A released row lets the owner of the
+// release retries for up to Config.Notice. A released row lets the owner of the
 // queue proceed before the lease ends, but a stop doesn't wait longer for a
 // store that is down.
 func (a *Agent) release(ctx context.Context) error {
--- a/agent/samples.go
+++ b/agent/samples.go
@@ -5,10 +5,10 @@
 	"persimmonrock.example/wire"
 )
 
-// sampleEvery is the number of heartbeats to an entry of which one carries
-// measurements. The measurement of a service that runs beside eight kinds of
-// tasks takes about 200 bytes. In every second heartbeat it adds a fifth to the
-// bytes that a thousand agents send to an entry.
+// One in sampleEvery heartbeats to an entry carries measurements. Those of a
+// service that runs beside eight kinds of tasks take about 200 bytes. In every
+// second heartbeat they add a fifth to the bytes that a thousand agents send to
+// an entry.
 const sampleEvery = 2
 
 // sampling records the measurements that were sent to one entry. Only the
