--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -22,8 +22,8 @@
 	agentSlots = 8
 )
 
-// agentNode is one agent process. ctl controls its network, link the
-// connection between the agent and its worker.
+// agentNode is one agent process. ctl controls the agent's network; link
+// controls the connection between the agent and its worker.
 type agentNode struct {
 	wire.AgentAPI
 	id   string
@@ -40,7 +40,7 @@
 	fails  bool
 }
 
-// startAgent starts a new agent on an instance and creates a missing instance.
+// startAgent starts a new agent on an instance, which it creates if missing.
 func (w *cluster) startAgent(id string) *agentNode {
 	w.mu.Lock()
 	in := w.instances[id]
@@ -118,7 +118,7 @@
 	}
 }
 
-// freeze stops an agent as SIGSTOP does, for a while.
+// freeze stops an agent for d, as SIGSTOP does.
 func (w *cluster) freeze(n *agentNode, d time.Duration) {
 	n.ctl.Freeze()
 	n.link.Freeze()
--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -63,7 +63,7 @@
 	Instance structs.InstanceID
 	// Borrowed allows the claim to go beyond the customer's share.
 	Borrowed bool
-	// Park takes the job out of the queue, with Reason, until it is released.
+	// Park takes the job, with Reason, out of the queue until its release.
 	Park   bool
 	Reason string
 }
@@ -126,8 +126,8 @@
 	StoreTimeout time.Duration
 	// MaxFailures is the number of failed runs after which a job is failed.
 	MaxFailures int
-	// Retain is the number of ended (final, not parked) jobs that a shard keeps
-	// in memory.
+	// Retain is the number of jobs in a final state other than parked that a
+	// shard keeps in memory.
 	Retain int
 	// JobRetention is the least time for which rows of ended jobs are kept, with
 	// their results and checkpoints.
--- a/entry/batch/cluster_test.go
+++ b/entry/batch/cluster_test.go
@@ -233,7 +233,7 @@
 	time.Sleep(DefaultScanEvery + time.Second)
 }
 
-// Directory, Contracts and Placer.
+// The next methods implement Directory, Contracts and Placer.
 
 func (w *cluster) Agents() []AgentView {
 	w.mu.Lock()
--- a/entry/batch/deliver.go
+++ b/entry/batch/deliver.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// sendDue reports whether a send to any instance is due by time. A send that an
-// agent's new report makes due is found by sendDueJobs at the next lease check.
-// The caller holds t.mu.
+// sendDue reports whether a send to any instance is due by time. Sends that an
+// agent's new report makes due don't count: sendDueJobs finds them at the next
+// lease check. The caller holds t.mu.
 func (t *tenure) sendDue(now time.Time) bool {
 	for _, o := range t.outboxes {
 		if !now.Before(o.nextDue) {
--- a/entry/batch/evidence.go
+++ b/entry/batch/evidence.go
@@ -25,7 +25,7 @@
 const (
 	noProof proof = iota
 	// proofIncarnation: the row names a newer agent, which fenced the worker
-	// before it wrote the row.
+	// before writing the row.
 	proofIncarnation
 	// proofReleased: the agent stopped all tasks before it released the lease.
 	proofReleased
@@ -180,8 +180,8 @@
 }
 
 // instancesWithNewerLease returns the instances whose agent reports a newer
-// lease than one of their jobs names, while the row as last read doesn't prove
-// that the job's lease has ended.
+// lease than one of their jobs names, while the agent's lease row, as last
+// read, doesn't prove that the job's lease has ended.
 func (t *tenure) instancesWithNewerLease(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/expire.go
+++ b/entry/batch/expire.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// deletable reports whether the row of job j may be deleted now, and first
-// deletes the objects that the row names. The row of an ended job that doesn't
-// name the retention period of its end is stamped with the current one and kept.
+// deletable reports whether the row of job j may be deleted now. Before it
+// returns true, it deletes the objects that the row names. The row of an ended
+// job without a retention period is stamped with the current period and kept.
 func (t *tenure) deletable(j structs.Job, version uint64) bool {
 	if !ended(j.State) {
 		return false
@@ -219,8 +219,8 @@
 }
 
 // endPeriodChange records the current retention period as the end of a final
-// job whose row has none: the period was not known, or an older release wrote
-// the row. The row is written as read, since the job in memory lacks the
+// job whose row has none: the period was not known then, or an older release
+// wrote the row. The row is written as read, since the job in memory lacks the
 // payload.
 func (t *tenure) endPeriodChange(row structs.Job) *change {
 	return &change{job: row.ID, decide: func(_ *view, current structs.Job, found bool) (structs.Job, error) {
--- a/entry/batch/ownership.go
+++ b/entry/batch/ownership.go
@@ -12,9 +12,9 @@
 	"persimmonrock.example/structs"
 )
 
-// rebalancePause is the time for which an entry releases no shard after it had
-// to acquire a free one above its target, and for which an entry that let a
-// shard lapse is not counted as alive.
+// rebalancePause is the time for which an entry releases no shard after
+// acquiring one above its target. For the same time, an entry that let a shard
+// lapse doesn't count as alive.
 const rebalancePause = time.Minute
 
 // observeShards reads the shard rows, stops replaced tenures, acquires free
--- a/entry/batch/queue_bench_test.go
+++ b/entry/batch/queue_bench_test.go
@@ -15,8 +15,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkQueueThatFitsNowhere reports the part of a core that one owner of
-// all shards uses for queued jobs while no instance has a slot for them. One
+// BenchmarkQueueThatFitsNowhere reports the fraction of a core that the owner
+// of all shards uses for queued jobs while no instance has a slot for them. One
 // operation is a second of waiting: run it with -benchtime 5x.
 func BenchmarkQueueThatFitsNowhere(b *testing.B) {
 	for _, queued := range []int{0, 3000, 30_000} {
@@ -27,15 +27,15 @@
 	}
 }
 
-// BenchmarkAgentsUnreachable reports the part of a core that an owner uses
+// BenchmarkAgentsUnreachable reports the fraction of a core that an owner uses
 // after it has taken over 28,000 running tasks whose agents don't answer.
 func BenchmarkAgentsUnreachable(b *testing.B) {
 	newFleet(b, 28_000, structs.JobRunning, unresponsiveAgent{})
 	reportCoreUse(b)
 }
 
-// BenchmarkRunning reports the part of a core that an owner of 28,000 running
-// tasks uses.
+// BenchmarkRunning reports the fraction of a core that an owner of 28,000
+// running tasks uses.
 func BenchmarkRunning(b *testing.B) {
 	newFleet(b, 28_000, structs.JobRunning, admitAll{})
 	reportCoreUse(b)
--- a/entry/batch/scaninterval.go
+++ b/entry/batch/scaninterval.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// agentScanInterval returns the pause between scans, from the number of rows in
-// the last complete one. observedLease expects this gap between two readings.
+// agentScanInterval computes the pause between scans from the number of rows in
+// the last complete scan. observedLease expects this gap between two readings.
 func (m *Manager) agentScanInterval() time.Duration {
 	interval := m.cfg.AgentScanEvery
 	stretched := interval * time.Duration(m.leaseRows.Load()) / maxUnstretchedRows
--- a/entry/batch/sweep.go
+++ b/entry/batch/sweep.go
@@ -21,8 +21,8 @@
 	// maxSweepPause is the longest pause after sweeps that placed nothing, while
 	// free capacity still changes.
 	maxSweepPause = 5 * time.Second
-	// sweepEvery is the longest time between two sweeps of a queue. It bounds the
-	// time for which capacity stays unused if no counted change announced it.
+	// sweepEvery is the longest time between two sweeps of a queue. It bounds
+	// the time for which capacity stays unused after an uncounted change.
 	sweepEvery = 10 * time.Second
 )
 
@@ -81,7 +81,7 @@
 }
 
 // end sets the pause until the next sweep: zero if this sweep placed a job,
-// otherwise twice the last pause, from first up to maxSweepPause.
+// otherwise twice the last pause, but at least first and at most maxSweepPause.
 func (s *sweep) end(now time.Time, first time.Duration) {
 	s.active = false
 	s.ended = now
--- a/entry/batch/tenure.go
+++ b/entry/batch/tenure.go
@@ -23,7 +23,7 @@
 	// for every running job that an earlier tenure claimed.
 	mayHaveSent bool
 	// sending is set while a start of this epoch is in flight, or while the job
-	// is requeued because its start was never sent.
+	// is being requeued because its start was never sent.
 	sending bool
 	// nextSend is the time at which a start or stop is sent again.
 	nextSend time.Time
@@ -79,7 +79,7 @@
 	lease   structs.ShardLease
 	version uint64
 	// validUntil is the end of the lease by this process's own clock: ShardLease
-	// after the time just before the last confirmed write was first sent.
+	// after the last confirmed write was first sent.
 	validUntil time.Time
 	loaded     bool
 	draining   bool
--- a/entry/batch/work.go
+++ b/entry/batch/work.go
@@ -12,8 +12,8 @@
 const (
 	// maxClaims bounds the claims of one round; they fit one transaction.
 	maxClaims = 200
-	// minBackoff and maxBackoff bound a job's exclusion from placement by
-	// backOff.
+	// minBackoff and maxBackoff bound the time for which backOff excludes a job
+	// from placement.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 30 * time.Second
 )
--- a/entry/batch/writer.go
+++ b/entry/batch/writer.go
@@ -277,9 +277,9 @@
 }
 
 // commit writes txn and repeats it until its outcome is known or the tenure
-// ends. It returns the versions of the puts; after a lost answer only that of
-// the shard row. Errors: ErrUnavailable (no effect), errNotApplied (replaced,
-// no effect), or errUncertain (replaced or ended, effect unknown).
+// ends. It returns the versions of the puts; after a lost answer, only the
+// shard row's version. Errors: ErrUnavailable (no effect), errNotApplied
+// (replaced, no effect), or errUncertain (replaced or ended, effect unknown).
 //
 // Failure guarded against: the store applies the write and its answer is lost,
 // or it applies the write long after the attempt timed out. In both cases the
@@ -380,8 +380,8 @@
 		}
 		t.setConfirmed(v.jobs[id], version)
 		// The end of a claim removes its reservation, whatever the cause. If the
-		// start was lost, no answer would remove it, and a job would wait for ever
-		// although workers are free.
+		// start was lost, no answer removes the reservation, and a queued job would
+		// wait for ever although workers are free.
 		if v.jobs[id].State != structs.JobRunning {
 			t.m.reserved.remove(t, id)
 		}
