--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -239,7 +239,7 @@
 	})
 }
 
-// startIf is start with another condition, allowed, on the candidate chosen.
+// startIf is start with one more condition: allowed must accept the candidate.
 func (s *Server) startIf(ctx context.Context, a *attempts, allowed func(decide.Candidate) bool) *structs.Refusal {
 	candidates, _ := s.dir.Service(a.request.Service)
 	if len(candidates) == 0 {
@@ -257,9 +257,9 @@
 	return nil
 }
 
-// send makes one attempt, whose result arrives on a.results. The attempt has its
-// own context: if ctx ends first, attempt cancels it at once; after another
-// attempt's answer, only after lateAnswerTimeout.
+// send makes one attempt, whose result arrives on a.results. The exchange has
+// its own context, which is cancelled at once when ctx ends, or
+// lateAnswerTimeout after another attempt has won.
 func (s *Server) send(ctx context.Context, a *attempts, agent directory.Agent) {
 	a.count++
 	a.tried = append(a.tried, agent.Instance)
--- a/entry/urgent/budget.go
+++ b/entry/urgent/budget.go
@@ -29,7 +29,7 @@
 	return &b.shards[int(structs.ShardOf(c))%budgetShards]
 }
 
-// Call records a call of c, which earns part of a retry.
+// Call records a call of c, which adds a fraction of a retry to c's budget.
 func (b *Budgets) Call(c structs.Customer) {
 	s := b.shard(c)
 	s.mu.Lock()
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -52,8 +52,8 @@
 	prompt, deferred []*recordWrite
 	committing       int
 
-	// Transactions counts transactions sent, Resolved records written separately
-	// after an unknown outcome.
+	// Transactions counts the transactions sent, Resolved the records that were
+	// written separately after an unknown outcome.
 	Transactions, Resolved atomic.Int64
 }
 
--- a/entry/urgent/hedge.go
+++ b/entry/urgent/hedge.go
@@ -17,8 +17,8 @@
 	// latencyUpdateEvery the number of new ones per update of the percentile.
 	latencyWindow      = 256
 	latencyUpdateEvery = 32
-	// minHedgeDelay is the least time before a second attempt: an earlier one would
-	// save less than its round trip to another data centre takes.
+	// minHedgeDelay is the least time before a second attempt: an earlier one
+	// would save less time than its round trip to another data centre takes.
 	minHedgeDelay = 2 * time.Millisecond
 	// maxServices bounds the services whose durations are kept.
 	maxServices = 1024
@@ -43,8 +43,8 @@
 	return &latencies{services: make(map[structs.Service]*latencyRing), minSamples: latencyUpdateEvery}
 }
 
-// add records the duration of an answered attempt. Late answers, which arrive
-// after another attempt's, are recorded, too, or slow ones would be missing.
+// add records the duration of an answered attempt. Answers after the first one
+// are recorded, too, or slow attempts would be missing.
 func (l *latencies) add(service structs.Service, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +81,9 @@
 	return max(r.p95, minHedgeDelay)
 }
 
-// hedgeTicker returns a ticker for the second attempt, or nil if the call is not
-// to be hedged. It ticks again in case there was no candidate or budget.
+// hedgeTicker returns a ticker for the second attempt, or nil if the call is
+// not to be hedged. It ticks again in case the first tick found no candidate or
+// budget.
 func (s *Server) hedgeTicker(a *attempts) *time.Ticker {
 	if !a.idempotent {
 		return nil
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -84,7 +84,7 @@
 }
 
 // check starts a check of a, or returns the one in progress. The check of an
-// unresponsive agent stays until the agent returns.
+// unresponsive agent lasts until the agent returns.
 func (l *liveness) check(a directory.Agent) *check {
 	l.mu.Lock()
 	defer l.mu.Unlock()
