--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -56,7 +56,7 @@
 	current atomic.Pointer[workload.Config]
 	drains  atomic.Pointer[workload.Drains]
 	// lastAnswer is the time of the store's last answer. confirmed is the time
-	// at which the rows were last known to be current. Both are on now's clock.
+	// at which the rows were last known to be current. Both are readings of now.
 	lastAnswer, confirmed atomic.Int64
 	// lost is set once the loss of the feed has been logged.
 	lost  atomic.Bool
@@ -126,8 +126,8 @@
 			f.reportLost(ctx, err)
 			f.Counters.Failed.Add(1)
 			f.log.Info().Err(err).Bool("feed", listed).Dur("took", f.now()-asked).Msg("configuration not read")
-			// After these two errors the rows are listed again: changes may have
-			// been made while the feed was silent.
+			// After these two errors the rows are listed again: changes may have been
+			// made while the feed gave no answer.
 			listed = listed && !errors.Is(err, rowstore.ErrCompacted) && !errors.Is(err, rowstore.ErrUnknown)
 			wait.For(ctx, configRetry)
 			continue
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -265,7 +265,7 @@
 		return "", err
 	}
 	if !exists {
-		s.log.Info().Str("job", string(id)).Msg("no such job")
+		s.log.Info().Str("job", string(id)).Msg("client asked for a job that does not exist")
 		return "", workload.ErrNoJob
 	}
 	row, err := s.get(ctx, scheduler.ProgressKey(id))
