--- a/entry/relay/directpath.go
+++ b/entry/relay/directpath.go
@@ -145,7 +145,7 @@
 }
 
 // directUntilLost calls the store directly, and also through another entry if
-// that call fails or the direct path is lost.
+// the direct call fails or the direct path is lost.
 //
 // Failure guarded against: the store stops answering this machine. A pending
 // call would wait for its whole time-out, 1.5 s, before it takes another path;
--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -26,8 +26,8 @@
 
 // plan describes the attempts of a read.
 type plan struct {
-	// answerTimeout is the time without a sign of an answer until the first
-	// call of hedge; the next follow every hedgeDelay.
+	// answerTimeout is the time without a sign of an answer after which hedge is
+	// first called; later calls follow every hedgeDelay.
 	answerTimeout time.Duration
 	// feed marks a read that waits for changes.
 	feed bool
--- a/entry/relay/read.go
+++ b/entry/relay/read.go
@@ -18,7 +18,7 @@
 	relay *Store
 	// direct reads from the store directly.
 	direct rowstore.Reader
-	// directFirst is copied to the plan of each read.
+	// directFirst limits the use of other entries; see plan.
 	directFirst bool
 }
 
