--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -63,8 +63,8 @@
 type record struct {
 	mu    sync.Mutex
 	agent Agent
-	// lastHello is the last heartbeat. It supplies the parts that the next one
-	// omits. Answers may have brought newer loads since.
+	// lastHello is the last heartbeat. It supplies the parts that the next
+	// heartbeat omits. Answers may have brought newer loads since.
 	lastHello    wire.HelloRequest
 	lastContact  time.Time
 	interval     time.Duration
@@ -157,7 +157,7 @@
 		rec = &record{agent: Agent{Instance: id}}
 		d.agents[id] = rec
 		d.events.Record(structs.Event{Step: StepAgentKnown, Peer: string(id)})
-		d.log.Info().Str("instance", string(id)).Msg("agent known")
+		d.log.Info().Str("instance", string(id)).Msg("agent joined the directory")
 	}
 	return rec
 }
--- a/entry/directory/heartbeatinterval.go
+++ b/entry/directory/heartbeatinterval.go
@@ -16,15 +16,15 @@
 	// before the first heartbeat.
 	HeartbeatBytes = 560
 	// HeartbeatBudget bounds an entry's heartbeat traffic in bytes per second,
-	// as a part of a node's 4,000. The table service uses the rest.
+	// out of a node's 4,000. Requests to the table service use the rest.
 	HeartbeatBudget = 850
 	// baseBytes is the size of a heartbeat that omits all it can, and
-	// senderBytes that of the sender's data. A service adds the length of its
-	// name and serviceBytes; a pair of customer and kind adds those of their
-	// names and pairBytes.
+	// senderBytes that of the sender's data. A service adds serviceBytes and the
+	// length of its name; a pair of customer and kind adds pairBytes and the
+	// lengths of both names.
 	baseBytes, senderBytes, serviceBytes, pairBytes = 140, 60, 12, 8
-	// A measurement adds the length of its service's name and sampleBytes; each
-	// of its kinds adds that of the kind's name and kindBytes.
+	// A measurement adds sampleBytes and the length of its service's name; each
+	// of its kinds adds kindBytes and the length of the kind's name.
 	sampleBytes, kindBytes = 30, 6
 	// entryListBytes is the size of the list of five entries in an answer.
 	entryListBytes = 60
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -22,11 +22,11 @@
 	memberPrefix        = "entry/"
 	memberRenewInterval = 5 * time.Second
 	memberTimeout       = 2 * time.Second
-	// memberExpiry is how long a row must stay unchanged, as this process reads
-	// it, before its entry no longer counts as alive.
+	// memberExpiry is how long this process must read a row unchanged until the
+	// row's entry no longer counts as alive.
 	memberExpiry   = 4 * memberRenewInterval
 	memberPageSize = 200
-	// memberDeleteAfter is the number of expiry periods until a row's deletion.
+	// memberDeleteAfter is the number of memberExpiry periods before deletion.
 	memberDeleteAfter = 30
 )
 
