--- a/entry/contracts/contracts_test.go
+++ b/entry/contracts/contracts_test.go
@@ -167,7 +167,7 @@
 
 // An entry starts while the table service is down. Until another entry sends
 // its configuration, the started entry must refuse callers with proof that
-// nothing ran. So must an entry that knows of a newer revision than its own.
+// nothing ran. An entry that knows of a newer revision must refuse them, too.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
--- a/entry/contracts/since.go
+++ b/entry/contracts/since.go
@@ -7,7 +7,7 @@
 )
 
 // maxRevisions is the number of recent revisions from which a view can compute
-// a change. A holder of another revision gets the whole configuration.
+// a change. A process that holds another revision gets the whole configuration.
 const maxRevisions = 64
 
 // installedRevision is one revision that a view had in force.
--- a/entry/contracts/since_test.go
+++ b/entry/contracts/since_test.go
@@ -16,7 +16,7 @@
 // From any revision that the entry has had in force, the change must lead
 // exactly to the configuration in force. This must hold even if the entry
 // skipped some revisions, and a contract was created and removed between two
-// that it had.
+// revisions that it had.
 func TestChangeSinceAnyRevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := memory.NewTable()
