--- a/entry/admin.go
+++ b/entry/admin.go
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// adminConfig lists each known process's revision; agents' are as of their last
-// heartbeats.
+// adminConfig lists each known process's revision; an agent's revision is as of
+// its last heartbeat.
 func (e *Entry) adminConfig(w http.ResponseWriter, r *http.Request) *structs.Refusal {
 	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -199,7 +199,7 @@
 	e.requests.close()
 	refusalsEnd := time.After(refusalPeriod)
 	e.deps.Events.Record(structs.Event{Step: StepDraining})
-	e.deps.Log.Info().Msg("planned stop: no new requests")
+	e.deps.Log.Info().Msg("planned stop begins; new requests are refused")
 	err := e.handOver(ctx)
 	select {
 	case <-refusalsEnd:
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -12,7 +12,7 @@
 	"persimmonrock.example/wire"
 )
 
-// oneContract gives the whole share to kowhai.
+// oneContract gives the customer kowhai a share of 1.
 type oneContract struct{}
 
 func (oneContract) Contract(structs.Customer) (structs.Contract, bool) {
