--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -259,7 +259,7 @@
 
 // send makes one attempt, whose result arrives on a.results. The exchange has
 // its own context, which is cancelled at once when ctx ends, or
-// lateAnswerTimeout after another attempt has won.
+// lateAnswerTimeout after the call has ended otherwise.
 func (s *Server) send(ctx context.Context, a *attempts, agent directory.Agent) {
 	a.count++
 	a.tried = append(a.tried, agent.Instance)
--- a/entry/urgent/hedge_test.go
+++ b/entry/urgent/hedge_test.go
@@ -36,8 +36,8 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		f := newFleet(10, true, nil)
 		defer f.server.Close()
-		// With service times reported, chance would decide whether many or few
-		// calls are sent to the unresponsive instances.
+		// With reported service times, an unresponsive instance would get many
+		// calls or few, by chance.
 		f.unmeasured = kind == "silent"
 		for _, a := range f.agents {
 			a.work = func() time.Duration {
