--- a/wire/dispatch/agentrow.go
+++ b/wire/dispatch/agentrow.go
@@ -20,8 +20,8 @@
 // before its row is written. With one partition the last of 240 waits for 2 s.
 const agentParts = 32
 
-// agentPart names a partition of the agents' rows. The letter separates it from
-// the partitions of other tables, whose transactions would delay it.
+// agentPart names a partition of the agents' rows. The letter keeps it apart
+// from other tables' partitions, whose transactions would cause delays.
 func agentPart(n int) string { return "a" + strconv.Itoa(n) }
 
 // AgentParts returns the partitions of AgentsTable.
--- a/wire/dispatch/link.go
+++ b/wire/dispatch/link.go
@@ -17,7 +17,7 @@
 	dialTimeout = 600 * time.Millisecond
 	// keepAlive is the interval of probes for dead peers on idle connections.
 	keepAlive = time.Second
-	// redialDelay is the pause after a failed dial; calls in it fail at once.
+	// redialDelay is the time after a failed dial in which calls fail at once.
 	redialDelay = 60 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 var ErrNotSent = errors.New("not sent")
 
 // Link is a connection to one peer that is replaced when it breaks. A call that
-// times out closes the connection: a new one may work while this one hangs.
+// times out closes the connection, since a new one may work.
 type Link struct {
 	address string
 	dial    func(ctx context.Context) (net.Conn, error)
--- a/wire/dispatch/link_test.go
+++ b/wire/dispatch/link_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Guards against a permanently unreachable scheduler that no entry replaces. It
-// came about when each request dialled in turn: the entries check the scheduler
-// on the same link, and the checks took longer and longer.
+// Guards against: no entry replaces a scheduler that is permanently
+// unreachable. It came about when each request dialled in turn: the entries'
+// checks of the scheduler use the same link, so they took longer and longer.
 func TestCallsToUnreachablePeerDoNotQueueUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLink("peer")
--- a/wire/dispatch/messages.go
+++ b/wire/dispatch/messages.go
@@ -15,7 +15,7 @@
 	// Process is the agent process that last answered the scheduler.
 	Process uint64
 	// Echo is that process's clock in its latest answer. The agent counts Grant
-	// from this time, so that a delayed call extends nothing.
+	// from this time, so that a delayed call does not extend the lease.
 	Echo time.Duration
 	// Grant is the time after Echo for which the worker's lease may last.
 	Grant time.Duration
@@ -42,8 +42,8 @@
 	Ticket     string
 	// Gang says that the run works only together with the gang's other runs.
 	Gang bool
-	// Watched requests a report once RunReport.Proven holds: an earlier run of
-	// the task was on a worker that crashed.
+	// Watched requests a report once RunReport.Proven holds. It is set if an
+	// earlier run of the task was on a worker that crashed.
 	Watched bool
 	// Estimate is the client's estimate of the run time; 0 for lasting, filling
 	// and gang tasks.
@@ -103,8 +103,8 @@
 	Pressure []PairWeight
 	// Base is the lowest observed tail latency by serving image, in ms.
 	Base map[string]float64
-	// Order lists the jobs with filling runs on the worker, in the order in
-	// which they are worked on, if the order has changed.
+	// Order lists the jobs with filling runs on the worker in the scheduler's
+	// order, if the order has changed.
 	Order []workload.JobID
 }
 
@@ -162,8 +162,8 @@
 }
 
 // SuspectRun is a run that may have crashed its worker. Begun says that the run
-// was certainly on the worker, and not for long; otherwise its order may have
-// come too late. Soon says that the worker stopped answering shortly after the
+// was certainly on the worker, and not for long; without Begun, one of the two
+// is uncertain. Soon says that the worker stopped answering shortly after the
 // run's start.
 type SuspectRun struct {
 	Run   workload.RunID
@@ -193,8 +193,8 @@
 	Reason string
 	// Slow says that the run progresses far more slowly than estimated.
 	Slow bool
-	// Proven clears the run of crashing its worker, which still answered a
-	// while after the run's start.
+	// Proven says that the run has not crashed its worker: the worker still
+	// answered some time after the run's start.
 	Proven bool
 }
 
@@ -236,7 +236,7 @@
 // WaitingArgs requests the number of a queue's jobs that have no started task.
 type WaitingArgs struct{ Queue string }
 
-// WaitingReply is the number of these jobs.
+// WaitingReply is the number that WaitingArgs requests.
 type WaitingReply struct {
 	Leading bool
 	Waiting int
