--- a/wire/agent.go
+++ b/wire/agent.go
@@ -22,7 +22,7 @@
 	Body     []byte
 	// Budget is how much longer the caller will wait.
 	Budget time.Duration
-	// Revision is the configuration revision under which the entry decided.
+	// Revision is the configuration under which the entry schedules the call.
 	Revision structs.Revision
 }
 
--- a/wire/cut_test.go
+++ b/wire/cut_test.go
@@ -68,10 +68,9 @@
 	}
 }
 
-// Guards against running a submission twice. It came about when the connection
-// to an agent was cut before, during or after the sending of a call, at any
-// byte. If a call that arrived fails as "not sent", the entry retries it at
-// another agent.
+// Guards against a call that runs twice: a call that reached the agent fails as
+// "not sent", and the entry retries the call at another agent. The connection
+// may be cut before, during or after the sending of a call, at any byte.
 func TestNotSentCallsNeverRan(t *testing.T) {
 	size := int64(len(validFrame(t)))
 	var notSent, sent, answered int
@@ -170,8 +169,8 @@
 	}
 }
 
-// As in the test before, but the connection was made before the agent hangs.
-// The bodies fill the sockets' buffers, so that writing blocks, too.
+// As in the test above, but the agent hangs after the connection was made. The
+// bodies fill the sockets' buffers, so that writing blocks, too.
 func TestNonReadingPeerDoesNotDelayCallers(t *testing.T) {
 	l := listenLocal(t)
 	go func() {
@@ -218,9 +217,9 @@
 	})
 }
 
-// Shutdown is called while the server sends its part of a handshake. At its end
-// the server removes the read deadline. Shutdown must not wait for this idle
-// connection until the context ends and then close others.
+// Shutdown is called during a handshake, at whose end the server removes the
+// read deadline. Shutdown must not wait for this idle connection until the
+// context ends: it would then close the connections of running calls.
 func TestShutdownDuringAHandshake(t *testing.T) {
 	s, _ := startAgent(t, &countingAgent{})
 	client, server := net.Pipe()
--- a/wire/entry.go
+++ b/wire/entry.go
@@ -51,13 +51,13 @@
 	// Entries are the addresses of all entries that this entry knows. Entries
 	// is empty if this entry has already sent the list to the agent.
 	Entries []string
-	// Kept says that the entry has stored the load, and that its parts may be
-	// omitted from the next heartbeats. Without Kept, the agent repeats in full
-	// a heartbeat that omitted a part: the entry lacks the part, or is of an
-	// earlier release, which never sets Kept.
+	// Kept says that the entry has stored the heartbeat, so that the next ones
+	// may omit parts of it. Without Kept, the agent repeats an incomplete
+	// heartbeat in full: the entry lacks an omitted part, or it is of an earlier
+	// release, which never sets Kept.
 	Kept bool
-	// Config or Change is set if the agent's configuration is older; the
-	// agent's Want selects which.
+	// Config or Change is set if the entry's configuration is newer than the
+	// agent's; the agent's Want selects which.
 	Config *structs.Config
 	Change *structs.ConfigChange
 }
--- a/wire/handshake.go
+++ b/wire/handshake.go
@@ -22,7 +22,7 @@
 var ErrPeerSecret = errors.New("wire: the peer does not know the shared secret")
 
 // proof is the HMAC-SHA-256 of the role and both nonces under the shared
-// secret. With the role, a proof can't be reflected to its sender.
+// secret. The role prevents the reflection of a proof to its sender.
 func proof(secret []byte, role string, server, client []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte(role))
--- a/wire/intruder_test.go
+++ b/wire/intruder_test.go
@@ -147,9 +147,9 @@
 	io.Copy(io.Discard, c)
 }
 
-// A faulty peer that knows the secret announces huge messages and sends no
-// more. For each message encoding/gob's reader may allocate one step in
-// advance, 10 MiB, but not the announced length.
+// A faulty peer that knows the secret announces huge messages and sends none of
+// their bytes. For each message encoding/gob may allocate 10 MiB in advance,
+// but not the announced length.
 func TestHugeLengthsDoNotExhaustMemory(t *testing.T) {
 	s, l := startAgent(t, &countingAgent{})
 	before := heapBytes()
--- a/wire/refusals.go
+++ b/wire/refusals.go
@@ -12,8 +12,8 @@
 //
 // Failure guarded against: gob can't encode a nil element of a slice of
 // pointers. net/rpc then closes the connection instead of answering. The caller
-// takes the request for sent and lost, and every other call on the connection
-// fails. So the entries are sent as values, and an empty value stands for nil.
+// assumes that the request was sent and lost, and every other call on the
+// connection fails. So the entries are sent as values, an empty one for nil.
 type Refusals []*structs.Refusal
 
 // GobEncode implements gob.GobEncoder.
--- a/wire/refusals_test.go
+++ b/wire/refusals_test.go
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// Guards against starts that appear lost, after which their slots stay reserved
-// and jobs wait forever beside free workers. It came about when a reply could
-// not be encoded. An entry starts three tasks; the agent admits two and refuses
-// one. The entry must receive the refusal on a connection that stays open.
+// Guards against: starts appear lost, their slots stay reserved, and jobs wait
+// forever although workers are free. It came about when a reply could not be
+// encoded. An entry starts three tasks; the agent admits two and refuses one.
+// The entry must receive the refusal on a connection that stays open.
 func TestReplyWithSomeRefusalsArrives(t *testing.T) {
 	secret := []byte("0123456789abcdef")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/wire/server.go
+++ b/wire/server.go
@@ -35,8 +35,8 @@
 	return n, err
 }
 
-// Write fails when the peer has not accepted p within stallTimeout to twice
-// stallTimeout. The time varies because not every write moves the deadline.
+// Write fails if the peer does not accept p in time. The time is between one and
+// two stallTimeouts, because not every write moves the deadline.
 //
 // Failure guarded against: a peer that hangs no longer reads. The first write
 // that fills the sockets' buffers would block forever while holding the
