--- a/structs/ids.go
+++ b/structs/ids.go
@@ -35,9 +35,9 @@
 // Epoch is a fencing token: the holder of a lower epoch may no longer write.
 type Epoch uint64
 
-// Incarnation numbers an instance's successive agents. An agent that takes its
-// lease again is a new one. The number comes from the instance's lease row
-// (batch) or its backend server (urgent calls), never from a clock.
+// Incarnation numbers an instance's successive agents. An agent that acquires
+// its lease again gets a new number. The number comes from the instance's lease
+// row (batch) or its backend server (urgent calls), never from a clock.
 type Incarnation uint64
 
 // ShardCount is the number of queue shards. A deployment can't change it, since
--- a/structs/workload/job.go
+++ b/structs/workload/job.go
@@ -64,7 +64,7 @@
 	// Fills marks filling tasks: they use processor time that other tasks leave
 	// unused, and their CPU is not counted against the worker's capacity.
 	Fills bool `json:"f,omitempty"`
-	// MayMiss bounds the lasting tasks that a drain stops at once; 0 means 1.
+	// MayMiss bounds the lasting tasks that a drain moves at a time; 0 means 1.
 	MayMiss int `json:"z,omitempty"`
 }
 
