--- a/infra/commit.go
+++ b/infra/commit.go
@@ -11,8 +11,8 @@
 )
 
 // Backoff between the attempts of one write, which doubles up to the maximum.
-// The time-outs of attempts double, too, so that a lost answer doesn't use up the
-// whole context, and a later attempt waits for a slow answer.
+// The time-outs of attempts double, too, so that a lost answer doesn't use up
+// the whole context, and a later attempt waits long enough for a slow answer.
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = time.Second
--- a/infra/configtable/row.go
+++ b/infra/configtable/row.go
@@ -19,8 +19,8 @@
 
 // RecentChanges is the number of changes that the revision row names. Each adds
 // about 30 bytes to every poll of every process. A process that polls every few
-// seconds lacks more changes only after a pause or in a burst; then one scan is
-// cheaper than many reads.
+// seconds misses more than these changes only after a pause or in a burst. One
+// scan is then cheaper than many reads.
 const RecentChanges = 8
 
 // FirstRevision is the revision of a table without a revision row: a deployment
--- a/infra/fault/control.go
+++ b/infra/fault/control.go
@@ -115,9 +115,9 @@
 	c.cut = on
 }
 
-// Heal ends the cut and the freeze, and drops the faults set by Next and the
-// plan except its Hold. Delayed writes still take effect; held writes do on
-// Release.
+// Heal ends the cut and the freeze. It drops the faults set by Next and the
+// plan, but keeps the plan's Hold. Delayed writes still take effect, held
+// writes on Release.
 func (c *Control) Heal() {
 	c.mu.Lock()
 	c.plan = Plan{Hold: c.plan.Hold}
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -169,8 +169,8 @@
 	// named the job at this epoch or a later one, even if the worker did not
 	// know the task then: a start that arrives late must not run the task.
 	Start(ctx context.Context, t TaskStart) error
-	// Renew makes the lease of every running task of holder h end at the time
-	// lease from now.
+	// Renew sets the lease of every running task of holder h: it ends after the
+	// duration lease from now.
 	Renew(ctx context.Context, h structs.Incarnation, lease time.Duration) error
 	// Checkpoint returns the task's state; the task continues to run.
 	Checkpoint(ctx context.Context, id structs.JobID, e structs.Epoch) ([]byte, error)
--- a/infra/memory/worker.go
+++ b/infra/memory/worker.go
@@ -36,8 +36,8 @@
 	// end until its report is available. Progress has the same lag.
 	UsageWindow, UsageLag time.Duration
 	// Slowdown returns the factor by which neighbours slow a task of this kind
-	// now, 1 for none. Task.Step calls it at its start and when the throttle
-	// changes.
+	// now, 1 for none. Task.Step calls Slowdown at its start, when the throttle
+	// changes, and repeatedly during a standstill.
 	Slowdown func(structs.Kind) float64
 	// Actual returns a task's real resource usage; nil means the declared one.
 	Actual func(infra.TaskStart) structs.Resources
--- a/infra/rowstore/settle/settle.go
+++ b/infra/rowstore/settle/settle.go
@@ -17,8 +17,8 @@
 	// row is read. The wait follows the times of earlier answers.
 	minTimeout = 60 * time.Millisecond
 	maxTimeout = 600 * time.Millisecond
-	// quickRead is the longest time of a read that shows that the store is not
-	// slow. An answer that is still missing then is likely lost.
+	// quickRead is the longest read that proves the store not to be slow. An
+	// answer that is still missing after such a read is likely lost.
 	quickRead = 100 * time.Millisecond
 	// readTimeout bounds a read of the row.
 	readTimeout = 500 * time.Millisecond
--- a/infra/rowstore/settle/settle_test.go
+++ b/infra/rowstore/settle/settle_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// Guards against several times the load on a slow store. It came about when
+// Guards against: a slow store gets several times the load. It came about when
 // each missing answer counted as lost and led to another attempt.
 func TestSlowStoreGetsNoSecondAttempt(t *testing.T) {
 	runCase(t, func(t *testing.T, faulty *memstore.Store, s *Store, version uint64) {
