--- a/backend/announce.go
+++ b/backend/announce.go
@@ -37,9 +37,9 @@
 }
 
 // Announce sends one announcement and carries out the answer. It returns the
-// time until the next one is due: 0 if the server's incarnation was raised, or
-// if the agent's is new, since a new agent admits no request until it has the
-// list of active requests.
+// time until the next announcement is due. This is 0 if the server raised its
+// incarnation or the agent is new: a new agent admits no request until it has
+// the list of active requests.
 func (s *Server) Announce(ctx context.Context) (time.Duration, error) {
 	s.announceMu.Lock()
 	defer s.announceMu.Unlock()
--- a/backend/guard.go
+++ b/backend/guard.go
@@ -121,9 +121,9 @@
 // CarryOut fences earlier agents and stores the void requests, atomically for
 // Begin and Fill. It reports whether the agent's incarnation is new. If so, the
 // next announcement is due at once, since a new agent admits no request before
-// it. CarryOut ignores the answer of an earlier agent, of another agent with
-// the accepted incarnation, and an answer with a lower number than the last one
-// carried out.
+// that announcement. CarryOut ignores the answer of an earlier agent, of
+// another agent with the accepted incarnation, and an answer with a lower
+// number than the last one carried out.
 func (g *Guard) CarryOut(a Answer) (newAgent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/backend/server.go
+++ b/backend/server.go
@@ -119,8 +119,9 @@
 	http.Error(w, "refused: "+string(why), http.StatusConflict)
 }
 
-// chunkedWriter removes Content-Length, so that a large answer ends only when
-// the handler has returned, and HeaderRefused, which only the guard may set.
+// chunkedWriter removes two headers: HeaderRefused, which only the guard may
+// set, and Content-Length, so that a large answer ends only when the handler
+// has returned.
 //
 // Failure guarded against: a handler sends its whole body and continues to
 // work; the agent reads a complete answer and frees the slot although the work
