--- a/ops/breakdown/breakdown_test.go
+++ b/ops/breakdown/breakdown_test.go
@@ -177,8 +177,8 @@
 }
 
 // An agent's clock jumps back, so that its run's end is earlier than the run's
-// placement. Guards against a path back from the job's end that returns to the
-// same task forever.
+// placement. Guards against an endless loop: the path back from the job's end
+// returns to the same task again and again.
 func TestReportEndsWhenTimesRunBackwards(t *testing.T) {
 	const log = `
 {"process":"entry-1","job":"j1","objective":12000,"time":10000,"message":"job known"}
--- a/ops/certs/certs_test.go
+++ b/ops/certs/certs_test.go
@@ -126,7 +126,7 @@
 }
 
 // An operator creates the authority a second time in the same folder. This must
-// not replace the first: no process could connect to another after its renewal.
+// not replace the first: renewed processes could not connect to others.
 func TestAuthorityIsNeverReplaced(t *testing.T) {
 	folder := t.TempDir()
 	first := newAuthority(t, "ours")
--- a/ops/logs/limit.go
+++ b/ops/logs/limit.go
@@ -13,10 +13,10 @@
 // work needs.
 //
 // The lines left out are spread over the second, so that no part of the second
-// is missing, and over the kinds of lines, distinguished by message, so that
-// routine lines don't crowd out a rare one that explains a failure. For the
-// same reason, the loss and recovery of a dependency and the start and end of a
-// term are logged as warnings.
+// is missing. They are also spread over the kinds of lines, distinguished by
+// message: routine lines must not crowd out a rare line that explains a
+// failure. For the same reason, the loss and recovery of a dependency and the
+// start and end of a term are logged as warnings.
 type Limit struct {
 	// PerSecond is the maximum number of lines a second on each side of the
 	// warning level.
@@ -64,9 +64,9 @@
 	}
 }
 
-// admit counts a line and reports whether it may be written. report counts by
-// message the lines left out in an earlier second, if this line is the first
-// after it.
+// admit counts a line and reports whether it may be written. If the line is the
+// first after a second with lines left out, report holds their number by
+// message.
 func (l *Limit) admit(level zerolog.Level, message string) (pass bool, report map[string]int) {
 	now := time.Now
 	if l.Now != nil {
--- a/ops/logs/limit_test.go
+++ b/ops/logs/limit_test.go
@@ -42,8 +42,8 @@
 }
 
 // Guards against a log that holds only the placements of the first tenths of a
-// busy second, and neither explains later requests nor shows that lines are
-// missing.
+// busy second. Such a log doesn't explain later requests, and doesn't show that
+// lines are missing.
 func TestLinesLeftOutAreSpreadAndReported(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
--- a/ops/settings/decode.go
+++ b/ops/settings/decode.go
@@ -91,7 +91,7 @@
 	into.Set(list)
 }
 
-// leaf decodes a single value. It refuses null, too: encoding/json would
+// leaf decodes a single value. It refuses null, at which encoding/json would
 // silently keep the default.
 func (d *decoder) leaf(key string, v *hujson.Value, into reflect.Value, want string) {
 	given := bytes.TrimSpace(d.text[v.StartOffset:v.EndOffset])
