--- a/tools/doc.go
+++ b/tools/doc.go
@@ -1,2 +1,2 @@
-// Package tools is described in docs/ARCHITECTURE.md.
+// Package tools holds no code: its go.mod pins the development tools' versions.
 package tools
