--- a/sessions/machines/config.go
+++ b/sessions/machines/config.go
@@ -84,7 +84,7 @@
 	// servedSince the time of the check that first found it.
 	served      uint64
 	servedSince time.Time
-	// late is set while the entry's version is too old, once this is reported.
+	// late is set while a reported breach (a version that is too old) lasts.
 	late bool
 }
 
--- a/sessions/machines/jobs_test.go
+++ b/sessions/machines/jobs_test.go
@@ -30,7 +30,7 @@
 }
 
 // Members of a gang work only together: all or none are placed, with one run
-// number, and one end counts for all.
+// number, and once one member is done, all are.
 func TestGangIsPlacedWhole(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 2, Capacity: workload.Resources{CPU: 8000, Memory: 64000}}, func(t *testing.T, sim *Simulation, c *Client) {
 		j := job(1, 6)
@@ -133,9 +133,10 @@
 
 // A quarter of the answers of every second worker are lost. Guards against
 // short jobs that end late. A listing waits half a second for a run to end. If
-// a listing with a lost answer is abandoned only after this wait, an end in a
-// step of 13 tasks is nearly always reported that late. A client expects its
-// job within 1.5 times the work of its successive steps plus 250 ms.
+// a listing with a lost answer is abandoned only after this wait, nearly every
+// step of 13 tasks has an end that is reported half a second late. A client
+// expects its job within 1.5 times the work of its successive steps plus 250
+// ms.
 func TestLostAnswersDoNotMakeShortJobsLate(t *testing.T) {
 	const work, jobs = 640 * time.Millisecond, 150
 	opt := Options{Entries: 2, Machines: 60, Outcome: func(workload.RunID) Outcome { return Outcome{For: work} }}
--- a/sessions/machines/leave_test.go
+++ b/sessions/machines/leave_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against tasks of a stopped worker that wait until the grant of the
-// worker's agent expires. The agent is down, too.
+// Guards against tasks of a stopped worker that wait until the scheduler's
+// grant to the worker's agent expires. The agent is down, too.
 func TestTasksOfStoppedWorkerDoNotWaitForItsAgent(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
--- a/sessions/machines/random_test.go
+++ b/sessions/machines/random_test.go
@@ -53,7 +53,7 @@
 func TestRandomDaysOfChangesThatBroke(t *testing.T) {
 	const times = 8
 	for _, seed := range []uint64{
-		73297, // a term that was not ready received no cancellations
+		73297, // cancellations did not reach a scheduler whose term was not yet ready
 	} {
 		for i := range times {
 			t.Run(fmt.Sprintf("%d/%d", seed, i), func(t *testing.T) { randomDay(t, seed, 0, (*day).readFault) })
--- a/sessions/machines/simulation.go
+++ b/sessions/machines/simulation.go
@@ -101,8 +101,8 @@
 // to read the operator's rows.
 const configIdleTimeout = 10 * time.Second
 
-// grant is the time after an agent's last contact for which its worker's lease
-// may last.
+// grant is how long a worker's lease may last after the last contact of its
+// agent with the scheduler.
 const grant = 6 * time.Second
 
 // New returns a simulation with all its programs running.
--- a/sessions/machines/simulation_test.go
+++ b/sessions/machines/simulation_test.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// A machine with agent and worker is cut off from all others for longer than
-// the agent's grant, and is then reconnected.
+// A machine with agent and worker is cut off from all others until after the
+// agent's grant has expired, and is then reconnected.
 func TestMachineThatIsCutOffComesBack(t *testing.T) {
 	simulate(t, Options{Entries: 2, Machines: 3}, func(t *testing.T, sim *Simulation, c *Client) {
 		submit(t, c, lastingJob(1, 6))
--- a/sessions/machines/worker.go
+++ b/sessions/machines/worker.go
@@ -83,8 +83,8 @@
 	ended            []workload.End
 	number           uint64
 	lastAcknowledged uint64
-	// lapsedEnds is the highest end number when a lease last expired. The rules
-	// ignore acknowledgements of ends up to this number.
+	// lapsedEnds is the number of the last ended run when a lease last expired.
+	// The rules ignore acknowledgements up to this number.
 	lapsedEnds uint64
 	changed    chan struct{}
 	// formerCapacities holds the capacity from before each change.
