--- a/sessions/soak/faults_test.go
+++ b/sessions/soak/faults_test.go
@@ -10,7 +10,7 @@
 )
 
 // fault is one kind of fault. start injects it and returns a function that
-// removes it, or nil.
+// removes it, or nil if nothing needs to be removed.
 type fault struct {
 	name  string
 	start func(d *deployment, rng *rand.Rand) (stop func())
--- a/sessions/soak/relay_test.go
+++ b/sessions/soak/relay_test.go
@@ -91,9 +91,10 @@
 	r.forward(client, server, dropInbound)
 }
 
-// forward copies data in one direction, and drops it in the states dropping and
-// dropAll. A connection that has dropped data is closed only when the state
-// changes, as a real connection fails only after the network recovers.
+// forward copies data in one direction, or drops it while the relay's state is
+// dropping (a parameter) or dropAll. A connection that has dropped data is
+// closed only when the state changes, as a real connection fails only after the
+// network recovers.
 func (r *relay) forward(to, from net.Conn, dropping relayState) {
 	defer to.Close()
 	defer from.Close()
