--- a/sessions/random_test.go
+++ b/sessions/random_test.go
@@ -355,7 +355,8 @@
 	}
 }
 
-// checkJob reports a job that is not final and an epoch that ran twice.
+// checkJob reports a job whose state is not final, and an epoch of the job that
+// ran twice.
 func (c *chaos) checkJob(id string) {
 	if j := c.s.job(id); !j.State.Final() {
 		c.t.Errorf("job %s is %q (%s) after all faults ended; GET returns %s", id, j.State, j.Reason, c.s.request(c.s.entries[0], "GET", "/v1/jobs/"+id, "").Body)
@@ -425,8 +426,7 @@
 	}
 }
 
-// overcommitWindow is the length of the agent's time line that is printed up to
-// an overcommit.
+// overcommitWindow is the time before an overcommit whose events are printed.
 const overcommitWindow = 10 * time.Second
 
 // printOvercommit prints the time line of the agent whose instance was
--- a/sessions/session_test.go
+++ b/sessions/session_test.go
@@ -108,8 +108,8 @@
 	return s
 }
 
-// handler spends the time of work before inner answers, even if the caller has
-// timed out.
+// handler sleeps for the time that work returns and then calls inner, even if
+// the caller has timed out.
 func (s *session) handler(f *occupancy, inner http.Handler, work func() time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer s.enter(f, "call "+r.Header.Get(backend.HeaderRequest))()
@@ -127,7 +127,7 @@
 	return e.Do(ctx, "POST", "/v1/services/"+string(service)+"/call", inproc.CustomerKey(customer), body, header...)
 }
 
-// request sends any other request of the customer.
+// request sends a request of the customer other than an urgent call.
 func (s *session) request(e *inproc.Entry, method, path, body string, header ...string) inproc.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
