--- a/cmd/node/command.go
+++ b/cmd/node/command.go
@@ -86,7 +86,7 @@
 func run(ctx context.Context, log zerolog.Logger, start func() (Process, error)) int {
 	p, err := start()
 	if err != nil {
-		log.Error().Err(err).Msg("could not start")
+		log.Error().Err(err).Msg("process could not start")
 		return exitError
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/node/node.go
+++ b/cmd/node/node.go
@@ -202,7 +202,7 @@
 }
 
 // Wait waits until ctx ends, carries out a planned stop and returns its error.
-// If the process fails before, Wait returns that failure.
+// If the process fails first, Wait returns that failure.
 func Wait(ctx context.Context, p Process) error {
 	select {
 	case err := <-p.Ended():
