--- a/cmd/machine/common.go
+++ b/cmd/machine/common.go
@@ -137,7 +137,7 @@
 	mux.Handle("GET /debug/vars", vars)
 	address := net.JoinHostPort(p.settings.IP.String(), strconv.Itoa(metricsPort))
 	if _, err := p.serveHTTP(address, mux); err != nil {
-		p.log.Warn().Err(err).Str("address", address).Msg("metrics not served")
+		p.log.Warn().Err(err).Str("address", address).Msg("metrics are not served")
 	}
 }
 
@@ -159,7 +159,7 @@
 func (p *program) reload() {
 	s, err := boot.Load()
 	if err != nil {
-		p.log.Error().Err(err).Msg("could not reload settings; former settings stay in force")
+		p.log.Error().Err(err).Msg("could not read settings file again; settings are unchanged")
 		return
 	}
 	p.log.Info().Bool("changed", s != p.settings).Msg("settings file read again; changes need a restart")
--- a/cmd/machine/entry.go
+++ b/cmd/machine/entry.go
@@ -31,8 +31,8 @@
 	// configTimeout bounds the time without data from the store in one attempt
 	// to read the operator's rows. Further attempts run at the same time.
 	configTimeout = 10 * time.Second
-	// stopReserve is the last part of the grace period, left free before the
-	// process is killed.
+	// stopReserve is the end of the grace period that a stopping process leaves
+	// unused, so that it ends before it is killed.
 	stopReserve = 700 * time.Millisecond
 )
 
@@ -90,8 +90,8 @@
 		"store":        func() any { return map[string]int64{"calls": direct.Calls(), "relayed": relayed.Relayed()} },
 	})
 	p.log.Info().Str("clients", p.settings.ClientListen).Str("peers", p.peerAddress()).Msg("entry started")
-	// Relaying and reading of the configuration continue after a stop, while
-	// open calls are answered.
+	// Store calls are still relayed and the configuration is still read after a
+	// stop, while open calls are answered.
 	go relayed.Run(context.WithoutCancel(ctx), p.settings.Node)
 	go config.Run(context.WithoutCancel(ctx))
 	elector.Run(ctx)
