--- a/cmd/persimmonrock/commands_test.go
+++ b/cmd/persimmonrock/commands_test.go
@@ -95,8 +95,8 @@
 
 // An operator's change is accepted, but the answer is lost. The command repeats
 // the change under the same operation ID and must report the revision of the
-// first acceptance, not a conflict with itself. Another operator's change
-// between the command's read and write must win instead.
+// first acceptance, not a conflict with the first attempt. Another operator's
+// change between the command's read and write must win instead.
 func TestContractApplyWithLostAnswerAndRace(t *testing.T) {
 	runGolden(t, "contract_faults", []step{
 		{line: "contract apply granite.json", before: func(f *fakeEntry) { f.loseAnswer = true }},
--- a/cmd/persimmonrock/contract.go
+++ b/cmd/persimmonrock/contract.go
@@ -147,7 +147,7 @@
 }
 
 // reportResult prints the result and then the number of processes in which its
-// revision is in force. With wait, it waits in between until all have the
+// revision is in force. With wait, it prints the number only once all have the
 // revision.
 func (s *session) reportResult(ctx context.Context, result applied, wait bool) error {
 	if !s.json {
--- a/cmd/persimmonrock/dev.go
+++ b/cmd/persimmonrock/dev.go
@@ -151,7 +151,6 @@
 	return answer.StatusCode, err
 }
 
-// urgentBody is the body of the sample call.
 const urgentBody = `{"sample":"GN-17"}`
 
 func urgentURL(s *node.Sample) string {
--- a/cmd/persimmonrock/dev_test.go
+++ b/cmd/persimmonrock/dev_test.go
@@ -36,8 +36,7 @@
 // awaitOutput waits until o contains want, for at most limit of this process's
 // running time, and returns that time. A step of the loop that takes longer
 // than a tenth of a second is not counted, since neither the process nor the
-// tested code ran meanwhile. On a busy machine they pause for up to 2.8 s at a
-// time.
+// tested code ran meanwhile. On a busy machine such a pause lasts up to 2.8 s.
 func awaitOutput(t *testing.T, o *output, want string, limit time.Duration) time.Duration {
 	t.Helper()
 	const pollDelay, maxStep = 5 * time.Millisecond, 100 * time.Millisecond
--- a/cmd/persimmonrock/version.go
+++ b/cmd/persimmonrock/version.go
@@ -14,7 +14,6 @@
 	define:  func(*flag.FlagSet) action { return printVersion },
 }
 
-// version describes the binary.
 type version struct {
 	Version  string `json:"version"`
 	Commit   string `json:"commit,omitempty"`
