--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -303,7 +303,6 @@
 	return b
 }
 
-// response is one HTTP answer.
 type response struct {
 	status int
 	header http.Header
--- a/cmd/e2e/measure_test.go
+++ b/cmd/e2e/measure_test.go
@@ -81,8 +81,7 @@
 	w.measureJobs(key)
 }
 
-// callsPerChange is the divisor of -measure that gives the number of timed
-// changes.
+// callsPerChange is the number of calls (-measure) for each timed change.
 const callsPerChange = 100
 
 // Measures the time from an operator's change until every process of a
--- a/cmd/e2e/random_test.go
+++ b/cmd/e2e/random_test.go
@@ -47,7 +47,6 @@
 	}
 }
 
-// faultRun is one randomised run.
 type faultRun struct {
 	*claims
 	rng       *rand.Rand
--- a/cmd/e2e/relay_test.go
+++ b/cmd/e2e/relay_test.go
@@ -12,11 +12,10 @@
 	"time"
 )
 
-// link identifies the connections that one process opens to another, by their
-// names.
+// link identifies the connections that one process opens to another by the
+// names of both processes.
 type link struct{ from, to string }
 
-// linkState is the way in which a relay treats a link.
 type linkState int
 
 // The states of a link. A cut link resets its connections and refuses new ones.
