--- a/cmd/internal/client/client.go
+++ b/cmd/internal/client/client.go
@@ -22,8 +22,8 @@
 	// maxAnswer bounds the part of an answer that is read into memory, in
 	// bytes.
 	maxAnswer = 256 << 20
-	// maxAttempts bounds the attempts at an idempotent request. firstDelay
-	// precedes the second one and doubles with each further one.
+	// maxAttempts bounds the attempts at an idempotent request. firstDelay is
+	// the delay before the second attempt; each further delay is twice as long.
 	maxAttempts = 3
 	firstDelay  = 200 * time.Millisecond
 )
@@ -52,7 +52,6 @@
 	}
 }
 
-// request is one request of the interface.
 type request struct {
 	method string
 	path   string
