--- a/entry/scheduler/advice.go
+++ b/entry/scheduler/advice.go
@@ -85,9 +85,9 @@
 	return lift
 }
 
-// queueAdviceRequest queues a request about those of the given candidates that
-// are not denied and have capacity for the step. If these are more than
-// adviceWorkers, it takes the ones with the most free CPU.
+// queueAdviceRequest requests tickets for the given candidates that are not
+// denied and have capacity for the step. At most adviceWorkers are requested,
+// those with the most free CPU.
 func (t *Term) queueAdviceRequest(v *view, among []int, s *step, id policy.Step, now time.Time) {
 	a := s.advice
 	if a.pending || now.Before(a.retryAt) || t.deps.Policy == nil {
--- a/entry/scheduler/bars.go
+++ b/entry/scheduler/bars.go
@@ -19,7 +19,7 @@
 }
 
 // barPressed bars the workers whose Presses is set for a task of s, if another
-// worker is large enough for the task. Otherwise the task would run very slowly
+// worker is large enough. On a barred worker, the task would run very slowly
 // and take serving tasks over their targets; waiting is better.
 func (v *view) barPressed(s *workload.Step) {
 	first := len(v.barred)
--- a/entry/scheduler/commit.go
+++ b/entry/scheduler/commit.go
@@ -13,9 +13,9 @@
 const (
 	// renewEvery is the time between transactions of an idle scheduler.
 	renewEvery = 500 * time.Millisecond
-	// commitGap is the least time between two rounds of transactions. One round
-	// stores all ends and starts of that time, since users pay for each call of
-	// the store.
+	// commitGap is the least time between two rounds of transactions. A round
+	// stores all ends and starts since the previous round, since users pay for
+	// each call of the store.
 	commitGap = 15 * time.Millisecond
 	// commitRows bounds the rows of a transaction, below the store's limit.
 	commitRows = 80
@@ -149,8 +149,8 @@
 	pause := commitRetry
 	for t.ctx.Err() == nil {
 		sent := t.deps.Now()
-		// A process that is stopping still waits for the answer: it needs the version
-		// of its last transaction to release the lease.
+		// The answer is awaited even while the process stops: the release of the
+		// lease needs the version of the last transaction.
 		stamp, err := t.deps.Store.Apply(context.WithoutCancel(t.ctx), full)
 		t.deps.Counters.Commits.Add(1)
 		if err == nil {
@@ -177,7 +177,7 @@
 }
 
 // ownVersion returns the version of the conflicting lease row if the row equals
-// want, that is, an earlier attempt was applied; else 0.
+// want, which shows that an earlier attempt was applied; otherwise 0.
 func ownVersion(conflict *rowstore.ConflictError, want leaseRow) uint64 {
 	row := conflict.Find(leaseKey)
 	var have leaseRow
@@ -272,5 +272,5 @@
 		Conds: []rowstore.Cond{{Key: leaseKey, Version: t.leaseVersion}},
 		Puts:  []rowstore.Put{{Key: leaseKey, Value: encode(lease)}},
 	})
-	t.deps.Log.Info().Err(err).Uint64("epoch", t.epoch).Msg("lease released")
+	t.deps.Log.Info().Err(err).Uint64("epoch", t.epoch).Msg("lease release attempted")
 }
--- a/entry/scheduler/crash.go
+++ b/entry/scheduler/crash.go
@@ -10,17 +10,18 @@
 // A task may crash each worker that starts it, and thereby end all other runs
 // there. No end is reported: the run is lost with its worker, as when a machine
 // fails. So each task's row counts the workers lost shortly after a start of
-// the task. The count is cleared when a run is done, or is proven: the worker
-// still answers a while after the run's start. If possible, suspect tasks start
-// in quarantine (quarantine.go), where only one job can be the cause of the
-// next crash.
+// the task. The count is cleared when a run is done or is proven harmless: the
+// worker still answers a while after the run's start. If possible, suspect
+// tasks start in quarantine (quarantine.go), where only one job can be the
+// cause of the next crash.
 
 const (
 	// crashesToFail is the number of certain crashes (the task was on the worker,
 	// and no other job can be the cause) after which the task's job is failed.
 	crashesToFail = 2
-	// quickCrashesToFail is the same for consecutive crashes within moments of the
-	// task's start, of which only the last must be certain.
+	// quickCrashesToFail is the number of consecutive crashes within moments of
+	// the task's start after which the job is failed. Only the last must be
+	// certain.
 	quickCrashesToFail = 3
 	// maxCrashes is the number of crashes after which a task's job is failed even
 	// if each of them may have had another cause.
@@ -34,8 +35,8 @@
 // workerLoss describes the loss of a worker.
 type workerLoss struct {
 	reason string
-	// judged says that the worker's agent has named the runs that may be the
-	// cause; fresh holds these runs.
+	// judged says that the worker's agent has named the runs that may have caused
+	// the loss; fresh holds these runs.
 	judged bool
 	fresh  map[workload.RunID]dispatch.SuspectRun
 	// crashed says that the incarnation has ended, not just become unreachable.
@@ -111,8 +112,8 @@
 		t.deps.Log.Info().Stringer("run", s.run).Str("worker", string(w.id)).Int("crashes", s.task.crashes).Bool("begun", s.begun).Bool("soon", s.soon).
 			Msg("run may have crashed its worker")
 	}
-	// The suspects are kept: a worker that became unreachable is removed again, as
-	// crashed, when its incarnation ends.
+	// The suspects are kept: if w is only unreachable now, a certain crash is
+	// counted when its incarnation ends.
 	w.suspects = append(w.suspects, suspects...)
 	if loss.crashed {
 		t.countCertainCrash(w.suspects)
@@ -124,7 +125,8 @@
 	}
 }
 
-// nextQuickCrashes returns quickCrashes after one more crash: 0 if not soon.
+// nextQuickCrashes returns quickCrashes after one more crash; 0 if not a quick
+// one.
 func (k *task) nextQuickCrashes(soon bool) int {
 	if !soon {
 		return 0
--- a/entry/scheduler/decisions.go
+++ b/entry/scheduler/decisions.go
@@ -10,12 +10,12 @@
 )
 
 // This file logs the runs of a term. A step has tens of tasks that are placed
-// together and end one after the other. On hundreds of workers, thousands end
-// in a second. A line for each would exceed the log limit of a process, and
-// dropped lines would be missing when a request is to be traced. So there is
-// one line for all placements of a step in a plan, and one for the step's
-// completion. Ends of runs that do not advance their step have a line each.
-// Agents log each start and end.
+// together and end one after the other. On hundreds of workers, thousands of
+// tasks end in a second. A line for each would exceed the log limit of a
+// process, and dropped lines would be missing when a request is to be traced.
+// So there is one line for all placements of a step in a plan, and one for the
+// step's completion. Ends of runs that do not advance their step have a line
+// each. Agents log each start and end.
 
 // logKnown logs a job without stored progress.
 func (t *Term) logKnown(j *job) {
--- a/entry/scheduler/drain.go
+++ b/entry/scheduler/drain.go
@@ -25,11 +25,10 @@
 // updateDrains reads which data centres are drained. If that has changed, it
 // notifies the agents concerned and returns true, as a plan is needed.
 //
-// Failure guarded against: an entry whose connection to the store is partly
-// lost, or that has just taken over, does not know of a drain and still places
-// tasks there. So nothing is placed while the known drains are too old. Each
-// agent also checks before a start: in a drained data centre, it refuses runs
-// placed earlier.
+// Guards against: an entry places tasks in a drained data centre. It does not
+// know of the drain if it has just taken over, or its connection to the store
+// is partly lost. So nothing is placed while the known drains are too old.
+// Agents in a drained data centre also refuse to start runs placed earlier.
 func (t *Term) updateDrains() bool {
 	drains, age := t.deps.Drains()
 	if drainsStale := age > drainsMaxAge; drainsStale != t.drainsStale {
--- a/entry/scheduler/elector.go
+++ b/entry/scheduler/elector.go
@@ -28,24 +28,24 @@
 	// for this long: it is frozen, cut off, or its machine is gone. A holder that
 	// only waits for a slow store answers.
 	unansweredAfter = time.Second
-	// readsPerTxn is the longest duration of a transaction divided by a read's.
-	// The lease of a holder that does not answer must also stay unchanged for the
-	// duration of a transaction beyond unansweredAfter.
+	// readsPerTxn is the longest duration of a transaction, in durations of a
+	// read. If the holder does not answer, its lease must also stay unchanged for
+	// unansweredAfter plus the duration of a transaction.
 	readsPerTxn = 4
-	// pingTimeout bounds a request to the holder, minPingTimeout one that is sent
-	// shortly before unansweredAfter has passed.
+	// pingTimeout is the timeout of a request to the holder, minPingTimeout the
+	// least timeout of a request sent when unansweredAfter has nearly passed.
 	pingTimeout    = 350 * time.Millisecond
 	minPingTimeout = 100 * time.Millisecond
 	// weakerWait is the time for which an entry leaves a free lease to stronger
-	// machines, if the last holder's machine was stronger than its own by
-	// strongerBy. Stronger machines read the lease within pollEvery.
+	// machines, if the last holder's machine was at least strongerBy times as
+	// strong as the entry's. Stronger machines read the lease within pollEvery.
 	weakerWait = 600 * time.Millisecond
 	// freePoll is the time between two reads of a lease that may soon be taken.
 	freePoll = 100 * time.Millisecond
 	// takeJitter spreads the attempts of entries that find the lease free.
 	takeJitter = 60 * time.Millisecond
-	// maxReadGap is the time without a successful read after which the lease is
-	// observed from the start again.
+	// maxReadGap is the time without a successful read after which earlier
+	// observations of the lease are discarded.
 	maxReadGap = 1200 * time.Millisecond
 )
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// Follow tracks the leader without ever taking the lease, for a process that
-// stops and still answers calls.
+// Follow tracks the leader without ever taking the lease, for a process that is
+// stopping but still answers calls.
 func (e *Elector) Follow(ctx context.Context) {
 	var w watch
 	for ctx.Err() == nil {
@@ -197,7 +197,7 @@
 // row first. It needs a second to read the jobs of hundreds of workers, falls
 // behind, and some seconds later hands the lease to a stronger machine. The
 // handover pauses scheduling again. So an entry on a weaker machine than the
-// last holder's takes the lease only if it stays free for weakerWait.
+// last holder's waits until the lease has been free for weakerWait.
 func (e *Elector) shouldTake(ctx context.Context, w *watch, lease leaseRow) bool {
 	if !e.leaseFree(ctx, w, lease) {
 		w.freeSince = 0
@@ -317,7 +317,7 @@
 // releaseTimeout bounds the release of the lease at the end of a term.
 const releaseTimeout = 600 * time.Millisecond
 
-// Term returns the term that this process serves, or nil if none is ready.
+// Term returns the term that this process serves, or nil without a ready term.
 func (e *Elector) Term() *Term {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/scheduler/health.go
+++ b/entry/scheduler/health.go
@@ -29,7 +29,7 @@
 //
 // Failure guarded against: all tasks fail on a worker within milliseconds, so
 // that it always has the most free capacity. Tasks return to it until their
-// attempts are used up, and many jobs fail that other workers could have done.
+// attempts are used up, and many jobs fail though other workers could run them.
 // So a failed task loses one attempt, and avoids the worker until a run
 // succeeds there, at most for avoidFor. After failures of three jobs, the
 // worker gets no tasks with limited attempts for suspectFor. Successes of runs
@@ -80,7 +80,7 @@
 	t.deps.Log.Warn().Str("worker", string(w.id)).Str("instance", w.agent).Int("jobs", len(w.health.failedJobs)).Msg("worker suspect: runs of several jobs failed")
 }
 
-// startRefused makes the worker suspect for half of suspectFor after a refusal.
+// startRefused makes the worker suspect for suspectFor/2 after a refused start.
 func (w *worker) startRefused(now time.Duration) {
 	w.health.suspectUntil = max(w.health.suspectUntil, now+suspectFor/2)
 }
--- a/entry/scheduler/health_test.go
+++ b/entry/scheduler/health_test.go
@@ -13,9 +13,10 @@
 }
 
 // Failure guarded against: all new tasks fail on a worker, but runs that began
-// there before the first failure succeed and clear the worker again and again.
-// Twenty jobs use up their attempts there in three seconds. The number of
-// failing jobs distinguishes such a worker from a job that fails everywhere.
+// there before the first failure succeed and reset the worker's failure count
+// again and again. Twenty jobs use up their attempts there in three seconds.
+// The number of failing jobs distinguishes such a worker from a job that fails
+// everywhere.
 func TestOnlyLaterSuccessesClearAWorker(t *testing.T) {
 	now := time.Hour
 	begun := time.Now()
@@ -46,11 +47,11 @@
 	}
 }
 
-// For avoidFor, a failed task does not return to its worker before a success
-// there, if another worker could ever take the task. A deployment's only worker
-// takes the task again. Lasting tasks, which have no limit of attempts, may
-// return. Failure guarded against: a lasting task waits for 14 s beside the
-// only free capacity, because other tasks continue to fail on that worker.
+// A failed task avoids its worker until a success there, at most for avoidFor,
+// if another worker could ever take the task. A deployment's only worker takes
+// the task again. Lasting tasks, which have no limit of attempts, may return.
+// Failure guarded against: a lasting task waits for 14 s beside the only free
+// capacity, because other tasks continue to fail on that worker.
 func TestFailedTaskAvoidsWorkerWhileOthersCouldTakeIt(t *testing.T) {
 	small, large := workload.Resources{CPU: 1000}, workload.Resources{CPU: 8000}
 	step := func(cpu int, label string) *workload.Step {
--- a/entry/scheduler/holdcapacity.go
+++ b/entry/scheduler/holdcapacity.go
@@ -9,7 +9,7 @@
 
 // holdCapacity holds capacity on one worker for a lasting task that has run
 // before and fits nowhere now. Tasks there that end by themselves free the
-// capacity. Without the hold, new short tasks would take it bit by bit.
+// capacity. Without the hold, new short tasks would use up the freed capacity.
 func (t *Term) holdCapacity(v *view, j *job, o *occurrence, si, i int, now time.Time) {
 	s := o.steps[si]
 	k := &s.tasks[i]
--- a/entry/scheduler/job.go
+++ b/entry/scheduler/job.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// find returns the task under id, or nil.
+// find returns the step and the task of id, or nils if id is unknown.
 func (j *job) find(id workload.TaskID) (*step, *task) {
 	for _, o := range j.occurrences {
 		if o.number != id.Occurrence {
@@ -265,7 +265,7 @@
 	return sr
 }
 
-// reference returns 1 + the index of ref in the row's workers, added if
+// reference returns 1 + the index of ref in the row's workers. It adds ref if
 // missing.
 func reference(ref workerRef, refs map[workerRef]int, r *progressRow) int {
 	if n, ok := refs[ref]; ok {
--- a/entry/scheduler/learner.go
+++ b/entry/scheduler/learner.go
@@ -15,7 +15,7 @@
 	sampleEvery      = 500 * time.Millisecond
 	samplesPerSecond = 200
 	// unknownPerSecond bounds the samples taken at shorter intervals on workers
-	// that run a pair of images of unknown pressure.
+	// with a filling image whose pressure on a serving image is unknown.
 	unknownPerSecond = 50
 	// sameLoadWindow is the longest time between two samples that count as taken
 	// at the same load of a job; the load changes within seconds.
@@ -23,7 +23,7 @@
 	// othersCount is the weight of a sample's comparison with samples of other
 	// workers: each pair of samples is compared once, so half of the comparisons
 	// add information. ownCount is the weight of the comparison with the worker's
-	// previous sample, since which the job's own load has changed.
+	// previous sample: the job's own load may have changed in between.
 	othersCount = 0.5
 	ownCount    = 0.3
 	// maxOthers bounds the other workers that a sample is compared with; map
@@ -35,7 +35,7 @@
 	solveEvery = 250 * time.Millisecond
 	maxFade    = 5 * time.Second
 	// harmlessExtra is the extra load below which a filling task counts as not
-	// pressing.
+	// pressing on a serving image.
 	harmlessExtra = 0.015
 	// pressingExtra is the extra load above which a filling task should run
 	// elsewhere. A serving task can bear 0.15 more than its highest own load.
--- a/entry/scheduler/leftover.go
+++ b/entry/scheduler/leftover.go
@@ -23,8 +23,8 @@
 	// ownLoadReserve is the share of a serving task's CPU that is kept free for
 	// changes of the task's load.
 	ownLoadReserve = 0.08
-	// defaultUnused is the share of their CPU that tasks without a known load are
-	// assumed to leave unused.
+	// defaultUnused is the assumed unused share of a task's CPU while the load of
+	// the task is unknown.
 	defaultUnused = 0.45
 )
 
@@ -53,8 +53,8 @@
 }
 
 // leftover is the reserved CPU of w that filling work may use: the CPU that the
-// other tasks leave unused. A result above 0 plus the free CPU is at most the
-// fillLimit of each serving task with a known load.
+// other tasks leave unused. The sum of the result, if above 0, and the free CPU
+// is at most the fillLimit of each serving task with a known load.
 //
 // A fixed share would leave processors idle while serving tasks have little
 // load, and take these tasks over their targets when they have much.
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -219,8 +219,8 @@
 	return wake
 }
 
-// newProcess resets the link for another process of the agent, which has none
-// of the orders sent to the earlier one.
+// newProcess resets the link for a new process of the agent, which has received
+// none of the earlier orders.
 func (l *agentLink) newProcess(process uint64) {
 	l.process = process
 	l.since = 0
--- a/entry/scheduler/load.go
+++ b/entry/scheduler/load.go
@@ -148,7 +148,7 @@
 	}
 	j := t.jobs[id]
 	if j == nil {
-		// The job was being retired when the earlier term ended.
+		// The earlier term deleted the job's other rows before it ended.
 		t.retired = append(t.retired, id)
 		return
 	}
--- a/entry/scheduler/plan.go
+++ b/entry/scheduler/plan.go
@@ -145,9 +145,9 @@
 	// for which the job still waits for a worker on which it does not press. Then
 	// it takes any free capacity, so that no job waits forever.
 	waitLimit = 30 * time.Second
-	// idleWaitLimit bounds this wait, overdue or not, for a job without a placed
-	// task while most of the service's capacity is free. Otherwise the client would
-	// see the job stand still beside idle workers.
+	// idleWaitLimit bounds this wait for any job without a placed task while most
+	// of the service's capacity is free. Otherwise the client would see the job
+	// stand still beside idle workers.
 	idleWaitLimit = 2 * time.Second
 	// mostlyFree is the used share below which a service's CPU is mostly free.
 	mostlyFree = 0.52
--- a/entry/scheduler/pressureupdate.go
+++ b/entry/scheduler/pressureupdate.go
@@ -25,7 +25,7 @@
 
 // pressureUpdate is the last update sent to an agent.
 type pressureUpdate struct {
-	// version is that of the model.
+	// version is the version of the model.
 	version   uint64
 	at        time.Duration
 	pairs     map[pressure.Pair]pressure.Weight
--- a/entry/scheduler/quarantine.go
+++ b/entry/scheduler/quarantine.go
@@ -11,8 +11,8 @@
 // A task is next started in quarantine if it may have crashed a worker within
 // moments of the task's start, or two workers at any time. In quarantine, no
 // task of another job has begun on the worker lately, and none begins until the
-// suspect task is proven (see crash.go). A crash there shows the cause, and
-// costs least where few runs are.
+// suspect task is proven (see crash.go). So a crash there shows its cause.
+// Workers with few runs are preferred, as a crash ends all of them.
 
 const (
 	// quarantineWait bounds a task's wait for a quarantine. Then the task starts
@@ -139,8 +139,8 @@
 }
 
 // quarantineWorker returns the candidate that is in quarantine for the job, or
-// puts one in quarantine for it. If there is no such candidate, it returns -1;
-// busy says whether one may become available.
+// puts a candidate in quarantine for the job. Failing both, n is -1, and busy
+// says whether a candidate may become available.
 func (t *Term) quarantineWorker(v *view, j *job, s *step, now time.Time) (n int, busy bool) {
 	own, dedicated, all := v.quarantines(j.spec.ID)
 	switch {
@@ -191,7 +191,7 @@
 	return best
 }
 
-// permitted reports whether the step needs no permission for w, or has one.
+// permitted reports whether the step needs no ticket for w, or has a valid one.
 func (s *step) permitted(w workload.WorkerID, now time.Time) bool {
 	if s.advice == nil {
 		return true
--- a/entry/scheduler/rank.go
+++ b/entry/scheduler/rank.go
@@ -19,7 +19,7 @@
 	return order.Objective(j.queue, order.Chain(j.spec.Steps, took, func(int) bool { return false }))
 }
 
-// rank returns the job's place in the order now.
+// rank returns the key by which a plan made at now orders the job.
 func (t *Term) rank(j *job, now time.Duration) order.Key {
 	accepted := time.Duration(j.spec.Accepted) * time.Millisecond
 	if j.spec.Steps[0].Lasting || j.spec.Repeat.Count > 0 {
--- a/entry/scheduler/retire.go
+++ b/entry/scheduler/retire.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// retireEvery is the time between two checks for jobs to retire.
+	// retireEvery is the time between two checks for jobs whose rows may be
+	// deleted.
 	retireEvery = 10 * time.Second
 	// retireMargin is the time for which a job is kept beyond StatusFor: a client
 	// may repeat a submission seconds after the answer, and the job would run
 	// again if its row were deleted.
 	retireMargin = 2 * time.Minute
-	// retireBatch bounds the jobs of one check; each has up to two rows beside
-	// its progress.
+	// retireBatch bounds the jobs of one check; a job has up to two rows beside
+	// its progress row.
 	retireBatch = 40
 )
 
@@ -87,7 +88,7 @@
 			}
 		}
 		if _, err := t.deps.Store.Apply(t.ctx, x); err != nil {
-			t.deps.Log.Info().Err(err).Int("jobs", len(list)).Msg("jobs not retired yet")
+			t.deps.Log.Info().Err(err).Int("jobs", len(list)).Msg("rows of ended jobs not deleted; trying again later")
 			continue
 		}
 		for _, o := range list {
@@ -95,7 +96,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		t.deps.Log.Info().Int("jobs", len(gone)).Msg("jobs retired")
+		t.deps.Log.Info().Int("jobs", len(gone)).Msg("rows of ended jobs deleted, except for their progress")
 	}
 	return gone
 }
--- a/entry/scheduler/rows.go
+++ b/entry/scheduler/rows.go
@@ -25,9 +25,9 @@
 	schedulerPart = "s"
 )
 
-// jobParts is the number of partitions for submissions. Each executes one
-// transaction at a time, in 8 ms. If the store is 70 times slower, 32
-// partitions take 57 submissions a second, so that few wait for another.
+// jobParts is the number of partitions for submissions. A partition executes
+// one transaction at a time, in 8 ms. If the store is 70 times slower, 32
+// partitions take 57 submissions a second, so that submissions rarely wait.
 const jobParts = 32
 
 // cancelSuffix marks the row of a job's cancellation.
--- a/entry/scheduler/term.go
+++ b/entry/scheduler/term.go
@@ -41,11 +41,12 @@
 	Now func() time.Duration
 	// Config returns the configuration in force, or nil.
 	Config func() *workload.Config
-	// Drains returns the drained data centres, and the age of that knowledge.
+	// Drains returns the drained data centres, and the age of this list.
 	Drains func() (workload.Drains, time.Duration)
 	// Link opens a link to the process at an address.
 	Link func(address string) *dispatch.Link
-	// Policy names the permitted workers of some queues; nil if there is none.
+	// Policy names the permitted workers of some queues; nil without a policy
+	// service.
 	Policy policy.Advisor
 	// Counters accumulates metrics over all terms of the process.
 	Counters *Counters
@@ -86,7 +87,7 @@
 	agents  map[string]*agentLink
 	workers map[workload.WorkerID]*worker
 	learner learner
-	// savedVersion and savedAt describe the last save of the learner.
+	// savedVersion is the model version last saved, at savedAt.
 	savedVersion uint64
 	savedAt      time.Duration
 	// queues are those of the configuration of version queuesVersion.
--- a/entry/scheduler/trials.go
+++ b/entry/scheduler/trials.go
@@ -37,7 +37,8 @@
 	scanned   time.Duration
 }
 
-// scan records the unknown pairs that run together, and drops old trials.
+// scan records the pairs of unknown pressure that run together, and drops old
+// trials.
 func (x *trials) scan(workers []*worker, t *weightTable, now time.Duration) {
 	if now-x.scanned < trialScanEvery && x.byFilling != nil {
 		return
@@ -85,8 +86,8 @@
 	}
 }
 
-// onTrial reports whether the filling image is on trial at all; most are not,
-// and a plan checks this for each step.
+// onTrial reports whether any pair with the filling image is on trial. Plans
+// call it for each step, to skip the images without trials.
 func (x *trials) onTrial(filling string) bool { return len(x.byFilling[filling]) > 0 }
 
 // onTrialElsewhere reports whether a pair of the filling image and a serving
--- a/entry/scheduler/worker.go
+++ b/entry/scheduler/worker.go
@@ -44,8 +44,8 @@
 	health      health
 	// answeredAt is when the agent last reported that the worker answers.
 	answeredAt time.Duration
-	// suspects are tasks that may have crashed the worker; nil when it answers
-	// again.
+	// suspects are tasks that may have crashed the worker; nil once the worker
+	// answers again.
 	suspects []suspect
 	// quarantine dedicates the worker to one job for a while; nil otherwise.
 	quarantine *quarantine
