--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -69,7 +69,7 @@
 	return v
 }
 
-// BenchmarkPlaceBatch reports the cost of one placement in a round of 23.
+// BenchmarkPlaceBatch reports the cost of one placement in a round of 23 placements.
 func BenchmarkPlaceBatch(b *testing.B) {
 	m := benchModel()
 	for _, workers := range []int{10, 100, 1000} {
--- a/decide/control_test.go
+++ b/decide/control_test.go
@@ -135,7 +135,7 @@
 			t.Errorf("%s: parked %v, %s", kind, parked, hold.Reason)
 		}
 	}
-	// Success of tasks started before the worker broke must not release it.
+	// Success of tasks started before the worker broke must not release the worker.
 	h.Report(now, worker(7), "k0", true)
 	h.Report(now, worker(7), "k0", true)
 	if q, _, _ := h.Worker(now, worker(7)); !q {
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -51,16 +51,16 @@
 	return float64(sum) / float64(count)
 }
 
-// Recent returns the value of SlotUse.Recent. It subtracts the slot being requested,
-// which each observation must include. The result is above 0: 0 means unknown.
+// Recent returns the value of SlotUse.Recent: the mean minus 1, for the requested
+// slot, which each observation must include. It is above 0, since 0 means unknown.
 func (d *Demand) Recent(now time.Duration) float64 {
 	const leastKnown = 1e-9
 	return max(leastKnown, d.Mean(now)-1)
 }
 
-// Expected returns the number of slots to keep ready, between mean and peak. Most
-// slots kept for the whole peak would be idle, and a call that finds no free slot
-// here usually finds one on another instance.
+// Expected returns the number of slots to keep ready, between mean and peak. If
+// all slots of the peak were kept, most of them would be idle. A call that finds no
+// free slot here usually finds a free slot on another instance.
 func (d *Demand) Expected(now time.Duration) int {
 	return int(meanWeight*d.Mean(now) + (1-meanWeight)*float64(d.Peak(now)) + 0.5)
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,5 +1,5 @@
-// Package decide decides where work runs but carries nothing out: it does no
-// I/O, reads no clock and has no global state. Time is an argument, a
+// Package decide decides where work runs; callers carry out the decisions. It does
+// no I/O, reads no clock and has no global state. Time is an argument, a
 // time.Duration since a fixed origin that the caller chooses; randomness is an
 // argument too. Each decision can therefore be replayed, benchmarked and
 // compared with other policies.
--- a/decide/health.go
+++ b/decide/health.go
@@ -19,8 +19,8 @@
 	maxProbeDelay     = 30 * time.Minute
 	probesToRelease   = 2
 	maxHealthCells    = 65_536
-	// decayTolerance lowers the limits of failure counts, since recent failures
-	// already count slightly less than 1.
+	// decayTolerance is subtracted from limits of failure counts, since decay makes
+	// even a recent failure count slightly less than 1.
 	decayTolerance = 0.05
 )
 
@@ -45,8 +45,8 @@
 	probeAt   time.Duration
 	backoff   time.Duration
 	successes int
-	// probeSent is set while the result of a probe is pending. Otherwise outcomes
-	// are ignored: tasks started before the worker broke may still succeed.
+	// probeSent is set while the result of a probe is pending. While it is not
+	// set, outcomes are ignored: tasks started before the worker broke may succeed.
 	probeSent bool
 }
 
@@ -57,8 +57,8 @@
 
 // Health distinguishes workers that fail all tasks from job kinds that fail on
 // all workers. A single failure is consistent with both, so outcomes are counted
-// per pair of worker and kind. A worker is quarantined only if it fails more often
-// than its kinds fail on other workers. The zero value is ready for use.
+// per pair of worker and kind. A worker is quarantined only if tasks fail more often
+// on it than tasks of the same kinds on other workers. The zero value is ready for use.
 type Health struct {
 	cells        map[structs.InstanceID]map[structs.Kind]*outcomes
 	byKind       map[structs.Kind]map[structs.InstanceID]*outcomes
@@ -74,8 +74,8 @@
 
 // Report records the outcome of one run of a task of kind k on instance. ok is
 // false for a run that failed or was lost; stopped runs must not be reported.
-// Report returns false if it drops the report, for example because the newest
-// report is later by more than healthHalfLife.
+// Report returns false if it drops the report: for an invalid argument, for a full
+// table, or if now is more than healthHalfLife before the newest report.
 func (h *Health) Report(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool) bool {
 	if instance == "" || k == "" || now < 0 || now < h.newestReport-healthHalfLife {
 		h.counters.Dropped++
@@ -159,8 +159,8 @@
 		return
 	}
 	// Requiring three standard deviations would take dozens of failures. Instead,
-	// the failures must be twice the expected number and exceed it by almost
-	// excessFailures. A worker whose kinds also fail elsewhere does not reach that.
+	// the failures must be at least twice the expected number and exceed this number
+	// by almost excessFailures. Failures of kinds that also fail elsewhere are expected.
 	if failed-expected < excessFailures*failed/(failed+1) || failed < 2*expected {
 		return
 	}
@@ -235,8 +235,8 @@
 	return true, now >= q.probeAt, hold
 }
 
-// RecordProbe records that a probe was sent to instance. The next probe is due
-// only after the report of this probe, or after the backoff if no report arrives.
+// RecordProbe records that a probe was sent to instance. No other probe is due until
+// the outcome of this probe is reported or the backoff has passed.
 func (h *Health) RecordProbe(now time.Duration, instance structs.InstanceID) {
 	q := h.quarantines[instance]
 	if q == nil {
@@ -248,7 +248,7 @@
 	q.probeAt = now + q.backoff
 }
 
-// Kind reports whether jobs of kind k must be parked, and why.
+// Kind reports whether kind k is parked, so that its jobs must not be placed, and why.
 func (h *Health) Kind(k structs.Kind) (parked bool, hold Hold) {
 	hold, parked = h.parked[k]
 	return parked, hold
--- a/decide/history.go
+++ b/decide/history.go
@@ -93,9 +93,9 @@
 	h.changes = append(h.changes[:0], h.changes[first:]...)
 }
 
-// Window returns the mean number of running tasks of each kind between from and to,
+// Window returns, between from and to, the mean number of running tasks of each kind,
 // appended to out[:0], and the mean number of slots of service s in use. It returns
-// false for a window that is empty, ends after now, or begins before the history.
+// false if the window is empty, ends after now or begins before the recorded period.
 func (h *History) Window(now, from, to time.Duration, s structs.Service, out []KindCount) (kinds []KindCount, inUse float64, ok bool) {
 	out = out[:0]
 	if from < h.since || from < now-h.retention || to <= from || to > now {
--- a/decide/hold.go
+++ b/decide/hold.go
@@ -11,7 +11,7 @@
 type Hold struct {
 	// Reason is for operators: "waits: share of customer X used up".
 	Reason string
-	// Refusal is the stable cause, or "" for a job that only waits its turn.
+	// Refusal is the stable cause for programs, or "" for a job that only waits.
 	Refusal structs.RefusalType
 	// RetryAfter is the time after which a retry may succeed; 0 if the caller
 	// must compute it from its queue (see RetryAfter) or if no retry can succeed.
--- a/decide/interference.go
+++ b/decide/interference.go
@@ -33,7 +33,7 @@
 }
 
 // KindCount is the mean number of running tasks of one kind over the window of
-// a sample, each weighted by its speed.
+// a sample, each task weighted by its speed.
 type KindCount struct {
 	Kind  structs.Kind
 	Count float64
@@ -47,7 +47,7 @@
 	// ServiceTime is the mean or median duration of the calls that ended in
 	// the window.
 	ServiceTime time.Duration
-	// Calls is the number of those calls; more calls give more weight.
+	// Calls is the number of calls that ended in the window; it weights the sample.
 	Calls    int
 	Together []KindCount
 }
@@ -58,13 +58,13 @@
 	// Dropped counts samples with negative or absurd values.
 	Dropped uint64
 	// RegimeChanges counts how often the variances of a service's estimates
-	// were raised again (see detectRegimeChange).
+	// were raised (see detectRegimeChange).
 	RegimeChanges uint64
-	// Full counts pairs left out of a sample because the table is full.
+	// Full counts pairs of service and kind ignored because the table is full.
 	Full uint64
 }
 
-// Tuning of the learner. All variances are of relative inflations.
+// Tuning of the learner. Variances are of durations relative to serviceState.scale.
 const (
 	priorHarm      = 0.02
 	priorVariance  = 0.25
@@ -74,7 +74,7 @@
 	varianceFloor  = 1e-6
 	shrinkEvidence = 4.0
 	// priorWeight is the weight of the prior in the mean of a kind, where a
-	// well-known pair has weight 1.
+	// pair with shrinkEvidence or more evidence has weight 1.
 	priorWeight     = 0.5
 	maxInflation    = 50.0
 	maxCount        = 10_000
@@ -129,8 +129,8 @@
 // usable; see NewInterference.
 //
 // A sample's service time is modelled as base + sum of count*harm over the kinds
-// that ran beside it. A residual is distributed over the terms by their
-// uncertainty, so that the effect of a new pair changes no well-known pair much.
+// that ran beside the service. A residual is distributed over the terms by their
+// uncertainty, so that a new pair hardly changes estimates of low variance.
 type Interference struct {
 	services map[structs.Service]*serviceState
 	pairs    int
@@ -257,8 +257,8 @@
 
 // detectRegimeChange raises the variances of the service's base and of the pairs
 // in s when residuals keep one sign for longer than noise explains. Variances
-// shrink with each sample. Without raising them, a change of the workload takes
-// hours to learn, and calls are placed beside tasks that slow them down.
+// shrink with each sample. If they stayed small, learning a change of the workload
+// would take hours, in which calls are placed beside tasks that slow them down.
 func (m *Interference) detectRegimeChange(st *serviceState, s Sample, z float64) {
 	st.cusumHigh = math.Max(0, st.cusumHigh+z-regimeSlack)
 	st.cusumLow = math.Max(0, st.cusumLow-z-regimeSlack)
--- a/decide/learning_test.go
+++ b/decide/learning_test.go
@@ -99,7 +99,7 @@
 }
 
 // The report of a window in which only kind "old" ran arrives after the tasks of
-// "old" ended and one of "new" started. It must count "old" alone.
+// "old" ended and one of "new" started. The window must count "old" alone.
 func TestHistoryCoversMeasuredWindow(t *testing.T) {
 	h := NewHistory(time.Minute)
 	h.Add(0, "old", 2)
--- a/decide/planner.go
+++ b/decide/planner.go
@@ -39,7 +39,7 @@
 	// Order is the job's position within its customer's queue; lower goes first.
 	// The queue must be sorted by Order within each customer.
 	Order uint64
-	// Avoid is an instance on which the job failed last, or "".
+	// Avoid is the instance on which the job last failed, or "".
 	Avoid structs.InstanceID
 }
 
@@ -84,7 +84,7 @@
 	impossibleHolds map[structs.Resources]Hold
 	shareHolds      map[structs.Customer]Hold
 	fullScans       int
-	// cursor determines the start of the next search.
+	// cursor is the index in sites at which the last search of bestSite began.
 	cursor int
 	// blocked is set once a job within its customer's share fitted only on
 	// instances where it was predicted to disturb a service too much. blockedAt
@@ -118,7 +118,7 @@
 	// cursorStep advances the start of each search by less than sampleSize, so
 	// that one round scores only a part of a large fleet.
 	cursorStep = 11
-	// maxFullScans bounds the work of a round in which hardly any job fits.
+	// maxFullScans bounds the number of searches per round that visit the whole fleet.
 	maxFullScans = 256
 	maxNoFit     = 16
 	// borrowReservePart is the part of an instance's slots that tasks beyond their
@@ -134,10 +134,10 @@
 func (p *Planner) Counters() PlannerCounters { return p.counters }
 
 // PlaceBatch chooses up to limit jobs to start and returns the reasons why the
-// other jobs considered wait. Next is always the customer with the smallest
-// weighted dominant share. That is its largest share of any resource, divided by
-// its contract's share. A job that fits nowhere is skipped and blocks no other.
-// Both results are valid until the next call.
+// other jobs considered wait. It always serves next the customer with the
+// smallest weighted dominant share: the customer's largest share of any resource,
+// divided by its contract's share. A job that fits nowhere is skipped and blocks no
+// other. Both results are valid until the next call.
 func (p *Planner) PlaceBatch(v *BatchView, m *Interference, limit int) (placed []Placement, holds map[structs.JobID]Hold) {
 	p.counters.Rounds++
 	p.reset(v, m)
@@ -387,8 +387,8 @@
 	return best, disturbed
 }
 
-// recordHold records why w waits. A need that exceeds the total of every instance
-// has a reason of its own.
+// recordHold records why w waits. If the need exceeds the total of every instance,
+// the reason is that of holdImpossible.
 func (p *Planner) recordHold(v *BatchView, c *customerState, w *Waiting, need structs.Resources, borrows bool) {
 	p.counters.NoFit++
 	if !possibleSomewhere(v, need) {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -81,16 +81,16 @@
 
 func (u *SlotUse) held() int { return u.Urgent + u.Batch }
 
-// reserved returns the number of slots that must stay free for u's urgent calls:
-// those that they are expected to need, at most u's quota, less those that they hold.
-// Slots held by u's batch tasks don't count: these must yield to calls (see Relieve).
+// reserved returns the number of slots that must stay free for u's urgent calls: the
+// smaller of Expected and Quota, minus Urgent. Slots held by u's batch tasks are not
+// subtracted, since these tasks must yield to calls (see Relieve).
 func (u *SlotUse) reserved() int {
 	return max(0, min(u.Expected, u.Quota)-u.Urgent)
 }
 
 // reservedForOthers returns the number of slots that must stay free for customers
 // other than c, the number of further slots that all urgent calls together are
-// expected to need, and the element of c.
+// expected to need, and c's element of uses, or nil.
 func reservedForOthers(uses []SlotUse, c structs.Customer) (reserved, common int, own *SlotUse) {
 	common = 1 << 30
 	for i := range uses {
--- a/decide/relief.go
+++ b/decide/relief.go
@@ -28,8 +28,8 @@
 	Kind     structs.Kind
 	// Ran is the duration of this run so far.
 	Ran time.Duration
-	// Progress is the part of the job done, Saved the part held by its last
-	// checkpoint; both 0 to 1. Runtime is the whole job's expected duration.
+	// Progress is the part of the job that is done. Saved is the part that its last
+	// checkpoint holds. Both are 0 to 1. Runtime is the whole job's expected duration.
 	Progress, Saved float64
 	Runtime         time.Duration
 	// Speed is the present speed; 1 means not throttled.
@@ -74,8 +74,8 @@
 // Tuning of Relieve.
 const (
 	// Tasks are throttled if a service's inflation is above toleratedInflation.
-	// Their speed is raised below restoredInflation, for hysteresis. A strict
-	// latency target lowers both (see inflationLimit).
+	// For hysteresis, their speed is raised only at or below restoredInflation. A
+	// strict latency target lowers both limits (see inflationLimit).
 	toleratedInflation = 2.6
 	restoredInflation  = 2.2
 	// equalWeightCalls is the number of calls at which a measurement has the same
@@ -87,8 +87,8 @@
 	targetPart = 0.5
 	// settleTime is the time until reports show the effect of an action.
 	settleTime = 2 * time.Second
-	// evictAfter is the time over a service's limit, despite throttling, after
-	// which a task is evicted.
+	// evictAfter is the time for which a service's inflation may stay above its
+	// limit despite throttling before a task is evicted.
 	evictAfter = 15 * time.Second
 	// minRunTime is the least run time of a task evicted for pressure or for a slot
 	// owed to a task. Evictions for memory or for a slot owed to calls ignore it.
@@ -238,8 +238,8 @@
 	}
 }
 
-// chooseVictim returns the task with the least loss of progress per unit of
-// relief, of those that ran for at least minRan and give relief, or -1.
+// chooseVictim returns the task with the least cost per unit of relief, or -1 for
+// none. It considers tasks that ran for at least minRan and whose relief is above 0.
 func (r *ReliefTracker) chooseVictim(st *ReliefState, minRan time.Duration, relief func(*RunningTask) float64) int {
 	best, bestCost := -1, math.Inf(1)
 	for i := range st.Tasks {
@@ -305,7 +305,7 @@
 	return trust*float64(s.Time)/float64(base) + (1-trust)*r.predictedInflation(st, m, s)
 }
 
-// predictedInflation returns the inflation of s by the tasks at their speeds.
+// predictedInflation returns the inflation of s predicted for the tasks' speeds.
 func (r *ReliefTracker) predictedInflation(st *ReliefState, m *Interference, s *ServicePressure) float64 {
 	band := BandOf(s.InUse, s.Slots)
 	sum := 1.0
--- a/decide/reports.go
+++ b/decide/reports.go
@@ -32,7 +32,7 @@
 }
 
 // Reports rejects load reports that must not be used: duplicate, older than the
-// last one accepted, of a replaced incarnation, from the future, or with absurd
+// last accepted report, of a replaced incarnation, from the future, or with absurd
 // values. The zero value is ready for use.
 type Reports struct {
 	last     map[structs.InstanceID]lastReport
@@ -49,9 +49,9 @@
 // Counters returns the counts so far.
 func (r *Reports) Counters() ReportCounters { return r.counters }
 
-// Accept checks a report that was taken at time taken, where now is the time of
-// the receiver on the same clock. A receiver that doesn't know when the report
-// was taken passes now for both.
+// Accept checks the report l. taken is the time at which the sender measured l,
+// and now is the receiver's time on the same clock. A receiver that doesn't know
+// the time of measurement passes its own time for both.
 func (r *Reports) Accept(now, taken time.Duration, l *wire.Load) ReportVerdict {
 	v := r.judge(now, taken, l)
 	switch v {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -13,7 +13,7 @@
 )
 
 // RetryAfter returns the time after which a retry may succeed: the time in which
-// slots serve a queue of queueLen calls of serviceTime each, plus a random time of
+// the given slots serve queueLen queued calls of serviceTime each, plus a random time of
 // at most the same length. Callers refused together thus do not retry together.
 func RetryAfter(queueLen, slots int, serviceTime time.Duration, random uint64) time.Duration {
 	wait := minRetryAfter
@@ -25,7 +25,7 @@
 	return wait + time.Duration(unit(mix(random))*float64(wait))
 }
 
-// Retry budget: each first attempt adds a twentieth of a retry, up to a burst, so a
+// Retry budget: each first attempt adds a twentieth of a token, up to retryBurst, so a
 // customer with many calls makes about 1.05 attempts per call in a long outage. A
 // slow refill over time lets customers with few calls retry, too.
 const (
@@ -33,9 +33,9 @@
 	retryBurst   = 20.0
 	retryRefill  = 0.1 // per second
 	// hedgeReserve is the number of tokens that a hedge at p95 must leave. One call
-	// in twenty reaches p95. Hedging them all would use all tokens earned, although
-	// most of them end a moment later. Without a reserve, a call that waits much
-	// longer, or whose attempt failed, finds no token.
+	// in twenty reaches p95. Hedging all these calls would use all tokens earned,
+	// although most of the calls end a moment later. Without a reserve, a call that
+	// waits much longer, or whose attempt failed, finds no token.
 	hedgeReserve = 15.0
 	maxBudgets   = 4096
 )
@@ -68,7 +68,7 @@
 }
 
 // Retry takes one token for a second attempt and reports whether the attempt may
-// be made. If not, the caller gets its final answer at once.
+// be made. If it may not, the caller gets its final answer at once.
 func (b *RetryBudget) Retry(now time.Duration, c structs.Customer) bool {
 	a := b.budgetFor(now, c)
 	if a.tokens < 1 {
--- a/decide/scorer.go
+++ b/decide/scorer.go
@@ -10,8 +10,8 @@
 	// strainWeight increases the weight of harm where a service is already
 	// disturbed: the slowest answers come from the most disturbed instances.
 	strainWeight = 1.0
-	// fitWeight prefers the fuller of two equally harmed instances, so that the
-	// other one keeps free capacity for large jobs.
+	// fitWeight prefers the fuller of two instances with equal harm, so that the
+	// other instance keeps free capacity for large jobs.
 	fitWeight = 0.05
 	// idleWeight is the part of a service's harm that counts even while no
 	// call runs, since calls may arrive.
@@ -32,21 +32,21 @@
 	band      LoadBand
 	weight    float64
 	inflation float64
-	// idle is set if no call runs and the last one ended so long ago that the
-	// service has no measured time. No task is excluded then, since no call is
-	// disturbed.
+	// idle is set if no call runs and the last call ended so long ago that the
+	// service has no measured time. An idle service excludes no task, since no call
+	// is disturbed.
 	idle bool
 }
 
-// unknownHarm marks a cell of the table that has not been computed yet.
+// unknownHarm marks a cell of scorer.harmTable that is not computed yet.
 const unknownHarm = -1
 
 // maxNames bounds the kinds and the services kept between rounds.
 const maxNames = 4096
 
-// scorer rates instances for one kind of task. Services and kinds have numbers, and
+// scorer rates instances for one kind of task. Services and kinds are numbered, and
 // predictions are cached in a table, so that rating an instance reads no map. The
-// present inflation on an instance is computed once a round, at first use.
+// present inflation of an instance's services is computed once a round, at first use.
 type scorer struct {
 	model         *Interference
 	round         uint64
@@ -159,8 +159,8 @@
 // service, weighted by the service's load and present inflation, plus a small
 // penalty for capacity left unused.
 //
-// It returns false if a service that isn't idle would be disturbed beyond
-// maxDisturbed by more than negligible harm.
+// It returns false if the task's harm to a service that isn't idle is above
+// negligibleHarm and would raise the service's inflation above maxDisturbed.
 func (s *scorer) score(v *BatchView, i int, k int32, need, free structs.Resources, maxDisturbed float64) (float64, bool) {
 	sum := 0.0
 	if s.model != nil {
--- a/decide/urgent.go
+++ b/decide/urgent.go
@@ -55,7 +55,7 @@
 // ChooseUrgent returns the index of the candidate for the next attempt, or -1
 // and the reason why there is none. It compares three random usable candidates of
 // the entry's data centre by predicted duration. It considers other data centres
-// only if none is usable, or if the best one has one free slot or would be late.
+// only if no local candidate is usable, or the best has one free slot or would be late.
 func ChooseUrgent(q UrgentQuery, cs []Candidate, m *Interference) (index int, hold Hold) {
 	if len(cs) == 0 {
 		return -1, Hold{Reason: ReasonNoBackend, Refusal: structs.RefusedUnknownService}
@@ -81,14 +81,14 @@
 }
 
 // choice is the best candidate so far; index is -1 for none. score ranks the
-// candidate, and time determines whether it would be late.
+// candidate, and time determines whether the call would be late.
 type choice struct {
 	index       int
 	score, time time.Duration
 }
 
-// consider chooses candidate i if it is the first, the only one in time, or the
-// better one of two that are both in time or both late.
+// consider chooses candidate i if there is no choice yet, if only i is in time, or
+// if i has the lower score and both or neither are in time.
 func (b *choice) consider(q *UrgentQuery, cs []Candidate, i int, m *serviceModel) {
 	likely, confirmed := predictDuration(&cs[i], m)
 	other := choice{i, penalizeOccupancy(likely, &cs[i]), confirmed}
@@ -98,9 +98,9 @@
 	}
 }
 
-// pick draws at random until it has compared enough usable candidates of the local
-// data centre, or of the others. If it finds too few, or the best would be late, it
-// scans all from a random start, so that a single usable candidate is always found.
+// pick draws at random until it has compared enough usable candidates, of the local
+// data centre if local is set, else of the others. If it finds too few, or the best
+// would be late, it scans all from a random start. A single usable one is thus found.
 func pick(q *UrgentQuery, cs []Candidate, m *serviceModel, local bool) choice {
 	best, found := choice{index: -1}, 0
 	r := q.Random
@@ -157,18 +157,18 @@
 	return false
 }
 
-// predictDuration predicts the duration of the call on c. likely is a mean of the
-// measured service time, which is delayed and counts less the older the report is,
-// and the learnt one, which ignores properties of the instance. confirmed is the
-// smaller of likely and the measured time multiplied by the predicted inflation. A
-// call is refused as late only if confirmed exceeds the time left.
+// predictDuration predicts the duration of the call on c. likely is a weighted mean
+// of the measured and the learnt service time. The measured time is delayed and
+// counts less the older the report is; the learnt time ignores properties of the
+// instance. confirmed is the smaller of likely and measured*inflation. A call is
+// refused as late only if confirmed exceeds the time left.
 //
 // Guards against: all calls with a deadline of 2 s are refused with "no backend
 // server would answer before the deadline", although the service is fast. It comes
 // about when the first calls of the service took 4 s. No call is tried then, so no
-// measurement corrects the learnt time. Therefore the measured time of an instance
-// without calls shrinks at its agent, and an instance without a measured time is
-// tried.
+// measurement corrects the learnt time. Therefore an agent lowers the measured time
+// while its instance has no calls, and calls are sent to an instance without a
+// measured time.
 func predictDuration(c *Candidate, m *serviceModel) (likely, confirmed time.Duration) {
 	measured := max(c.ServiceTime, 0)
 	if m.st == nil {
@@ -193,7 +193,7 @@
 	return likely, min(likely, confirmed)
 }
 
-// penalizeOccupancy adds up to an eighth for slots in use, so that the emptier of
+// penalizeOccupancy adds up to an eighth of t for slots in use, so that the emptier of
 // two equal candidates is chosen. For the last free slot it adds another half:
 // another entry's call or a task often takes the slot before the call arrives,
 // and the refusal costs an attempt.
