--- a/decide/baseline/baseline.go
+++ b/decide/baseline/baseline.go
@@ -1,9 +1,9 @@
 // Package baseline contains simple policies, as a careful operator would write
 // them, to compare with the project's own policy: least loaded without regard to
 // interference, a static split of slots between urgent calls and batch tasks, and
-// eviction above a threshold without prediction. All serve first the customer with
-// the fewest slots relative to its share, skip jobs that don't fit, and trust
-// declared sizes.
+// eviction above a threshold without prediction. All three policies serve first
+// the customer with the fewest slots relative to its share, skip jobs that don't
+// fit, and trust declared sizes.
 package baseline
 
 import (
@@ -103,7 +103,7 @@
 // batch tasks; the rest is for urgent calls.
 type StaticSplit struct {
 	LeastLoaded
-	// Batch is the part of all slots that batch tasks may hold.
+	// Batch is the part of an instance's slots that batch tasks may hold.
 	Batch float64
 }
 
@@ -153,7 +153,7 @@
 // service's best time.
 type ThresholdEviction struct {
 	LeastLoaded
-	// Above is the multiple, Pause the least time between evictions on an instance.
+	// Above is the multiple. Pause is the least time between an instance's evictions.
 	Above        float64
 	Pause        time.Duration
 	bestTime     map[structs.Service]time.Duration
@@ -180,7 +180,7 @@
 	}
 }
 
-// Relieve evicts one task if a service is above the threshold, at most one per Pause.
+// Relieve evicts a task, at most one per Pause, if a service is above the threshold.
 func (t *ThresholdEviction) Relieve(now time.Duration, a *policy.Agent) []decide.Action {
 	if lastEviction, ok := t.lastEviction[a.Index]; ok && now-lastEviction < t.Pause || len(a.Tasks) == 0 {
 		return nil
@@ -202,9 +202,9 @@
 	return nil
 }
 
-// place places up to limit jobs, each on the instance with the greatest capacity.
-// Next is always the customer that holds the fewest slots relative to its share. A
-// job that fits nowhere is skipped.
+// place places up to limit jobs, each on the instance with the greatest capacity of
+// those where the job fits. It always serves next the customer that holds the fewest
+// slots relative to its share. A job that fits nowhere is skipped.
 func place(v *decide.BatchView, limit int, capacity func(*decide.Instance) int) ([]decide.Placement, map[structs.JobID]decide.Hold) {
 	var placed []decide.Placement
 	queues := make(map[structs.Customer][]int)
