--- a/agent/relief/relief.go
+++ b/agent/relief/relief.go
@@ -111,8 +111,8 @@
 	return append([]decide.Action(nil), decide.Relieve(now, state, c.model, &c.state)...)
 }
 
-// learn adds a sample of the calls of a window and the tasks that ran beside them.
-// Calls may have begun before the window, by about their median duration.
+// learn adds a sample of the calls of w and the tasks that ran beside them. Tasks are
+// counted from one median duration before w, since calls may have begun before w.
 func (c *Controller) learn(now time.Duration, w ledger.Window) {
 	if w.Calls == 0 || c.lastCheck == 0 {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// Sample returns at most one measurement not yet sent, and records it in sent.
+// Sample returns at most one unsent measurement and records its number in sent.
 func (c *Controller) Sample(sent Sent) []wire.Sample {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/relief/relief_test.go
+++ b/agent/relief/relief_test.go
@@ -14,7 +14,7 @@
 
 // Noisy tasks start beside a service, and its calls then take three times as long.
 // A task must be throttled within 5 s. A task may be evicted only 10 s or more after
-// the first was throttled.
+// the first throttling.
 func TestThrottleFirstEvictLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := ledger.New(ledger.Config{Total: structs.Resources{Slots: 8}})
--- a/agent/relief/samples.go
+++ b/agent/relief/samples.go
@@ -13,7 +13,7 @@
 
 const (
 	// minInformativeCalls is the least number of calls with which a window always
-	// replaces the last sample. Calls differ in size: fewer are weak evidence.
+	// replaces the last sample. Calls differ in size, so fewer calls are weak evidence.
 	minInformativeCalls = 3
 	// maxInformativeAge is the age at which the last sample is replaced even by a
 	// window of fewer than minInformativeCalls calls.
@@ -46,13 +46,13 @@
 	s.latest[observed.Service] = numberedSample{sample: toWire(observed), number: s.lastNumber, at: now}
 }
 
-// Sent holds, for one receiver and by service, the number of the last
-// measurement that was sent.
+// Sent maps each service to the number of its last measurement that was sent to
+// one receiver.
 type Sent map[structs.Service]uint64
 
-// next chooses, of the services with an unsent measurement, the one whose last sent
-// measurement is the oldest. It returns that service's unsent measurement and
-// records it in sent.
+// next chooses, of the services with an unsent measurement, the service whose last
+// sent measurement is the oldest. It returns the unsent measurement and records its
+// number in sent.
 func (s *samples) next(sent Sent) []wire.Sample {
 	best := numberedSample{}
 	for name, k := range s.latest {
@@ -71,7 +71,7 @@
 	return []wire.Sample{best.sample}
 }
 
-// toWire copies a sample, since the buffer of its Together is reused.
+// toWire copies a sample, whose Together is a reused buffer, and rounds its counts.
 func toWire(sample decide.Sample) wire.Sample {
 	out := wire.Sample{Service: sample.Service, Band: uint8(sample.Band), ServiceTime: sample.ServiceTime, Calls: sample.Calls}
 	for _, t := range sample.Together {
