--- a/decide/pressure/belief.go
+++ b/decide/pressure/belief.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// A pair has a weight either near 0 or of about 1 or more: two programs
-// contend for the same part of the processor or they don't. With this prior,
-// one or two samples classify a pair. A mean over all weights needs several.
+// A pair of images has a weight either near 0 or of about 1 or more: the images'
+// programs contend for the same part of the processor or they don't. With this
+// prior, one or two samples show whether the pair presses. An estimate that
+// averages over all weights needs several.
 
 const (
 	// sampleNoise is the standard deviation of the noise in a sample's load.
 	sampleNoise = 0.05
-	// knownProbability is the probability of pressing, or of not pressing,
-	// from which a pair counts as known.
+	// knownProbability is the least probability that a known pair presses, or
+	// that it doesn't.
 	knownProbability = 0.85
 	// pressThreshold is the weight above which a pair counts as pressing. Few
 	// pairs have a weight near it.
@@ -24,8 +25,8 @@
 	prior  float64
 }
 
-// weightPrior covers all weights up to 4, the larger ones more sparsely. It
-// also fits deployments with other weights: their pairs need one more sample.
+// weightPrior covers the weights from 0 to 4, the larger ones more sparsely. In
+// deployments with other weights, a pair needs one more sample to be known.
 var weightPrior = []weightHypothesis{
 	{0, 0.2}, {0.1, 0.2}, {0.2, 0.15}, {0.3, 0.08},
 	{0.6, 0.06}, {0.9, 0.06}, {1.2, 0.06}, {1.5, 0.05}, {1.8, 0.04}, {2.2, 0.04}, {2.7, 0.03}, {3.3, 0.02}, {4, 0.01},
@@ -70,9 +71,9 @@
 // certain.
 const maxLogOdds = 20
 
-// newBelief computes the belief from the samples of a pair. sum adds up, over
-// the samples, the used share times the load that other pairs don't explain;
-// square adds up the square of the used share.
+// newBelief computes the belief from two sums over the samples of a pair: sum, of
+// the used share of the worker times the load that other pairs don't explain, and
+// square, of the squared used share.
 func newBelief(sum, square float64) belief {
 	most := math.Inf(-1)
 	for _, l := range weightPrior {
--- a/decide/pressure/kinds.go
+++ b/decide/pressure/kinds.go
@@ -11,12 +11,12 @@
 // another, weighted by the probability that both are of one kind.
 
 const (
-	// harmlessWeight is the weight up to which a pair doesn't press,
-	// pressingWeight the weight from which it does for sure.
+	// A pair up to harmlessWeight doesn't press, and a pair from pressingWeight
+	// on presses to the full degree (see Weight.presses).
 	harmlessWeight = 0.25
 	pressingWeight = 0.75
-	// minCompared is the least evidence for comparing two serving images, about
-	// one filling image that presses on either (see computeDifference).
+	// minCompared is the least evidence for comparing two serving images: about
+	// one filling image that presses on at least one of them.
 	minCompared = 0.9
 )
 
@@ -27,7 +27,7 @@
 
 // Difference measures how far two serving images differ in the filling images
 // that press on them, from 0 (the same) to 1 (none in common). known is false
-// without enough evidence.
+// if the evidence is below minCompared.
 //
 // Regrouping needs the same few differences thousands of times in one pass.
 // Computing them each time takes so much of the scheduler's processor time
@@ -90,8 +90,8 @@
 	maxJoinedLogOdds = 8.0
 )
 
-// likelihood is the likelihood of a pair's samples if it presses and if it
-// doesn't, scaled so that the two add up to 1.
+// likelihood holds the likelihoods of a pair's samples if the pair presses and if
+// it doesn't, scaled so that the two add up to 1.
 type likelihood struct {
 	presses, harmless float64
 }
@@ -150,11 +150,11 @@
 	return all
 }
 
-// joinWith adds the evidence from another serving image, where same is the
-// probability that both are of one kind.
+// joinWith adds the evidence from the samples of o to the pairs of e. same is the
+// probability that the two serving images are of one kind.
 func (e *equations) joinWith(o *equations, same float64) {
-	// These are the probabilities that a filling image presses on a serving
-	// image of another kind, given that it doesn't or does press on e.
+	// These are the probabilities that a filling image presses on o, given that
+	// it doesn't or does press on e, if e and o are of different kinds.
 	const pressesGivenHarmless = (pressShare - bothShare) / (1 - pressShare)
 	const pressesGivenPresses = bothShare / pressShare
 	for i, image := range e.images {
@@ -170,7 +170,7 @@
 }
 
 // sameKindLogOdds is the log odds that the serving images of e and o are of
-// one kind, by the filling images that run beside both.
+// one kind, computed from the filling images that both have.
 func (e *equations) sameKindLogOdds(o *equations) float64 {
 	logOdds := math.Log(sameShare / (1 - sameShare))
 	for i, image := range e.images {
--- a/decide/pressure/kinds_test.go
+++ b/decide/pressure/kinds_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// observe adds samples that make the pair known to have the weight.
+// observe adds ten samples, which suffice to learn the weight of the pair.
 func observe(m *Model, serving, filling string, weight float64) {
 	for range 10 {
 		m.Observe(Sample{Serving: serving, Load: 0.1 * weight, Used: map[string]float64{filling: 0.1}, Count: 1})
@@ -98,9 +98,9 @@
 	scenarios := []struct {
 		name  string
 		kinds int
-		// right is the least fraction of all pairs to be classified rightly,
-		// wrong the largest to be classified wrongly. Three fifths of the pairs
-		// have samples of their own.
+		// right is the least fraction of all pairs that must be classified
+		// correctly, wrong the largest that may be misclassified. Three fifths
+		// of the pairs have samples of their own.
 		right, wrong float64
 	}{{"two kinds", 2, 0.7, 0.06}, {"three kinds", 3, 0.6, 0.06}, {"all alike", 1, 0.7, 0.06}, {"all different", 5, 0.5, 0.06}}
 	for _, scenario := range scenarios {
--- a/decide/pressure/light.go
+++ b/decide/pressure/light.go
@@ -2,15 +2,15 @@
 
 const (
 	// priorLight is the result of Light without samples. priorLightEvidence is
-	// the weight of priorLight in the fit, in squared shares of a worker.
+	// the evidence that priorLight counts for, in squared shares of a worker.
 	priorLight         = 0.2
 	priorLightEvidence = 0.5
 )
 
 // Light is the common weight of all pairs known not to press. The load of one
-// such pair on a serving task is below the noise of a sample. If all such filling
-// tasks together use half a worker, they cause a tenth of the load that the
-// serving task can bear.
+// such pair on a serving task is below the noise of a sample. If the filling
+// tasks of all such pairs use half a worker, they cause a tenth of the load that
+// the serving task can bear.
 func (m *Model) Light() float64 {
 	if m.version == 0 {
 		return priorLight
@@ -31,8 +31,8 @@
 }
 
 // light returns two sums over the pairs of one serving image known not to press:
-// of the used share times the load that other pairs don't explain, and of the
-// products of their used shares.
+// load, of the used share times the load that the remaining pairs don't explain,
+// and square, of the products of these pairs' used shares.
 func (e *equations) light() (load, square float64) {
 	for i := range e.pairs {
 		if !e.isLight(i) {
--- a/decide/pressure/model.go
+++ b/decide/pressure/model.go
@@ -7,10 +7,10 @@
 // pair of images. A filling image presses on a serving image if that weight is well
 // above 0. Most pairs have a weight near 0, a few have a weight of 1 to 4.
 //
-// decide.Interference, for the urgent path, learns the slowdown by one
-// running task of a kind, for each band of load. This package learns from the
-// processor time that filling work uses, which pacing changes. The tail is not
-// linear in that time.
+// decide.Interference, for the urgent path, learns how much one running task of a
+// kind slows calls, for each band of load. This package learns from the processor
+// time that filling work uses, because pacing changes that time and the tail is
+// not linear in it.
 package pressure
 
 import (
@@ -31,7 +31,7 @@
 	sweeps = 2
 	// maxImages bounds the filling images distinguished per serving image.
 	maxImages = 64
-	// maxWeight bounds the effect of a series of outliers.
+	// maxWeight bounds a fitted weight, to limit the effect of outliers.
 	maxWeight = 8.0
 )
 
@@ -50,15 +50,15 @@
 	Known bool
 }
 
-// Sample compares a serving job with itself on another worker, or a moment
-// earlier: its own load is the same in both, so the difference is due to the
-// filling work beside it.
+// Sample compares two measurements of a serving job, on two workers or a moment
+// apart. The job's own load is the same in both, so the difference is due to the
+// filling work beside the job.
 type Sample struct {
 	Serving string
 	// Load is the difference between the loads.
 	Load float64
-	// Used is the difference of the shares of the worker that each filling
-	// image used.
+	// Used is, for each filling image, the difference between the shares of the
+	// worker that the image used.
 	Used map[string]float64
 	// Count weights the sample; it is 1 for an independent sample.
 	Count float64
--- a/decide/pressure/pace.go
+++ b/decide/pressure/pace.go
@@ -14,17 +14,17 @@
 	loadMargin = 0.03
 	// If a tail is over its target for longer than maxOver, filling work is
 	// paused unless its weight is known to be at most ignoredWeight. After twice
-	// maxOver, all of it is paused. Users are affected after a few seconds.
+	// maxOver, all filling work is paused. Users are affected after a few seconds.
 	maxOver = 1200 * time.Millisecond
 	// ignoredWeight is the weight up to which a known pair needs no pacing.
 	ignoredWeight = 0.15
 	// unknownPaceFactor bounds the next pace, relative to the current one, if the
-	// pair is unknown and the tail is above targetFraction of its target.
+	// pair is not known and the tail is above targetFraction of its target.
 	unknownPaceFactor = 0.4
 	// minPace is the pace below which work is paused.
 	minPace = 0.04
-	// maxRise bounds the increase of a pace in one step, so that the
-	// measurements can follow.
+	// maxRise bounds the increase of a pace in one step, so that its effect is
+	// measured before the next.
 	maxRise = 0.35
 )
 
@@ -54,7 +54,7 @@
 const defaultBaseFraction = 1 / 4.5
 
 // Pace returns the pace of each element of filling: the highest that maxRise and
-// the tails of all serving tasks allow. Work that presses on none rises to full
+// the tails of all serving tasks allow. Work that presses on no serving task rises to full
 // speed, unless a tail has been over its target for more than twice maxOver.
 //
 // The spare load of the serving tasks is given to the jobs in the order of
--- a/decide/pressure/pressure_test.go
+++ b/decide/pressure/pressure_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// Guards against: filling work of a new image takes the tails of serving tasks
-// over their targets and is placed beside more of them. It comes about while the
-// image's pairs are unknown. Two samples of a typical task must therefore
-// classify a pair.
+// Guards against: filling work of a new image raises the tails of serving tasks
+// above their targets and is placed beside more of them. It comes about while it
+// is unknown on which serving images the new image presses. Two samples of a
+// typical filling task must suffice to tell for one serving image.
 func TestTwoSamplesClassifyAPair(t *testing.T) {
 	const used = 0.12
 	for _, c := range []struct {
@@ -80,8 +80,8 @@
 	}
 }
 
-// The noise of the samples is a constant of the model. Where the real noise is
-// twice or half as large, the pairs are still classified, from more samples.
+// The model assumes a constant noise of the samples. If the real noise is twice or
+// half as large, the model must still find which pairs press, from more samples.
 func TestLearningToleratesOtherNoise(t *testing.T) {
 	for _, noise := range []float64{sampleNoise / 2, 2 * sampleNoise} {
 		wrong := 0
@@ -109,7 +109,7 @@
 }
 
 // The same samples give the same weights, to the last digit, so that replaying
-// a recorded day shows the reasons for its placements.
+// a recording of a day shows why its tasks were placed where they were.
 func TestWeightsAreDeterministic(t *testing.T) {
 	learn := func() string {
 		rng := rand.New(rand.NewPCG(5, 6))
@@ -339,8 +339,8 @@
 
 // Guards against: in a fleet of 240 workers, serving images stay mixed and
 // serving tasks exceed their targets for minutes. It comes about when each pass
-// makes one move. One move a pass separates 11 workers within seconds. With one
-// move for each 20 workers, both fleets take about as long.
+// makes one move, which suffices to separate 11 workers within seconds. With one
+// move for each 20 workers, 240 workers take about as long as 11.
 func TestRegroupScalesToALargeFleet(t *testing.T) {
 	mixed := func(workers, maxMoves, passes int) float64 {
 		tasks, free := mixedFleet(rand.New(rand.NewPCG(3, 5)), workers)
--- a/decide/pressure/regroup.go
+++ b/decide/pressure/regroup.go
@@ -11,10 +11,10 @@
 	Image string
 	// Step identifies the task's step; at most one task of a step moves in a pass.
 	Step int
-	// Worker is the index of its worker.
+	// Worker is the index of the task's worker.
 	Worker int
 	Need   workload.Resources
-	// Fixed tasks are counted but not moved.
+	// Fixed tasks count in the cost of their worker but are not moved.
 	Fixed bool
 	// Barred holds the workers excluded for the task, besides those without
 	// capacity.
@@ -47,10 +47,10 @@
 // Regroup returns up to maxMoves moves that separate serving images on which
 // different filling images press. Each is the best move from its worker and
 // gains more than minGain. free is the free capacity of each worker; pass
-// numbers the passes.
+// is the number of the pass and determines its first worker.
 //
 // Where two such images share a worker, nearly all filling work presses on one
-// of them. Placement can't avoid this: it precedes learning the differences.
+// of them. Placement can't avoid this: differences are learnt from running tasks.
 func Regroup(tasks []Task, free []workload.Resources, difference func(a, b string) float64, pass, maxMoves int) []Move {
 	g := newGrouping(tasks, free, difference)
 	mixed := g.mixed()
@@ -185,8 +185,8 @@
 	return best, bestGain > minGain
 }
 
-// tryMove evaluates moving task i to a worker, alone if it fits, else in
-// exchange for each task there.
+// tryMove evaluates moving task i to a worker: alone if the task fits there, else
+// in exchange with each of that worker's tasks in turn.
 func (g *grouping) tryMove(i, to int, best *Move, bestGain *float64) {
 	one := &g.tasks[i]
 	from := one.Worker
