--- a/decide/order/order.go
+++ b/decide/order/order.go
@@ -45,8 +45,8 @@
 // Compare orders keys as cmp.Compare does; the lesser comes first.
 //
 // Within a class, the filling job with the least remaining work comes first.
-// Often there is more filling work than the serving tasks can bear. Most jobs
-// still end in time in this order; ordered by deadline, nearly all end late.
+// Often there is more filling work than the serving tasks can bear. In this order
+// most jobs still end in time; in the order of deadlines nearly all end late.
 func (a Key) Compare(b Key) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
--- a/decide/order/order_test.go
+++ b/decide/order/order_test.go
@@ -73,8 +73,8 @@
 }
 
 // For a minute, one slot serves jobs of 4 s that arrive 1.5 times as fast as the
-// slot serves them. In the order of acceptance the queue grows until all end late.
-// In the order of rank, more must end in time.
+// slot serves them. In the order of acceptance the queue grows until all jobs end
+// late. In the order of rank, more jobs must end in time.
 func TestOverloadServesJobsThatCanEndInTime(t *testing.T) {
 	const jobs, every, work = 15, 2666 * time.Millisecond, 4 * time.Second
 	served := func(ranked bool) int {
