--- a/decide/placement/placement.go
+++ b/decide/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement chooses the worker of a task. It is a pure function of its
-// input: it filters by hard constraints and scores the rest.
+// Package placement chooses the worker of a task. The choice depends on the input
+// alone: hard constraints exclude workers, and the best score decides among the rest.
 package placement
 
 import "persimmonrock.example/structs/workload"
@@ -18,8 +18,8 @@
 	// without serving tasks.
 	Pressed float64
 	// Presses is set if a task of the step is known to press on a serving task
-	// of the worker (see package pressure), or if a trial of that pair runs on
-	// another worker.
+	// of the worker (see package pressure), or if a trial of that pair of images
+	// runs on another worker.
 	Presses bool
 	// Serving is the number of the worker's tasks with a tail target.
 	Serving int
@@ -78,7 +78,7 @@
 	// usually bear. The task's tail reaches its target at a load of about 0.78,
 	// and the task's own load rises to 0.63.
 	toleratedPressure = 0.12
-	// pressurePenalty is the weight of the load above toleratedPressure.
+	// pressurePenalty is the penalty per unit of load above toleratedPressure.
 	pressurePenalty = 12.0
 )
 
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// The largest supported fleet: 1,000 workers. One placement must take less
-// than 20 µs.
+// In the largest supported fleet, 1,000 workers, one placement must take less than
+// 20 µs.
 func BenchmarkChoose(b *testing.B) {
 	workers := make([]Candidate, 1000)
 	for i := range workers {
