--- a/decide/policy/policy.go
+++ b/decide/policy/policy.go
@@ -61,8 +61,8 @@
 	Place(now time.Duration, v *decide.BatchView, limit int) ([]decide.Placement, map[structs.JobID]decide.Hold)
 	// Relieve returns the actions on the tasks of an instance.
 	Relieve(now time.Duration, a *Agent) []decide.Action
-	// RecordCall adds a call to a customer's retry budget. AllowRetry takes an
-	// attempt from the budget and reports whether the budget had one.
+	// RecordCall adds a call to a customer's retry budget. AllowRetry takes a
+	// retry from the budget and reports whether the budget allowed one.
 	RecordCall(now time.Duration, c structs.Customer)
 	AllowRetry(now time.Duration, c structs.Customer) bool
 	// ObserveMeasurement reports a delayed measurement.
@@ -74,6 +74,7 @@
 	// ObserveUsage reports the peak use of a run that completed, or (with ran 0) of
 	// a run killed for using too much.
 	ObserveUsage(c structs.Customer, k structs.Kind, used structs.Resources, ran time.Duration)
-	// ObserveEnd reports that a run completed (ok) or failed, not that it was stopped.
+	// ObserveEnd reports a run that completed (ok) or failed. It isn't called for a
+	// run that was stopped.
 	ObserveEnd(now time.Duration, instance structs.InstanceID, k structs.Kind, ok bool)
 }
--- a/decide/policy/predictive.go
+++ b/decide/policy/predictive.go
@@ -24,8 +24,8 @@
 	model   *decide.Interference
 	memory  decide.ReliefTracker
 	demand  map[structs.Customer]*decide.Demand
-	// combined is the demand of all urgent calls together. Calls of a customer
-	// count only up to its quota, but at least one.
+	// combined is the demand of all urgent calls together. A customer's
+	// calls count up to its quota, or up to one if the quota is 0.
 	combined decide.Demand
 	// services is the demand of each customer for each service's slots.
 	services    map[demandKey]*decide.Demand
