--- a/decide/model/batch.go
+++ b/decide/model/batch.go
@@ -127,8 +127,8 @@
 	s.enqueue(t.job)
 }
 
-// stopTask ends a run early. The work since the last checkpoint is lost, and so
-// is restartWork. planned is false for a kill for lack of memory.
+// stopTask ends a run early and enqueues its job again. The work since the last
+// checkpoint and restartWork are lost. planned is false if memory ran short.
 func (s *simulation) stopTask(at, k int, planned bool) {
 	t := s.nodes[at].tasks[k]
 	j := &s.w.jobs[t.job]
--- a/decide/model/model_test.go
+++ b/decide/model/model_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// The full comparison is report/cmd/compare. This test only detects the loss of
-// the advantage over the plain policies. The bounds are loose, because the policy
-// is still learning in most of the three minutes.
+// The full comparison is report/cmd/compare. This test only checks that Predictive
+// is better than the simpler policies. The bounds are loose, because Predictive is
+// still learning in most of the three minutes.
 func TestPredictiveBeatsPlainPoliciesOnTailAndEvictions(t *testing.T) {
 	t.Parallel()
 	var own, plain time.Duration
--- a/decide/model/result.go
+++ b/decide/model/result.go
@@ -28,8 +28,8 @@
 	// WorkLost is the work lost by evictions and kills, in seconds of
 	// undisturbed work.
 	WorkLost float64
-	// Jain is Jain's fairness index of the customers' batch work, each relative
-	// to the customer's entitlement.
+	// Jain is Jain's fairness index of the customers' batch work, each relative to
+	// the lesser of the customer's demand and its share of all batch work.
 	Jain float64
 	// Overcommitted counts admission checks that found more slots in use than
 	// the instance has.
@@ -92,7 +92,7 @@
 	return sum
 }
 
-// Quantile is a quantile of all urgent calls, q from 0 to 100.
+// Quantile is the q-th percentile of the times of all urgent calls, q from 0 to 100.
 func (r *Result) Quantile(q float64) time.Duration {
 	return time.Duration(r.Urgent.ValueAtQuantile(q)) * time.Microsecond
 }
@@ -100,7 +100,7 @@
 // CustomerWork is Work of one customer.
 func (r *Result) CustomerWork(c int) float64 { return r.work[c] }
 
-// CustomerQuantile is a quantile of one customer's urgent calls.
+// CustomerQuantile is Quantile for one customer's urgent calls.
 func (r *Result) CustomerQuantile(c int, q float64) time.Duration {
 	return time.Duration(r.ByCustomer[c].ValueAtQuantile(q)) * time.Microsecond
 }
--- a/decide/model/simulation.go
+++ b/decide/model/simulation.go
@@ -37,8 +37,8 @@
 	speed   float64
 	rate    float64
 	started time.Duration
-	// done is the finished work of the whole job, saved the part of it in the
-	// last checkpoint, in seconds.
+	// done is the finished work of the whole job, in seconds; saved is the part
+	// of done that the last checkpoint holds.
 	done, saved float64
 	savedAt     time.Duration
 	need        structs.Resources
@@ -60,8 +60,8 @@
 	service    int
 	inUse      int
 	byCustomer [customers]int
-	// durationSum and durationCount sum up and count the calls that ended in
-	// the current measurement window.
+	// durationSum is the total duration, and durationCount the number, of the
+	// calls that ended in the current measurement window.
 	durationSum    time.Duration
 	durationCount  int
 	recentDuration time.Duration
@@ -85,7 +85,7 @@
 	serviceTime time.Duration
 	at          time.Duration
 	outstanding int
-	// free is the instance's free slots, which calls and tasks share.
+	// free is the number of the instance's free slots, for calls and tasks alike.
 	free  int
 	batch []wire.BatchLoad
 }
@@ -219,7 +219,8 @@
 	}
 }
 
-// inflation is the true inflation of calls to b on n now, hidden from the policy.
+// inflation is the factor by which the present load of b and n prolongs a call. It
+// is hidden from the policy.
 func (s *simulation) inflation(n *node, b *backend) float64 {
 	slowdown := &s.w.slowdown[b.service]
 	if s.now >= s.w.shiftAt {
@@ -255,7 +256,7 @@
 	return sum
 }
 
-// claimedMemory adds up, for each task, the memory that it claims or its
+// claimedMemory is the sum, over the tasks of n, of the task's claimed memory or
 // measured use, whichever is larger.
 func (s *simulation) claimedMemory(n *node) int64 {
 	taken := int64(0)
--- a/decide/model/urgent.go
+++ b/decide/model/urgent.go
@@ -22,8 +22,8 @@
 }
 
 // tryCall makes up to maxAttempts attempts, those after the first within the
-// policy's retry budget. If none is admitted, nothing ran, and the caller retries
-// after the Retry-After until its deadline.
+// policy's retry budget. If no attempt is admitted, the call has not run. The
+// caller then tries again after the Retry-After, until the call's deadline.
 func (s *simulation) tryCall(id int) {
 	a := &s.attempts[id]
 	c := &s.w.calls[a.call]
@@ -151,8 +151,8 @@
 	s.freeAttempts = append(s.freeAttempts, id)
 }
 
-// updateView copies the present state of a backend, except inUse, into an entry's
-// view, as the load sent with an agent's answer does.
+// updateView sets an entry's view of a backend, except inUse, to the present
+// state. It models the load that an agent sends with an answer.
 func (s *simulation) updateView(v *view, node, backend int) {
 	n := &s.nodes[node]
 	v.at = s.now
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -17,7 +17,7 @@
 	"persimmonrock.example/structs"
 )
 
-// Options choose one workload.
+// Options are the parameters of a workload.
 type Options struct {
 	Seed     uint64
 	Duration time.Duration
@@ -27,10 +27,10 @@
 	// Load multiplies the rate of batch jobs; 1 leaves some capacity free on
 	// average, 1.5 does not.
 	Load float64
-	// NoBatch leaves out all batch jobs, to measure the undisturbed times.
+	// NoBatch leaves out all batch jobs, to measure undisturbed calls.
 	NoBatch bool
-	// NoDisturbances leaves out waves, shifts, failing workers, cancellations,
-	// and jobs that can never run or always fail.
+	// NoDisturbances leaves out job waves, call surges, the change of slowdowns,
+	// failing workers, cancellations, and jobs that can never run or always fail.
 	NoDisturbances bool
 }
 
@@ -85,7 +85,7 @@
 	rack     string
 	total    structs.Resources
 	services []int
-	// Tasks that start between failsFrom and failsUntil fail.
+	// Tasks that start on the instance between failsFrom and failsUntil fail.
 	failsFrom, failsUntil time.Duration
 }
 
@@ -222,9 +222,9 @@
 	return w.Options.Flood && t >= d/4 && t < d*3/4
 }
 
-// drawCalls draws the calls of each customer as a Poisson stream whose rate
-// follows load shifts. In each surge, the rates of two services rise. The last
-// seventh of the run has no surge, so that work deferred in a surge can be done.
+// drawCalls draws the calls of each customer to each service as a Poisson stream.
+// In each surge, the rates of two services rise. The last seventh of the run has
+// no surge, so that work deferred in a surge can be done.
 func (w *Workload) drawCalls(r *rand.Rand) {
 	const meanInUse = 1.7
 	d := w.Options.Duration
