--- a/entry/batch/api.go
+++ b/entry/batch/api.go
@@ -15,8 +15,8 @@
 	Instance structs.InstanceID
 	Zone     structs.DataCentre
 	Address  string
-	// Lease is the incarnation of the agent's batch lease. It is 0 if the agent
-	// holds none; no claim may then name the agent.
+	// Lease is the incarnation of the agent's batch lease, 0 if the agent has no
+	// lease. Jobs are claimed only for agents with a lease.
 	Lease structs.Incarnation
 	Load  wire.Load
 	// Age is the time since Load was received.
@@ -33,7 +33,7 @@
 	Observe(load wire.Load)
 }
 
-// Contracts returns contracts and the configuration in force at this entry.
+// Contracts provides contracts and the configuration in force at this entry.
 type Contracts interface {
 	Contract(structs.Customer) (structs.Contract, bool)
 	Config() structs.Config
@@ -63,7 +63,7 @@
 	Instance structs.InstanceID
 	// Borrowed allows the claim to go beyond the customer's share.
 	Borrowed bool
-	// Park takes the job, with Reason, out of the queue until its release.
+	// Park takes the job out of the queue, with Reason, until the job is released.
 	Park   bool
 	Reason string
 }
@@ -105,10 +105,11 @@
 	// Address is this entry's own RPC address, "ip:port".
 	Address string
 	// ShardLease is the length of this entry's shard leases. Another entry may
-	// take a shard over after it has seen the row unchanged for this time plus
+	// take a shard over after reading its row unchanged for this time plus
 	// LeaseMargin.
 	ShardLease time.Duration
-	// LeaseMargin is added to every lease length that this entry waits out.
+	// LeaseMargin is added to a lease's length before this entry treats an
+	// unchanged lease as lapsed.
 	LeaseMargin time.Duration
 	// FlushEvery is the time for which a transaction gathers a shard's changes.
 	FlushEvery time.Duration
@@ -117,17 +118,18 @@
 	// AgentScanEvery is the interval of reading the agents' lease rows; with
 	// more than maxUnstretchedRows rows the interval is longer.
 	AgentScanEvery time.Duration
-	// PlanEvery is the interval at which a round of placement runs if one is due.
+	// PlanEvery is the interval of checks whether a round of placement is due.
 	PlanEvery time.Duration
 	// ResendEvery is the interval at which an unanswered start or stop is
-	// sent again. After failed exchanges it doubles, up to maxResendPause.
+	// sent again. The interval doubles with further failed exchanges, up to
+	// maxResendPause.
 	ResendEvery time.Duration
 	// StoreTimeout bounds one request to the table service.
 	StoreTimeout time.Duration
-	// MaxFailures is the number of failed runs after which a job is failed.
+	// MaxFailures is the number of failed runs after which a job ends as failed.
 	MaxFailures int
-	// Retain is the number of jobs in a final state other than parked that a
-	// shard keeps in memory.
+	// Retain is the number of ended jobs (final, but not parked) that a shard's
+	// owner keeps in memory.
 	Retain int
 	// JobRetention is the least time for which rows of ended jobs are kept, with
 	// their results and checkpoints.
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -355,8 +355,8 @@
 }
 
 // Guards against: a job waits for ever though every instance is idle. Its start
-// is lost, the instance fails, and the agent's lease lapses before any agent
-// has answered.
+// is lost, the instance fails, and the agent's lease lapses before the start is
+// answered.
 func TestClaimEndsBeforeItsStartIsAnswered(t *testing.T) {
 	runCluster(t, 1, 1, nil, func(w *cluster) {
 		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, AnswerTimeout: fault.Exactly(time.Minute)})
--- a/entry/batch/capacity.go
+++ b/entry/batch/capacity.go
@@ -7,8 +7,8 @@
 	"persimmonrock.example/structs"
 )
 
-// agentsView holds the directory's agents by instance. All shards share it; it
-// is rebuilt once it is older than half of PlanEvery.
+// agentsView holds the directory's agents by instance. All shards share this
+// view, which is rebuilt once it is older than half of PlanEvery.
 type agentsView struct {
 	mu      sync.Mutex
 	builtAt time.Time
@@ -20,7 +20,7 @@
 	revision   structs.Revision
 }
 
-// capacity is the state of an instance that decides whether a job fits.
+// capacity is the part of an instance's state that decides whether a job fits.
 type capacity struct {
 	lease       structs.Incarnation
 	free, total structs.Resources
@@ -49,8 +49,8 @@
 	return v.all, v.changes
 }
 
-// updateCapacities counts one change if any instance is new or may fit a job
-// that it did not fit before.
+// updateCapacities counts one change if any instance is new or may accept a job
+// that did not fit there before.
 func (v *agentsView) updateCapacities(capacities map[structs.InstanceID]capacity) {
 	for id, now := range capacities {
 		if before, known := v.capacities[id]; !known || now.hasMoreThan(before) {
@@ -61,8 +61,8 @@
 	v.capacities = capacities
 }
 
-// hasMoreThan reports whether s may fit a job that the earlier capacity did
-// not. Without a free slot no job fits.
+// hasMoreThan reports whether a job may fit s that did not fit the earlier
+// capacity. Without a free slot no job fits.
 func (s capacity) hasMoreThan(before capacity) bool {
 	if s.free.Slots <= 0 {
 		return false
--- a/entry/batch/change.go
+++ b/entry/batch/change.go
@@ -27,7 +27,7 @@
 
 // Results of a change's decision and errors passed to its settle function.
 var (
-	// errUnchanged leaves the job as it is; its current state is the answer.
+	// errUnchanged leaves the job unchanged; the job's current state is the answer.
 	errUnchanged = errors.New("batch: nothing to change")
 	// errAbsent says that the owner has no such job. It is returned only after a
 	// write has proved that this entry is still the owner.
@@ -48,8 +48,8 @@
 	return h.Sum64()
 }
 
-// submitChange inserts a job, or returns the stored one if it was submitted
-// before under the same ID with the same body.
+// submitChange inserts a job. If a job with the same ID and body is already
+// stored, the stored job is the answer.
 func (t *tenure) submitChange(j structs.Job) *change {
 	sum := digest(j.Spec)
 	return &change{job: j.ID, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
@@ -61,7 +61,7 @@
 			return current, errUnchanged
 		}
 		if v.t.offloaded.contains(j.ID) {
-			// The job was offloaded after the caller had looked it up.
+			// The job was offloaded after the caller's recall.
 			return current, errNotApplied
 		}
 		contract, known := t.m.deps.Contracts.Contract(j.Customer)
@@ -157,7 +157,7 @@
 	return t.endChange(wire.TaskReport{Job: id, Shard: t.shard, Epoch: e, End: wire.EndEvicted})
 }
 
-// cancelChange ends a queued or parked job and requests a running one's stop.
+// cancelChange ends a queued or parked job, or requests a running job's stop.
 func (t *tenure) cancelChange(customer structs.Customer, id structs.JobID) *change {
 	return &change{job: id, decide: func(v *view, current structs.Job, found bool) (structs.Job, error) {
 		switch {
--- a/entry/batch/cluster_test.go
+++ b/entry/batch/cluster_test.go
@@ -334,7 +334,7 @@
 	return nil, nil
 }
 
-// exchange runs one request at the process whose faults target controls.
+// exchange runs one request at a process; target controls the process's faults.
 func exchange[R any](ctx context.Context, d *dialer, target *fault.Control, run func(*R) error) (R, error) {
 	replies := make(chan R, 1)
 	failed := make(chan error, 1)
--- a/entry/batch/cost_test.go
+++ b/entry/batch/cost_test.go
@@ -89,7 +89,7 @@
 }
 
 // fleet serves one entry as directory, contracts, placer and peers. The loads
-// of its agents never change, and peer answers for all of them.
+// of the agents never change; the field peer answers for all agents.
 type fleet struct {
 	cluster
 	views   []AgentView
@@ -134,7 +134,7 @@
 }
 
 // newFleet writes n jobs in one state over 110 customers and starts one entry
-// that owns them all; peer answers for every agent.
+// that owns all shards; the parameter peer answers for every agent.
 func newFleet(b *testing.B, n int, state structs.JobState, peer wire.AgentPeer) *Manager {
 	f := &fleet{learnt: decide.NewInterference(), peer: peer}
 	f.queue.Store(1 << 30)
--- a/entry/batch/counters.go
+++ b/entry/batch/counters.go
@@ -7,8 +7,8 @@
 	"persimmonrock.example/structs"
 )
 
-// counters are the sums that Vars returns. Reads and writes count requests to
-// the table service.
+// counters are the sums that Vars returns. The fields reads and writes count
+// requests to the table service.
 type counters struct {
 	reads, writes, rowsWritten, renewals        atomic.Int64
 	commitsUnknown, commitsFoundApplied         atomic.Int64
--- a/entry/batch/deliver.go
+++ b/entry/batch/deliver.go
@@ -19,7 +19,7 @@
 	stops  []wire.TaskRef
 }
 
-// maxResendPause is the longest pause between attempts at an agent that is
+// maxResendPause is the longest pause between sends to an agent that is
 // unreachable and sends no reports.
 const maxResendPause = time.Minute
 
@@ -86,7 +86,7 @@
 // before the agent receives the start, or the agent's answer is lost; the job
 // would stay in state running for ever. The guard: this owner, or the next,
 // repeats the start until the agent has answered for this epoch. An agent
-// answers a repeat as it answered the first, and never runs an epoch twice.
+// answers a repeated start like the first, and never runs an epoch twice.
 //
 // Failure guarded against: a start is never sent and its job is requeued, but a
 // repeat of the start reaches the agent while the requeue is being written, or
@@ -127,7 +127,7 @@
 	}
 }
 
-// sendDue reports whether a send to any instance is due by time. Sends that an
+// sendDue reports whether the nextDue of any outbox is reached. Sends that an
 // agent's new report makes due don't count: sendDueJobs finds them at the next
 // lease check. The caller holds t.mu.
 func (t *tenure) sendDue(now time.Time) bool {
@@ -139,8 +139,8 @@
 	return false
 }
 
-// fillDelivery adds the unacked jobs that are due, or all of them if all is
-// set, to p. It returns the cancelled jobs whose start was never sent. The
+// fillDelivery adds to p the unacked jobs that are due, or every unacked job if
+// all is set. It returns the cancelled jobs whose start was never sent. The
 // caller holds t.mu.
 func (t *tenure) fillDelivery(p *delivery, now time.Time, all bool) (unsent []structs.Job) {
 	o := p.outbox
--- a/entry/batch/evidence.go
+++ b/entry/batch/evidence.go
@@ -24,8 +24,8 @@
 // The proofs that a claim's task no longer runs.
 const (
 	noProof proof = iota
-	// proofIncarnation: the row names a newer agent, which fenced the worker
-	// before writing the row.
+	// proofIncarnation: the row names a newer agent process, which fenced the
+	// worker before writing the row.
 	proofIncarnation
 	// proofReleased: the agent stopped all tasks before it released the lease.
 	proofReleased
@@ -33,7 +33,8 @@
 	proofFenced
 )
 
-// proofOf returns the proof that no task of an instance's lease runs any more.
+// proofOf returns the proof that no task of an instance's lease runs any more,
+// or noProof.
 func (f *agentLeases) proofOf(id structs.InstanceID, incarnation structs.Incarnation) proof {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +107,7 @@
 // fence marks a lapsed lease as fenced. The write is conditional on the version
 // that was seen unchanged, so it fails if the holder has renewed in time or a
 // new incarnation has written the row. If the outcome is unknown, the next scan
-// shows it.
+// shows whether the lease is fenced.
 func (m *Manager) fence(ctx context.Context, s observedLease[structs.AgentLease]) {
 	key := structs.AgentLeaseKey(s.lease.Instance)
 	fenced := s.lease
@@ -125,7 +126,7 @@
 	m.agentLeases.observe(infra.Row{Key: key, Version: versions[0]}, fenced, time.Now(), m.agentScanInterval())
 	m.count.agentsFenced.Add(1)
 	m.deps.Events.Record(structs.Event{Step: StepAgentFenced, Peer: string(s.lease.Instance)})
-	m.deps.Log.Warn().Str("instance", string(s.lease.Instance)).Msg("agent lease lapsed, fenced")
+	m.deps.Log.Warn().Str("instance", string(s.lease.Instance)).Msg("lapsed agent lease marked as fenced")
 }
 
 // rereadLease reads one agent's row at once, because the agent reports a newer
@@ -150,8 +151,8 @@
 }
 
 // requeueEndedClaims requeues the running jobs whose agent lease is known to
-// have ended. If an agent reports a newer lease than one of its jobs names, the
-// agent's lease row is read first.
+// have ended. It first rereads the lease rows of the instances that
+// instancesWithNewerLease returns.
 func (t *tenure) requeueEndedClaims(agents map[structs.InstanceID]AgentView) {
 	for _, instance := range t.instancesWithNewerLease(agents) {
 		t.m.rereadLease(t.ctx, instance)
@@ -180,8 +181,8 @@
 }
 
 // instancesWithNewerLease returns the instances whose agent reports a newer
-// lease than one of their jobs names, while the agent's lease row, as last
-// read, doesn't prove that the job's lease has ended.
+// lease than the lease of one of their running jobs. Jobs whose lease is known
+// to have ended don't count.
 func (t *tenure) instancesWithNewerLease(agents map[structs.InstanceID]AgentView) (list []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/expire.go
+++ b/entry/batch/expire.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxOffloaded bounds the marks of offloaded jobs. Once more are offloaded,
-	// a submission or cancellation reads the job's row if the job is not in memory.
+	// maxOffloaded bounds the marks of offloaded jobs. Beyond it, a submission or
+	// cancellation of a job that is not in memory reads the job's row.
 	maxOffloaded = 500_000
 	// expirePage is the number of rows that a pass over a shard reads at once.
 	expirePage = 500
@@ -25,7 +25,7 @@
 // memory. Their rows stay until their retention ends.
 type offloaded struct {
 	marks map[uint64]struct{}
-	// full is set once there were too many jobs to mark.
+	// full is set once a job was not marked because of maxOffloaded.
 	full bool
 }
 
--- a/entry/batch/manager.go
+++ b/entry/batch/manager.go
@@ -20,7 +20,7 @@
 	StepJobState      structs.Step = "job-state"
 )
 
-// Manager is the batch side of one entry.
+// Manager owns queue shards for one entry and schedules their batch jobs.
 type Manager struct {
 	cfg  Config
 	deps Deps
@@ -40,8 +40,8 @@
 	draining bool
 	// rebalanceAfter is the earliest time at which rebalance may release a shard.
 	rebalanceAfter time.Time
-	// excludedUntil is when an entry that let a shard lapse counts as alive
-	// again.
+	// excludedUntil holds the entries that let a shard lapse, with the time at
+	// which each counts as alive again.
 	excludedUntil map[structs.EntryID]time.Time
 	ctx           context.Context
 	running       sync.WaitGroup
@@ -60,8 +60,8 @@
 	}
 }
 
-// Run acquires shards and moves their jobs until ctx ends. Ending ctx leaves
-// the shard rows as they are; call Drain first for a planned stop.
+// Run acquires shards and schedules their jobs until ctx ends. Ending ctx
+// leaves the shard rows as they are; call Drain first for a planned stop.
 func (m *Manager) Run(ctx context.Context) error {
 	m.mu.Lock()
 	m.ctx = ctx
--- a/entry/batch/observedlease.go
+++ b/entry/batch/observedlease.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// observedLease is an observer's state of one lease row.
+// observedLease is one lease row as an observer last read it, and the time for
+// which the row has stayed unchanged.
 //
 // Failure guarded against: an observer that could not read (store down) or did
 // not run (process paused) finds all counters unchanged for too long, and
--- a/entry/batch/ownership.go
+++ b/entry/batch/ownership.go
@@ -13,12 +13,12 @@
 )
 
 // rebalancePause is the time for which an entry releases no shard after
-// acquiring one above its target. For the same time, an entry that let a shard
-// lapse doesn't count as alive.
+// acquiring a shard beyond targetShards. For the same time, an entry that let a
+// shard lapse doesn't count as alive.
 const rebalancePause = time.Minute
 
 // observeShards reads the shard rows, stops replaced tenures, acquires free
-// shards and releases shards above the target.
+// shards and releases a shard if this entry owns too many.
 func (m *Manager) observeShards(ctx context.Context) {
 	sent := time.Now()
 	var rows [structs.ShardCount]infra.Row
@@ -251,8 +251,8 @@
 //
 // Failure guarded against: an entry that counts as alive acquires no shard, and
 // shards released to it stay free and unserved. The guard: the next shard is
-// released only after another entry has acquired the one released before, and
-// not within rebalancePause after this entry acquired one above its target.
+// released only after another entry has acquired the previous one. For
+// rebalancePause after this entry has exceeded its target, it releases none.
 func (m *Manager) rebalance() {
 	target := m.targetShards()
 	owned := m.tenures()
@@ -263,7 +263,8 @@
 	owned[len(owned)-1].release()
 }
 
-// mayRebalance reports whether all shards have owners and the pause is over.
+// mayRebalance reports whether all shards have owners and the time is past
+// rebalanceAfter.
 func (m *Manager) mayRebalance() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,7 +276,7 @@
 	return time.Now().After(m.rebalanceAfter)
 }
 
-// release makes the writer commit what is pending and release the shard.
+// release makes the writer commit pending changes and release the shard.
 func (t *tenure) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/route.go
+++ b/entry/batch/route.go
@@ -19,16 +19,16 @@
 	defaultDeadline = 10 * time.Second
 	// forwardPause is the wait before a request to a shard's owner is repeated.
 	forwardPause = 100 * time.Millisecond
-	// maxUnsentTries bounds the attempts at an owner that can't be reached.
+	// maxUnsentTries bounds the attempts to reach a shard's owner.
 	maxUnsentTries = 5
 	// stallLimit is the time for which a transaction's outcome may be unknown
 	// before new requests to its shard are refused at once.
 	stallLimit = time.Second
 )
 
-// Submit stores a job, or returns the stored one if the same ID and body were
+// Submit stores a job, or returns the stored job if the same ID and body were
 // submitted before. A caller that may repeat the submission must set job.ID;
-// Submit fills an empty one.
+// Submit generates a missing ID.
 func (m *Manager) Submit(ctx context.Context, job structs.Job) (structs.Job, *structs.Refusal) {
 	if job.ID == "" {
 		job.ID = structs.JobID(rand.Text())
@@ -199,8 +199,8 @@
 	return m.refuseUnknown("", step, "the owner's answer was lost"), true
 }
 
-// ServeSubmit answers another entry. It never forwards, so that no request
-// circulates between entries that disagree on the owner.
+// ServeSubmit serves a forwarded submission. It never forwards, so that no
+// request circulates between entries that disagree on the owner.
 func (m *Manager) ServeSubmit(r wire.SubmitRequest, reply *wire.SubmitReply) error {
 	shard := structs.ShardOf(r.Job.Customer)
 	t := m.tenure(shard)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// ServeCancel answers another entry; like ServeSubmit it never forwards.
+// ServeCancel serves a forwarded request; like ServeSubmit it never forwards.
 func (m *Manager) ServeCancel(r wire.CancelJobsRequest, reply *wire.CancelJobsReply) error {
 	t := m.tenure(structs.ShardOf(r.Customer))
 	if t == nil {
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// ServeRelease answers another entry; like ServeSubmit it never forwards.
+// ServeRelease serves a forwarded request; like ServeSubmit it never forwards.
 func (m *Manager) ServeRelease(r wire.ReleaseJobRequest, reply *wire.ReleaseJobReply) error {
 	shard := structs.ShardOf(r.Customer)
 	t := m.tenure(shard)
--- a/entry/batch/scaninterval_test.go
+++ b/entry/batch/scaninterval_test.go
@@ -15,7 +15,7 @@
 // One of 1,000 instances fails and its lease row stays unchanged while the
 // others renew theirs. The entry must fence that lease alone, never before it
 // ends and at most two scans later, at the interval stretched for 1,000 rows.
-// Until then the tasks wait.
+// Until then the failed instance's tasks wait.
 func TestLapseIsDetectedAtTheStretchedInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const agents, length = 1000, 10 * time.Minute
@@ -56,7 +56,7 @@
 	})
 }
 
-// With few agents the scan interval is the configured one. With very many it
+// With few agents the scan interval is AgentScanEvery. With very many agents it
 // stays within its bound, since a failed instance's tasks wait for a scan.
 func TestIntervalOfLeaseScans(t *testing.T) {
 	m := New(Config{AgentScanEvery: 10 * time.Second}, Deps{})
--- a/entry/batch/sweep.go
+++ b/entry/batch/sweep.go
@@ -40,11 +40,11 @@
 // every round.
 type sweep struct {
 	number uint64
-	// active is set while the sweep has jobs left; upTo is the number of the last
-	// submission in it.
+	// active is set while the sweep has jobs left; upTo is the Submitted number
+	// of the sweep's last job.
 	active bool
 	upTo   uint64
-	// more is set while queued jobs may be left to consider.
+	// more is set while some queued jobs may still have to be considered.
 	more bool
 	// placed is set once the sweep has found a place for a job.
 	placed bool
@@ -81,7 +81,7 @@
 }
 
 // end sets the pause until the next sweep: zero if this sweep placed a job,
-// otherwise twice the last pause, but at least first and at most maxSweepPause.
+// otherwise twice the last pause, bounded by parameter first and maxSweepPause.
 func (s *sweep) end(now time.Time, first time.Duration) {
 	s.active = false
 	s.ended = now
@@ -181,8 +181,7 @@
 	r.waitReason = reason
 }
 
-// reconsider makes the next round consider a job that this sweep has
-// considered.
+// reconsider makes the next round consider a job again.
 func (t *tenure) reconsider(id structs.JobID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/sweep_test.go
+++ b/entry/batch/sweep_test.go
@@ -19,7 +19,7 @@
 // maxStartDelay is the longest time for which a job may fit and stay queued.
 const maxStartDelay = sweepEvery + 2*time.Second
 
-// slotCluster is a fleet whose instances gain and lose slots as the test says.
+// slotCluster is a fleet whose instances gain and lose slots as the test directs.
 type slotCluster struct {
 	cluster
 	m        *Manager
@@ -112,8 +112,9 @@
 	}
 }
 
-// overdue returns a tenure's queued jobs that have fitted some instance for
-// longer than maxStartDelay; most is the largest number of free slots.
+// overdue returns a tenure's queued jobs that, without a backoff, have fitted
+// some instance for longer than maxStartDelay. The parameter most is the largest
+// number of free slots on one instance.
 func (y *slotCluster) overdue(t *tenure, most int) (late []structs.JobID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/batch/tenure.go
+++ b/entry/batch/tenure.go
@@ -33,7 +33,7 @@
 	backoffs  int
 	// considered is the number of the last sweep that considered the queued job.
 	considered uint64
-	// waitReason tells people why the job is still queued.
+	// waitReason tells clients why the job is still queued.
 	waitReason string
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// instanceTasks holds the running jobs of one instance. No job names a lease
-// below lowestLease: until that lease has ended, the jobs need no check.
+// instanceTasks holds the running jobs of one instance. All were claimed under
+// lowestLease or a later lease: until lowestLease ends, no job needs a check.
 type instanceTasks struct {
 	jobs        map[structs.JobID]struct{}
 	lowestLease structs.Incarnation
@@ -92,8 +92,7 @@
 	tallies  map[structs.Customer]*tally
 	queue    map[structs.Customer][]structs.JobID
 	running  map[structs.InstanceID]*instanceTasks
-	// outboxes hold what has still to be sent to each instance: starts without an
-	// answer, and stops.
+	// outboxes hold the unanswered starts and the stops for each instance.
 	outboxes map[structs.InstanceID]*outbox
 	// finals are the ended jobs in memory, in the order in which they ended or
 	// were read. offloaded marks ended jobs removed from memory. expired are jobs
@@ -103,7 +102,7 @@
 	expired   []structs.JobID
 	submitted uint64
 	sweep     sweep
-	// claimEnds counts ended claims: each frees a part of a customer's share.
+	// claimEnds counts ended claims: each frees slots of a customer's share.
 	claimEnds uint64
 	pending   []*change
 }
--- a/entry/batch/writer.go
+++ b/entry/batch/writer.go
@@ -365,7 +365,7 @@
 	}
 }
 
-// apply makes a committed transaction the tenure's state.
+// apply updates the state in memory after a commit.
 func (t *tenure) apply(v *view, lease structs.ShardLease, versions []uint64, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
