--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -40,7 +40,7 @@
 	fails  bool
 }
 
-// startAgent starts a new agent on an instance, which it creates if missing.
+// startAgent starts a new agent on an instance. A missing instance is created.
 func (w *cluster) startAgent(id string) *agentNode {
 	w.mu.Lock()
 	in := w.instances[id]
@@ -105,7 +105,7 @@
 	}
 }
 
-// killAgent ends an agent as SIGKILL does: it is cut off for ever. Its tasks
+// killAgent ends an agent as SIGKILL does: its connections stay cut. The tasks
 // run until the worker's lease ends or a new agent fences the worker.
 func (w *cluster) killAgent(id string) {
 	w.mu.Lock()
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -91,7 +91,7 @@
 }
 
 // Guards against: a job stays "running" for ever and is never billed. The
-// owner commits the claim, its start is lost on the way to the agent, and the
+// owner commits the claim, the start is lost on the way to the agent, and the
 // owner is killed before it repeats the start. The agent never had the task
 // and renews its lease, so no lease ever lapses.
 func TestOwnerKilledBetweenClaimAndStart(t *testing.T) {
@@ -182,7 +182,8 @@
 
 // Guards against: all shards and all agents are declared dead at once when the
 // store returns. All were alive, but none could renew or read for minutes; the
-// first reading shows each counter unchanged for longer than its lease.
+// first read then shows each lease's counter unchanged for longer than the
+// lease.
 func TestStoreOutage(t *testing.T) {
 	leases := []time.Duration{agent.DefaultLease}
 	if *measure {
--- a/entry/batch/cluster_test.go
+++ b/entry/batch/cluster_test.go
@@ -23,7 +23,7 @@
 )
 
 // cluster simulates one store, some entries and some agents in one bubble of
-// fake time. It is Directory, Contracts and Placer of every entry.
+// fake time, and implements every entry's Directory, Contracts and Placer.
 type cluster struct {
 	t       *testing.T
 	table   *memory.Table
@@ -87,7 +87,7 @@
 	w.wait.Go(func() { e.Run(ctx) })
 }
 
-// kill ends an entry as SIGKILL does: it sends nothing any more.
+// kill ends an entry as SIGKILL does: the entry sends nothing any more.
 func (w *cluster) kill(name string) {
 	e := w.entry(name)
 	w.mu.Lock()
--- a/entry/batch/random_test.go
+++ b/entry/batch/random_test.go
@@ -49,8 +49,9 @@
 	refused  map[string]bool
 }
 
-// submit submits 20 jobs of one customer. It tries one entry after another until
-// a job is accepted, but abandons a job whose first try is refused as not run.
+// submit submits 20 jobs of one customer. Each job is tried at one entry after
+// another until it is accepted. A job refused as not run at the first try is
+// abandoned.
 func (c *client) submit(target int) {
 	customer := structs.Customer([]string{"acme", "kowhai", "hill"}[target%3])
 	for range 20 {
