--- a/entry/batch/agent_test.go
+++ b/entry/batch/agent_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// freeze stops an agent for d, as SIGSTOP does.
+// freeze suspends an agent for the duration d, as SIGSTOP does.
 func (w *cluster) freeze(n *agentNode, d time.Duration) {
 	n.ctl.Freeze()
 	n.link.Freeze()
--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -371,7 +371,7 @@
 }
 
 // Guards against: a job runs twice. Its start never leaves the owner, which
-// requeues the job. The store is slow: before it applies that write, the link
+// requeues the job. The store is slow: before it applies the requeue, the link
 // works again and the owner repeats the start. The task runs, and the job is
 // then requeued and claimed elsewhere. The first start was never sent, but its
 // repeat was.
--- a/entry/batch/cost_test.go
+++ b/entry/batch/cost_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// measureStream submits rate jobs a second for ten seconds over 96 customers.
+// measureStream submits jobs of 96 customers for ten seconds, rate per second.
 func measureStream(t *testing.T, flush time.Duration, rate int) {
 	prepare := func(w *cluster) { w.flush, w.slots, w.runTime = flush, 800, 4*time.Second }
 	runCluster(t, 2, 4, prepare, func(w *cluster) {
@@ -214,8 +214,8 @@
 	return wire.StartReply{}, &wire.PeerError{Step: "start", Sent: true, Err: ctx.Err()}
 }
 
-// BenchmarkJob starts jobs through one owner of all shards, with 28,000
-// tasks running; one operation is one job from submission to its claim.
+// BenchmarkJob submits jobs to one owner of all shards, with 28,000 tasks
+// running; one operation is one job from submission to its claim.
 func BenchmarkJob(b *testing.B) {
 	m := newFleet(b, 28_000, structs.JobRunning, admitAll{})
 	b.ResetTimer()
--- a/entry/batch/sweep_test.go
+++ b/entry/batch/sweep_test.go
@@ -27,7 +27,7 @@
 	free     map[string]int
 	running  []structs.Job
 	revision structs.Revision
-	// down makes agents answer no start; sequence numbers their reports.
+	// down makes agents answer no start; sequence is that of their last reports.
 	down     bool
 	sequence uint64
 	fits     map[structs.JobID]time.Time
