--- a/entry/batch/batch_test.go
+++ b/entry/batch/batch_test.go
@@ -91,7 +91,7 @@
 }
 
 // Guards against: a job stays "running" for ever and is never billed. The
-// owner commits the claim, its start is lost on the way to the agent, and the
+// owner commits the claim, the start is lost on the way to the agent, and the
 // owner is killed before it repeats the start. The agent never had the task
 // and renews its lease, so no lease ever lapses.
 func TestOwnerKilledBetweenClaimAndStart(t *testing.T) {
@@ -182,7 +182,8 @@
 
 // Guards against: all shards and all agents are declared dead at once when the
 // store returns. All were alive, but none could renew or read for minutes; the
-// first reading shows each counter unchanged for longer than its lease.
+// first read then shows each lease's counter unchanged for longer than the
+// lease.
 func TestStoreOutage(t *testing.T) {
 	leases := []time.Duration{agent.DefaultLease}
 	if *measure {
@@ -355,8 +356,8 @@
 }
 
 // Guards against: a job waits for ever though every instance is idle. Its start
-// is lost, the instance fails, and the agent's lease lapses before any agent
-// has answered.
+// is lost, the instance fails, and the agent's lease lapses before the start is
+// answered.
 func TestClaimEndsBeforeItsStartIsAnswered(t *testing.T) {
 	runCluster(t, 1, 1, nil, func(w *cluster) {
 		w.entry("e0").ctl.Set(fault.Plan{Timeout: 1, Match: onNetwork, AnswerTimeout: fault.Exactly(time.Minute)})
@@ -370,7 +371,7 @@
 }
 
 // Guards against: a job runs twice. Its start never leaves the owner, which
-// requeues the job. The store is slow: before it applies that write, the link
+// requeues the job. The store is slow: before it applies the requeue, the link
 // works again and the owner repeats the start. The task runs, and the job is
 // then requeued and claimed elsewhere. The first start was never sent, but its
 // repeat was.
--- a/entry/batch/cluster_test.go
+++ b/entry/batch/cluster_test.go
@@ -23,7 +23,7 @@
 )
 
 // cluster simulates one store, some entries and some agents in one bubble of
-// fake time. It is Directory, Contracts and Placer of every entry.
+// fake time, and implements every entry's Directory, Contracts and Placer.
 type cluster struct {
 	t       *testing.T
 	table   *memory.Table
@@ -87,7 +87,7 @@
 	w.wait.Go(func() { e.Run(ctx) })
 }
 
-// kill ends an entry as SIGKILL does: it sends nothing any more.
+// kill ends an entry as SIGKILL does: the entry sends nothing any more.
 func (w *cluster) kill(name string) {
 	e := w.entry(name)
 	w.mu.Lock()
@@ -334,7 +334,7 @@
 	return nil, nil
 }
 
-// exchange runs one request at the process whose faults target controls.
+// exchange runs one request at a process; target controls the process's faults.
 func exchange[R any](ctx context.Context, d *dialer, target *fault.Control, run func(*R) error) (R, error) {
 	replies := make(chan R, 1)
 	failed := make(chan error, 1)
