--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -134,7 +134,7 @@
 		r.deps.Log.Info().Err(err).Str("worker", string(id)).Msg("reported worker is gone or refused the call")
 		return
 	}
-	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("listing of the reported worker failed")
+	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("reported worker did not list its runs")
 	r.pause(ctx, holdRetryPause)
 }
 
@@ -226,7 +226,7 @@
 	}
 	r.mu.Unlock()
 	if fenced {
-		r.deps.Log.Error().Err(err).Uint64("token", r.token).Msg("worker refused the listing")
+		r.deps.Log.Error().Err(err).Uint64("token", r.token).Msg("worker refused to list its runs; a newer agent may have fenced this one")
 	}
 	if ctx.Err() != nil || gone {
 		return
--- a/agent/runner/pace.go
+++ b/agent/runner/pace.go
@@ -189,7 +189,9 @@
 // ones don't count.
 const rateGain = 1.0
 
-// updateRough records a new rough figure of a run (see workerctl.RunStatus).
+// updateRough records a run's tail latency or CPU use over the last half second
+// (workerctl.RunStatus.Rough). For a started serving task it also updates rate
+// and overSince.
 func (x *run) updateRough(rough float64, now time.Duration) {
 	x.rough = rough
 	if !x.serves() {
@@ -208,7 +210,7 @@
 }
 
 // minLoggedOver is the shortest time above its target for which a tail is
-// logged: a rough figure alone is sometimes above the target for half a second.
+// logged: a single half-second measurement is sometimes above the target.
 const minLoggedOver = time.Second
 
 // logOver logs that a serving task's tail is no longer over its target, if it
--- a/agent/tasks/tasks.go
+++ b/agent/tasks/tasks.go
@@ -52,7 +52,7 @@
 // Key names one claim of a task.
 type Key = ledger.TaskKey
 
-// Steps of the time line.
+// Steps of a task in the event log.
 const (
 	StepStart   structs.Step = "task-start"
 	StepRefused structs.Step = "task-refused"
--- a/agent/twoplaces_test.go
+++ b/agent/twoplaces_test.go
@@ -19,8 +19,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes seed and length of the random runs; -rapid.seed and
-// -rapid.checks override them.
+// TestMain fixes the seed and the number of checks of the random tests;
+// -rapid.seed and -rapid.checks override them.
 func TestMain(m *testing.M) {
 	given := make(map[string]bool)
 	flag.Parse()
--- a/cmd/e2e/harness_test.go
+++ b/cmd/e2e/harness_test.go
@@ -211,7 +211,8 @@
 
 const anyPort = "127.0.0.1:0"
 
-// relayedURL returns the URL by which the process named from reaches a service.
+// relayedURL returns the URL at which one process reaches a service: that of a
+// relay, or url itself in a cluster without relays.
 func (w *cluster) relayedURL(from, service, url string) string {
 	if w.net == nil {
 		return url
--- a/entry/directory/membership.go
+++ b/entry/directory/membership.go
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// recordRows records the rows that changed and updates the directory's entries.
+// recordRows records the rows that changed, and gives the directory the
+// addresses of the live entry processes.
 func (m *Members) recordRows(rows []infra.Row, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/infra/remote/handler.go
+++ b/infra/remote/handler.go
@@ -130,8 +130,8 @@
 	reply(w, r, p.Status, contentProblem, p)
 }
 
-// reply answers with a JSON body. An answer that is too large is replaced by an
-// unknown outcome.
+// reply answers with a JSON body. If the body is too large or can't be encoded,
+// an error reply says that the outcome is unknown.
 func reply(w http.ResponseWriter, r *http.Request, code int, content string, answer any) {
 	body, err := json.Marshal(answer)
 	if err == nil && len(body) > MaxBody {
