--- a/entry/urgent/attempt.go
+++ b/entry/urgent/attempt.go
@@ -20,11 +20,11 @@
 const lateAnswerTimeout = 10 * time.Second
 
 // unresponsiveTimeout bounds an idempotent call's wait for an unresponsive agent
-// when no other slot or retry is available. The refusal with Retry-After comes
-// within the time in which urgent work has to start.
+// when no other slot or retry is available. Then the call is refused with
+// Retry-After, still within the time in which urgent work has to start.
 const unresponsiveTimeout = 5 * time.Second
 
-// attempts is the state of one call over its attempts. One goroutine owns it;
+// attempts is the state of one call and of its attempts. One goroutine owns it;
 // exchanges and liveness checks send their results on the channels.
 type attempts struct {
 	request    Request
@@ -126,8 +126,8 @@
 	return s.evaluate(a, r.exchange.agent, r.reply)
 }
 
-// retryOrWait starts another attempt after a refused one, or waits for those in
-// flight. If neither is possible, it returns the refusal.
+// retryOrWait starts another attempt after a refused one, if possible. It returns
+// nil while any attempt is in flight, and the refusal otherwise.
 func (s *Server) retryOrWait(ctx context.Context, a *attempts, refused *structs.Refusal) *structs.Refusal {
 	a.lastRefusal = refused
 	noRetry := ctx.Err() != nil || (a.mayHaveRun && !a.idempotent) || permanent(refused) || a.count >= maxAttempts
@@ -188,8 +188,8 @@
 	return false
 }
 
-// budgetExhausted returns the refusal when no retry is left: the last attempt's,
-// if any.
+// budgetExhausted returns the refusal of a call that has no retry left: that of
+// its last attempt, or else RefusedRetryBudget.
 func (a *attempts) budgetExhausted() *structs.Refusal {
 	if a.lastRefusal != nil {
 		return a.lastRefusal
@@ -258,8 +258,8 @@
 }
 
 // send makes one attempt, whose result arrives on a.results. The exchange has
-// its own context, which is cancelled at once when ctx ends, or
-// lateAnswerTimeout after the call has ended otherwise.
+// its own context, which is cancelled at once when ctx ends. If the call ends
+// earlier, the context is cancelled lateAnswerTimeout after that.
 func (s *Server) send(ctx context.Context, a *attempts, agent directory.Agent) {
 	a.count++
 	a.tried = append(a.tried, agent.Instance)
--- a/entry/urgent/call.go
+++ b/entry/urgent/call.go
@@ -18,7 +18,7 @@
 	Body     []byte
 	// Key is the caller's Idempotency-Key, or "".
 	Key string
-	// Revision is the configuration under which the call is scheduled.
+	// Revision is the revision of the configuration under which the call is scheduled.
 	Revision structs.Revision
 }
 
@@ -86,7 +86,7 @@
 	return len(agents) > 0
 }
 
-// keyed serves a non-idempotent call by the record of its Idempotency-Key.
+// keyed serves a non-idempotent call as its Idempotency-Key's record allows.
 func (s *Server) keyed(ctx context.Context, a *attempts) (Answer, *structs.Refusal) {
 	claim, earlier, refused := s.records.Begin(ctx, a.request)
 	if refused != nil {
--- a/entry/urgent/candidates.go
+++ b/entry/urgent/candidates.go
@@ -23,7 +23,7 @@
 // taken, by calls of another entry that ended long ago. No call is sent to the
 // agent, so no answer corrects the load, and callers are refused until the next
 // heartbeat, a minute away with many agents. After fullReportMaxAge one call at a
-// time is sent as if to a last free slot. The agent admits the call, or refuses
+// time is sent as if one slot were free. The agent admits the call, or refuses
 // it as not run; either answer carries the agent's load.
 const fullReportMaxAge = time.Second
 
@@ -48,8 +48,8 @@
 	return out
 }
 
-// addLoad copies the service's load into c. The instance's free slots bound the
-// service's own, since other services and batch tasks share them.
+// addLoad copies the service's load into c. The service has no more free
+// slots than the instance, whose slots other services and batch tasks share.
 func addLoad(c *decide.Candidate, a directory.Agent, l wire.ServiceLoad) {
 	c.InUse, c.ServiceTime, c.Leaving = l.InUse, l.ServiceTime, l.Leaving
 	c.Slots = min(l.Slots, l.InUse+a.Load.Free.Slots)
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -15,7 +15,7 @@
 
 const (
 	// promptDelay bounds the wait of a prompt write while a transaction is in
-	// flight; without one the write is sent at once.
+	// flight. If none is, the write is sent at once.
 	promptDelay = 5 * time.Millisecond
 	// deferrableDelay bounds the time for which a deferrable write (of an answer
 	// that the caller already has) waits to join a prompt write's transaction.
@@ -126,8 +126,8 @@
 	}
 }
 
-// dequeue returns the writes of one transaction, prompt ones first. A key occurs
-// once at most, and a write whose context has ended is dropped without effect.
+// dequeue returns the writes of one transaction, prompt ones first, with each key
+// at most once. A write whose context has ended is dropped without effect.
 func (g *groupWriter) dequeue() []*recordWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -167,8 +167,8 @@
 // which proves that nothing was applied, the conflicting write fails and the rest
 // is sent again. After an unknown outcome each record is written separately,
 // under the same operation ID and the same condition on its version. So at most
-// one of the two writes can change the record, however late the first one is
-// applied, and a row that names the operation proves that one of them did.
+// one of the two, transaction or separate write, changes the record, however late
+// the transaction is applied. A row that names the operation proves that one did.
 func (g *groupWriter) commit(ws []*recordWrite) {
 	for len(ws) > 0 {
 		op := "calls/" + rand.Text()
--- a/entry/urgent/hedge.go
+++ b/entry/urgent/hedge.go
@@ -43,8 +43,8 @@
 	return &latencies{services: make(map[structs.Service]*latencyRing), minSamples: latencyUpdateEvery}
 }
 
-// add records the duration of an answered attempt. Answers after the first one
-// are recorded, too, or slow attempts would be missing.
+// add records the duration of an answered attempt, also if another attempt
+// answered the call first: without these, slow attempts would be missing.
 func (l *latencies) add(service structs.Service, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,8 @@
 	}
 }
 
-// p95 returns a service's 95th percentile, at least minHedgeDelay, 0 if unknown.
+// p95 returns a service's 95th percentile, at least minHedgeDelay, or 0 if
+// it is unknown.
 func (l *latencies) p95(service structs.Service) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,8 +83,8 @@
 }
 
 // hedgeTicker returns a ticker for the second attempt, or nil if the call is
-// not to be hedged. It ticks again in case the first tick found no candidate or
-// budget.
+// not to be hedged. The ticker repeats, since a tick may find no candidate or no
+// retry in the budget.
 func (s *Server) hedgeTicker(a *attempts) *time.Ticker {
 	if !a.idempotent {
 		return nil
--- a/entry/urgent/record.go
+++ b/entry/urgent/record.go
@@ -43,10 +43,10 @@
 // callRecord is the row of one keyed non-idempotent call.
 type callRecord struct {
 	State callState `json:"state"`
-	// Attempt identifies the one attempt that the record stands for.
+	// Attempt identifies the attempt that wrote the record to claim the call.
 	Attempt string `json:"attempt"`
 	// Epoch is the epoch of the last write, from which the record's retention
-	// counts; 0 if the writer did not know it.
+	// counts; 0 if the writer did not know the epoch.
 	Epoch   structs.RetentionEpoch `json:"epoch,omitempty"`
 	Request structs.RequestID      `json:"request"`
 	// Digest is the hash of service and body: a key used again for another
@@ -103,8 +103,8 @@
 	return r.group.Transactions.Load(), r.group.Resolved.Load()
 }
 
-// Begin writes the record before anything is sent. It returns the claim, or
-// the answer of an earlier attempt, or a refusal.
+// Begin writes the record before the call is sent to an agent. It returns the
+// claim, or the answer of an earlier attempt, or a refusal.
 //
 // Failure guarded against: the same request arrives again through another entry
 // while the first attempt may have run, and the call runs twice. The insert is
@@ -131,8 +131,8 @@
 			Detail: "the Idempotency-Key can't be the name of a record", Step: "call.record"}
 	}
 	if !errors.Is(err, infra.ErrUnavailable) {
-		// The insert may still take effect. Nothing was sent and nothing will
-		// be, so the record is set to not_run as soon as the store answers.
+		// The insert may still take effect. The call is not sent to any agent,
+		// so the record is set to not_run as soon as the store answers.
 		r.Abandon(c)
 	}
 	return nil, nil, &structs.Refusal{Type: structs.RefusedStore, Status: 503, Outcome: structs.NotRun,
@@ -140,7 +140,8 @@
 		Step: "call.record", Peer: "table"}
 }
 
-// resolveEarlier decides the call by the record of an earlier attempt.
+// resolveEarlier claims, answers or refuses the call by an earlier attempt's
+// record.
 func (r *Records) resolveEarlier(ctx context.Context, c *Claim, row infra.Row) (*Claim, *Answer, *structs.Refusal) {
 	var earlier callRecord
 	if err := json.Unmarshal(row.Value, &earlier); err != nil {
@@ -205,8 +206,9 @@
 	return err
 }
 
-// Finish records the answer. The caller gets it whether or not the store
-// answers; until it is recorded, a repeat of the key is refused as in doubt.
+// Finish records the answer in the background, so the caller gets it even if the
+// store is down. Until the record is written, a repeat of the key is refused as
+// in doubt.
 func (r *Records) Finish(c *Claim, a Answer) {
 	c.record.Status, c.record.Headers, c.record.Body = a.Status, a.Headers, a.Body
 	r.writeFinal(c, callDone)
@@ -240,7 +242,7 @@
 	}()
 }
 
-// tryWriteFinal makes one try and reports whether nothing is left to do. A
+// tryWriteFinal tries the write once and reports whether no more is needed. A
 // conflict with a record of the claim's own attempt means that an earlier write
 // took effect after all, at a version not known yet.
 func (r *Records) tryWriteFinal(ctx context.Context, c *Claim, state callState) bool {
--- a/entry/urgent/refusals.go
+++ b/entry/urgent/refusals.go
@@ -23,10 +23,10 @@
 }
 
 // noAgentsRetryAfter is the Retry-After for a service without agents. An agent
-// that can reach this entry reports within a heartbeat, 2 s while agents are few.
+// that can reach this entry reports within a heartbeat interval, 2 s while agents are few.
 const noAgentsRetryAfter = 2 * time.Second
 
-// noAgents refuses a call to a service that was offered until recently.
+// noAgents refuses a call to a service that lost its last agent recently.
 func noAgents(service structs.Service) *structs.Refusal {
 	return &structs.Refusal{Type: structs.RefusedUnreachable, Status: 503, Outcome: structs.NotRun,
 		Detail: fmt.Sprintf("no backend server of %q is heard now", service), RetryAfter: noAgentsRetryAfter, Step: "call.choose"}
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Records returns the store of keyed calls' records. The entry must run its
-// Sweep.
+// Records returns the store of keyed calls' records. The entry must run
+// Records.Sweep.
 func (s *Server) Records() *Records { return s.records }
 
 // Close ends the background work of s.
--- a/entry/urgent/sweep.go
+++ b/entry/urgent/sweep.go
@@ -31,7 +31,7 @@
 type Epochs interface {
 	// Epoch returns the epoch for a record that is written now, if known.
 	Epoch() (structs.RetentionEpoch, bool)
-	// Expired reports whether a record written in that epoch may be deleted.
+	// Expired reports whether a record stamped with that epoch may be deleted.
 	Expired(written structs.RetentionEpoch) bool
 }
 
@@ -147,7 +147,8 @@
 }
 
 // deleteExpired deletes the records that still have the version read. A changed
-// record is left to the next pass; so are all records if the outcome is unknown.
+// record is left to the next pass. If the outcome of the delete is unknown, all
+// records are.
 //
 // Failure guarded against: a key is used again just as its record expires, and
 // the new record is deleted; the call could run twice. The delete is
