--- a/entry/retention/retention.go
+++ b/entry/retention/retention.go
@@ -99,8 +99,8 @@
 	return c.row.Epoch, true
 }
 
-// Expired reports whether a row stamped with the given epoch may be deleted. A
-// row without a stamp may not: its reader stamps it first.
+// Expired reports whether a row stamped with the given epoch may be deleted. It
+// is false for 0, the epoch of a row without a stamp: such a row must be stamped first.
 func (c *Counter) Expired(written structs.RetentionEpoch) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +158,7 @@
 	return next, !c.known || time.Since(c.changedAt) > next.Period.Std(), nil
 }
 
-// advance writes the next epoch on the condition that no other entry has. The
+// advance writes the next epoch unless another entry has written it. The
 // next read shows whether the write took effect.
 func (c *Counter) advance(ctx context.Context, next row, version uint64) error {
 	value, err := json.Marshal(next)
--- a/entry/retention/retention_test.go
+++ b/entry/retention/retention_test.go
@@ -46,8 +46,9 @@
 }
 
 // An entry is cut off from the table service while others advance the epoch.
-// Rows that it stamped with the last epoch read would be deleted too early,
-// after a day at once. So it must stamp no row after a period without a read.
+// Rows stamped with the last epoch read would be deleted too early: at once, if
+// the last read was a day ago. So the entry must stamp no row after a period
+// without a read.
 func TestNoEpochFromStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.NewTable()
