--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -18,12 +18,12 @@
 
 const (
 	// configWait is the time after which the store answers a feed request even
-	// without changes. It bounds the time until a silent connection is noticed: a
-	// change must be in force within 2 s.
+	// without changes. So a broken connection is noticed soon: a change must be
+	// in force within 2 s.
 	configWait = 500 * time.Millisecond
-	// feedIdleTimeout ends a feed that receives nothing for this long beyond
-	// its wait. The rows are then listed instead: a feed would deliver every
-	// change made meanwhile, a list only the latest state.
+	// feedIdleTimeout ends a feed request that receives nothing for this long
+	// after configWait. The rows are then listed instead: a feed would deliver
+	// every change made meanwhile, a list only the latest state.
 	feedIdleTimeout = 400 * time.Millisecond
 	// configLateAfter is the duration of a read after which the feed is logged
 	// as lost. The answer of a longer read does not set the store's clock,
@@ -56,7 +56,8 @@
 	current atomic.Pointer[workload.Config]
 	drains  atomic.Pointer[workload.Drains]
 	// lastAnswer is the time of the store's last answer. confirmed is the time
-	// at which the rows were last known to be current. Both are readings of now.
+	// at which the rows were last known to be current. Both are times of the
+	// clock that now reads.
 	lastAnswer, confirmed atomic.Int64
 	// lost is set once the loss of the feed has been logged.
 	lost  atomic.Bool
@@ -93,8 +94,8 @@
 //
 // Failure guarded against: an entry that has written no job yet has no store
 // time and stamps its first job with its own machine's clock, hours off. The
-// job then counts as overdue and waits behind all others, or counts as in time
-// for ever. No job is accepted before a configuration has arrived, and the
+// job then counts as overdue and waits behind all others, or never counts as
+// overdue. No job is accepted before a configuration has arrived, and the
 // answer that brings the configuration sets the clock.
 func NewFollower(store rowstore.Reader, source ConfigSource, log zerolog.Logger, clock *StoreClock) *Follower {
 	f := &Follower{store: store, source: source, log: log, now: clock.now, clock: clock}
@@ -108,7 +109,7 @@
 // Drains returns the drained data centres and the time since the store last
 // confirmed them.
 func (f *Follower) Drains() (workload.Drains, time.Duration) {
-	// The age is read first; later it could belong to a newer answer.
+	// Read after the drains, the age could belong to a newer answer.
 	age := f.now() - time.Duration(f.confirmed.Load())
 	return *f.drains.Load(), age
 }
@@ -126,8 +127,8 @@
 			f.reportLost(ctx, err)
 			f.Counters.Failed.Add(1)
 			f.log.Info().Err(err).Bool("feed", listed).Dur("took", f.now()-asked).Msg("configuration not read")
-			// After these two errors the rows are listed again: changes may have been
-			// made while the feed gave no answer.
+			// After these two errors the rows are listed: changes may have been made
+			// while the feed gave no answer.
 			listed = listed && !errors.Is(err, rowstore.ErrCompacted) && !errors.Is(err, rowstore.ErrUnknown)
 			wait.For(ctx, configRetry)
 			continue
@@ -175,7 +176,7 @@
 }
 
 // recordAnswer records an answer of the store. A list, or a feed with changes,
-// may hold the state at the time of the request; a feed without changes
+// may show the state at the time of the request; a feed without changes
 // confirms the state at the end of its wait.
 func (f *Follower) recordAnswer(asked time.Duration, feed, changes bool) {
 	now := f.now()
@@ -186,9 +187,10 @@
 	f.confirmed.Store(int64(asked))
 }
 
-// applyDrains applies the drain rows of a feed (changes is set) or of a list,
-// which replaces all drains. A list counts as newer even if it changes nothing
-// here: another process may have sent agents a drain that has ended since.
+// applyDrains applies drain rows. Those of a feed (changes is set) change the
+// drains in force; those of a list replace them. A list counts as newer even if
+// it changes nothing here: another process may have sent agents a drain that has
+// ended since.
 func (f *Follower) applyDrains(rows []rowstore.Row, at rowstore.Stamp, changes bool) {
 	if f.source.Drained == nil {
 		return
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake handles the clients' calls at an entry about jobs that consist
-// of steps. It accepts a job once the store has it, reports states and cancels jobs.
+// Package intake handles clients' calls about jobs that consist of steps. It
+// accepts a job once it is stored, reports states and cancels jobs.
 package intake
 
 import (
@@ -32,7 +32,8 @@
 	// peerTimeout bounds a request to the scheduler.
 	peerTimeout = 300 * time.Millisecond
 	// noteTimeout bounds the notification of the scheduler of a stored job or
-	// cancellation. If it is lost, the scheduler finds the row in the store's feed.
+	// cancellation. If the notification is lost, the scheduler finds the row in
+	// the store's feed.
 	noteTimeout = 500 * time.Millisecond
 	// unavailableAfter is the time without an answer of the store, direct or
 	// through another entry, after which the store counts as unavailable. The
@@ -47,8 +48,8 @@
 // Counters count an entry's calls.
 type Counters struct {
 	Accepted, Repeated, Refused, Undecided, States, StateReads, Cancels atomic.Int64
-	// Submission is the time from a job's arrival to the answer. State is the
-	// same time for a request for a job's state.
+	// Submission is the time from a job's arrival to the answer, State the time
+	// from a request for a job's state to the answer.
 	Submission, State histogram.Latency
 }
 
@@ -92,7 +93,8 @@
 // a write would only make its caller wait.
 func (s *Service) storeUnavailable() bool { return s.config.AnswerAge() > unavailableAfter }
 
-// Queue finds the queue of a call, the rest of the path and the body limit.
+// Queue returns the queue for host and path, the rest of the path, and the limit
+// of the body in bytes.
 func (s *Service) Queue(host, path string) (workload.Queue, string, int64, error) {
 	c := s.config.Current()
 	if c == nil {
@@ -110,7 +112,7 @@
 func (s *Service) Submit(ctx context.Context, q workload.Queue, j workload.Job) error {
 	begun := time.Now()
 	if s.storeUnavailable() {
-		// Nothing is written, so the refusal is certain. The client may try
+		// Nothing is written, so the job certainly does not run. The client may try
 		// another entry at once instead of waiting here for an unknown outcome.
 		s.Counters.Refused.Add(1)
 		s.log.Info().Str("job", string(j.ID)).Str("queue", q.Name).Dur("heard", s.config.AnswerAge()).Msg("job refused: the store is away")
@@ -151,7 +153,8 @@
 
 // write applies a write whose condition is the absence of its row. It repeats
 // the write until the outcome is known, ctx ends or the store counts as
-// unavailable; while certainly nothing was written, for refusedRetryTime at most.
+// unavailable. If the write certainly had no effect, it is repeated for
+// refusedRetryTime at most.
 // A write without an answer may take effect seconds later, and only a repeat
 // under the same condition shows its outcome.
 func (s *Service) write(ctx context.Context, t rowstore.Txn) outcome {
