--- a/entry/retention/retention.go
+++ b/entry/retention/retention.go
@@ -99,8 +99,8 @@
 	return c.row.Epoch, true
 }
 
-// Expired reports whether a row stamped with the given epoch may be deleted. It
-// is false for 0, the epoch of a row without a stamp: such a row must be stamped first.
+// Expired reports whether a row stamped with the given epoch may be deleted. A
+// row without a stamp (epoch 0) may not be deleted; it must be stamped first.
 func (c *Counter) Expired(written structs.RetentionEpoch) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
