--- a/entry/urgent/call.go
+++ b/entry/urgent/call.go
@@ -18,7 +18,7 @@
 	Body     []byte
 	// Key is the caller's Idempotency-Key, or "".
 	Key string
-	// Revision is the revision of the configuration under which the call is scheduled.
+	// Revision is that of the configuration under which the call is scheduled.
 	Revision structs.Revision
 }
 
--- a/entry/urgent/candidates.go
+++ b/entry/urgent/candidates.go
@@ -48,8 +48,8 @@
 	return out
 }
 
-// addLoad copies the service's load into c. The service has no more free
-// slots than the instance, whose slots other services and batch tasks share.
+// addLoad copies the service's load into c. The service has no more free slots
+// than the instance, whose slots other services and batch tasks share.
 func addLoad(c *decide.Candidate, a directory.Agent, l wire.ServiceLoad) {
 	c.InUse, c.ServiceTime, c.Leaving = l.InUse, l.ServiceTime, l.Leaving
 	c.Slots = min(l.Slots, l.InUse+a.Load.Free.Slots)
--- a/entry/urgent/group.go
+++ b/entry/urgent/group.go
@@ -15,7 +15,7 @@
 
 const (
 	// promptDelay bounds the wait of a prompt write while a transaction is in
-	// flight. If none is, the write is sent at once.
+	// flight. If none is in flight, the write is sent at once.
 	promptDelay = 5 * time.Millisecond
 	// deferrableDelay bounds the time for which a deferrable write (of an answer
 	// that the caller already has) waits to join a prompt write's transaction.
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -79,7 +79,8 @@
 	Model  *model.Shared
 	Events structs.Recorder
 	Log    zerolog.Logger
-	// Random returns an unpredictable number; it spreads choices and retries.
+	// Random returns an unpredictable number, by which the choices of agents,
+	// also for retries, are spread.
 	Random func() uint64
 }
 
