--- a/entry/intake/config.go
+++ b/entry/intake/config.go
@@ -56,8 +56,7 @@
 	current atomic.Pointer[workload.Config]
 	drains  atomic.Pointer[workload.Drains]
 	// lastAnswer is the time of the store's last answer. confirmed is the time
-	// at which the rows were last known to be current. Both are times of the
-	// clock that now reads.
+	// at which the rows were last known to be current. Both are local times.
 	lastAnswer, confirmed atomic.Int64
 	// lost is set once the loss of the feed has been logged.
 	lost  atomic.Bool
--- a/entry/intake/intake.go
+++ b/entry/intake/intake.go
@@ -32,8 +32,7 @@
 	// peerTimeout bounds a request to the scheduler.
 	peerTimeout = 300 * time.Millisecond
 	// noteTimeout bounds the notification of the scheduler of a stored job or
-	// cancellation. If the notification is lost, the scheduler finds the row in
-	// the store's feed.
+	// cancellation. Without notification the scheduler finds the row in the store's feed.
 	noteTimeout = 500 * time.Millisecond
 	// unavailableAfter is the time without an answer of the store, direct or
 	// through another entry, after which the store counts as unavailable. The
@@ -93,8 +92,7 @@
 // a write would only make its caller wait.
 func (s *Service) storeUnavailable() bool { return s.config.AnswerAge() > unavailableAfter }
 
-// Queue returns the queue for host and path, the rest of the path, and the limit
-// of the body in bytes.
+// Queue returns a call's queue, the rest of its path, and the body limit in bytes.
 func (s *Service) Queue(host, path string) (workload.Queue, string, int64, error) {
 	c := s.config.Current()
 	if c == nil {
--- a/entry/urgent/group_test.go
+++ b/entry/urgent/group_test.go
@@ -97,8 +97,7 @@
 
 // Eight records are written together, one key was used before, and one fault
 // hits the transaction. The seven others must be written within the second that
-// their callers wait: a repeat of one key must not make other customers'
-// calls fail.
+// their callers wait: a repeat of one key must not fail other customers' calls.
 func TestGroupCommitWithOneFault(t *testing.T) {
 	for _, f := range []fault.Fault{fault.None, fault.Timeout, fault.LoseAnswer, fault.Delay} {
 		synctest.Test(t, func(t *testing.T) {
--- a/entry/urgent/hedge.go
+++ b/entry/urgent/hedge.go
@@ -70,8 +70,7 @@
 	}
 }
 
-// p95 returns a service's 95th percentile, at least minHedgeDelay, or 0 if the
-// percentile is unknown.
+// p95 returns a service's 95th percentile, at least minHedgeDelay, 0 if unknown.
 func (l *latencies) p95(service structs.Service) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/urgent/liveness.go
+++ b/entry/urgent/liveness.go
@@ -76,8 +76,7 @@
 //
 // Failure guarded against: calls at an unresponsive agent end early, by their own
 // deadlines or by the answer of a second attempt, so that none lasts until
-// checkAfter. Without this check each new call would be sent to the agent and
-// cost a retry.
+// checkAfter. Without this check the agent would cost each new call a retry.
 func (l *liveness) checkAfterLoss(a directory.Agent, since time.Duration) {
 	if !l.recentContact(a, min(since, checkAfter)) {
 		l.check(a)
--- a/entry/urgent/record.go
+++ b/entry/urgent/record.go
@@ -140,8 +140,7 @@
 		Step: "call.record", Peer: "table"}
 }
 
-// resolveEarlier claims, answers or refuses the call by an earlier attempt's
-// record.
+// resolveEarlier claims, answers or refuses a call that has an earlier record.
 func (r *Records) resolveEarlier(ctx context.Context, c *Claim, row infra.Row) (*Claim, *Answer, *structs.Refusal) {
 	var earlier callRecord
 	if err := json.Unmarshal(row.Value, &earlier); err != nil {
@@ -206,9 +205,8 @@
 	return err
 }
 
-// Finish records the answer in the background, so the caller gets it even if the
-// store is down. Until the record is written, a repeat of the key is refused as
-// in doubt.
+// Finish records the answer in the background; the caller does not wait for
+// the store. Until the record is written, a repeat is refused as in doubt.
 func (r *Records) Finish(c *Claim, a Answer) {
 	c.record.Status, c.record.Headers, c.record.Body = a.Status, a.Headers, a.Body
 	r.writeFinal(c, callDone)
--- a/entry/urgent/refusals.go
+++ b/entry/urgent/refusals.go
@@ -23,8 +23,7 @@
 }
 
 // noAgentsRetryAfter is the Retry-After for a service without agents. An agent
-// that can reach this entry reports within a heartbeat interval, 2 s while agents
-// are few.
+// that can reach this entry reports within a heartbeat, 2 s while agents are few.
 const noAgentsRetryAfter = 2 * time.Second
 
 // noAgents refuses a call to a service that lost its last agent recently.
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -79,8 +79,7 @@
 	Model  *model.Shared
 	Events structs.Recorder
 	Log    zerolog.Logger
-	// Random returns an unpredictable number, by which the choices of agents,
-	// also for retries, are spread.
+	// Random returns an unpredictable number that spreads the choices of agents.
 	Random func() uint64
 }
 
--- a/entry/urgent/sweep.go
+++ b/entry/urgent/sweep.go
@@ -146,9 +146,8 @@
 	}
 }
 
-// deleteExpired deletes the records that still have the version read. A changed
-// record is left to the next pass. If the outcome of the delete is unknown, the
-// next pass tries all of them again.
+// deleteExpired deletes the records that still have the version read. Changed
+// records, and all records after an unknown outcome, are left to the next pass.
 //
 // Failure guarded against: a key is used again just as its record expires, and
 // the new record is deleted; the call could run twice. The delete is
