--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -79,7 +79,7 @@
 	Model  *model.Shared
 	Events structs.Recorder
 	Log    zerolog.Logger
-	// Random returns an unpredictable number; it spreads choices and retries.
+	// Random returns an unpredictable number that spreads the choices of agents.
 	Random func() uint64
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// Records returns the store of keyed calls' records. The entry must run its
-// Sweep.
+// Records returns the store of keyed calls' records. The entry must run
+// Records.Sweep.
 func (s *Server) Records() *Records { return s.records }
 
 // Close ends the background work of s.
