--- a/agent/ledger/servers.go
+++ b/agent/ledger/servers.go
@@ -183,9 +183,10 @@
 //
 // Guards against more requests at the server than slots. It comes about when a
 // new agent first receives a late announcement from before its predecessor's
-// time, and chooses the predecessor's incarnation. A second late announcement
-// then looks as if the server had accepted the new agent, and its list lacks
-// the calls that run. The session, unique to a process, shows the difference.
+// time, and chooses the predecessor's incarnation. A second late announcement,
+// from the predecessor's time, then looks as if the server had accepted the new
+// agent. Its list of active requests lacks calls that run now. The session,
+// unique to an agent's process, shows the difference.
 func (l *Ledger) incarnationCollides(s *server, a backend.Announcement) bool {
 	return a.AgentIncarnation == s.agent && a.AgentSession != l.session
 }
--- a/agent/runner/capacity.go
+++ b/agent/runner/capacity.go
@@ -24,7 +24,7 @@
 	if stale := !r.reportedRecently(inc); stale != inc.stale {
 		inc.stale = stale
 		inc.changed = r.recordChange(true)
-		r.deps.Log.Info().Str("worker", string(inc.id)).Bool("stale", stale).Msg("staleness of the worker's reports changed")
+		r.deps.Log.Info().Str("worker", string(inc.id)).Bool("stale", stale).Msg("reports of the worker became stale or fresh again")
 	}
 }
 
--- a/agent/runner/hold.go
+++ b/agent/runner/hold.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// holdWait bounds a listing's wait for a run to end, and so the age of the
-	// lease and of the figures in RunStatus.Rough, which cover half a second.
+	// holdWait bounds how long the worker may delay a listing while no run ends.
+	// A listing also renews the lease and reports each run's tail latency or CPU
+	// use over the last half second, so holdWait limits the age of both.
 	holdWait = 500 * time.Millisecond
 	// lossyWait replaces holdWait for lossyPeriod after an unanswered listing.
 	lossyWait   = 100 * time.Millisecond
@@ -131,10 +132,10 @@
 			r.candidate = nil
 		}
 		r.mu.Unlock()
-		r.deps.Log.Info().Err(err).Str("worker", string(id)).Msg("reported worker is gone or refused the call")
+		r.deps.Log.Info().Err(err).Str("worker", string(id)).Msg("unconfirmed worker is gone or refused to list its runs")
 		return
 	}
-	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("reported worker did not list its runs")
+	r.deps.Log.Warn().Err(err).Str("worker", string(id)).Msg("unconfirmed worker did not list its runs")
 	r.pause(ctx, holdRetryPause)
 }
 
@@ -343,5 +344,5 @@
 	x.state = dispatch.RunVoid
 	x.reason = reason
 	x.changed = r.recordChange(true)
-	r.deps.Log.Info().Stringer("run", x.id).Str("why", reason).Msg("run is not on the worker and never will be")
+	r.deps.Log.Info().Stringer("run", x.id).Str("why", reason).Msg("run is void: not on the worker and never will be")
 }
--- a/agent/runner/watch.go
+++ b/agent/runner/watch.go
@@ -125,7 +125,7 @@
 		}
 		if inc.worker.Draining != w.Draining || inc.worker.Capacity != w.Capacity {
 			inc.changed = r.recordChange(true)
-			r.deps.Log.Info().Str("worker", string(w.ID)).Bool("draining", w.Draining).Int("cpu", w.Capacity.CPU).Msg("worker changed")
+			r.deps.Log.Info().Str("worker", string(w.ID)).Bool("draining", w.Draining).Int("cpu", w.Capacity.CPU).Msg("draining state or capacity of the worker changed")
 		}
 		inc.worker = w
 		r.checkReports(inc)
--- a/cmd/e2e/cut_test.go
+++ b/cmd/e2e/cut_test.go
@@ -261,8 +261,9 @@
 	}
 }
 
-// repeatKeyed lodges every keyed claim again under its key. The timeout is long
-// enough to read the claim's record.
+// repeatKeyed lodges every keyed claim again under its Idempotency-Key. The
+// call's timeout is long enough that the entry refuses no repeat before it has
+// read the record of the key.
 func (c *claims) repeatKeyed(e *process) {
 	c.mu.Lock()
 	var keyed []string
--- a/decide/model/workload.go
+++ b/decide/model/workload.go
@@ -34,7 +34,7 @@
 	NoDisturbances bool
 }
 
-// Sizes of the simulated fleet.
+// Sizes and rates of the simulated fleet and its load.
 const (
 	// batchRate is the number of jobs a second for a share of 1.
 	batchRate = 2.5
--- a/entry/scheduler/counters.go
+++ b/entry/scheduler/counters.go
@@ -12,11 +12,11 @@
 	// loaded or received, JobsEnded the jobs whose final state was stored.
 	Terms, Jobs, JobsEnded atomic.Int64
 	// Placements, Ends, Void and Lost count the runs placed, reported as ended,
-	// reported as never started, and lost with their worker. Relocated, Regrouped
-	// and Rescued count the runs stopped so that their tasks run elsewhere:
-	// filling runs, serving runs, and runs that progressed too slowly. Suspected
-	// counts how often a worker became suspect because runs of several jobs failed
-	// there.
+	// reported as void (not on the worker, now or later), and lost with their
+	// worker. Relocated, Regrouped and Rescued count the runs stopped so that their
+	// tasks run elsewhere: filling runs, serving runs, and runs that progressed too
+	// slowly. Suspected counts how often a worker became suspect because runs of
+	// several jobs failed there.
 	Placements, Ends, Void, Lost, Relocated, Regrouped, Rescued, Suspected atomic.Int64
 	// Blamed counts how often a task may have crashed a worker, Quarantined the
 	// runs placed in quarantine, GivenUp the jobs failed for crashing workers.
--- a/entry/scheduler/holdcapacity.go
+++ b/entry/scheduler/holdcapacity.go
@@ -25,7 +25,7 @@
 	k.pin, k.pinUntil = w.id, now.Add(pinFor)
 	w.held[id] = heldCapacity{need: s.spec.Reserved(), until: k.pinUntil}
 	v.candidates[n].Free = v.candidates[n].Free.Sub(s.spec.Reserved())
-	t.deps.Log.Info().Stringer("run", workload.RunID{Task: id, Run: k.run}).Str("room", string(w.id)).Msg("capacity held")
+	t.deps.Log.Info().Stringer("run", workload.RunID{Task: id, Run: k.run}).Str("room", string(w.id)).Msg("capacity held for the task's next placement")
 }
 
 // bestToHold returns the candidate with the most free CPU among those that have
--- a/entry/scheduler/link.go
+++ b/entry/scheduler/link.go
@@ -300,7 +300,7 @@
 		if !known {
 			return false
 		}
-		t.deps.Log.Info().Stringer("run", r.Run).Str("worker", string(w.id)).Str("why", r.Reason).Msg("run will never start")
+		t.deps.Log.Info().Stringer("run", r.Run).Str("worker", string(w.id)).Str("why", r.Reason).Msg("agent reported that the run is not on the worker and never will be")
 		t.deps.Counters.Void.Add(1)
 		w.remove(r.Run)
 		switch {
--- a/entry/scheduler/yield.go
+++ b/entry/scheduler/yield.go
@@ -59,7 +59,7 @@
 	var reply dispatch.YieldReply
 	err := link.Call(ctx, "Scheduler.Yield", dispatch.YieldArgs{Process: lease.Process, Heir: e.cfg.Node}, &reply, pingTimeout)
 	e.deps.Log.Info().Err(err).Str("leader", lease.Node).Float64("power", lease.Power).Float64("own_power", e.cfg.Power).
-		Bool("agreed", reply.Agreed).Msg("lease requested")
+		Bool("agreed", reply.Agreed).Msg("leader was asked to hand over the lease")
 	return err == nil && reply.Agreed
 }
 
--- a/entry/urgent/server.go
+++ b/entry/urgent/server.go
@@ -73,7 +73,8 @@
 	Directory Directory
 	Peers     wire.Dialer
 	Table     infra.Table
-	// Epochs provides the epochs of the records of keyed calls.
+	// Epochs provides the retention epochs that determine when the records of
+	// keyed calls may be deleted.
 	Epochs Epochs
 	Zone   structs.DataCentre
 	Model  *model.Shared
--- a/ops/certs/certs.go
+++ b/ops/certs/certs.go
@@ -87,9 +87,9 @@
 
 // verifyServer checks the server's chain against the authority in force.
 //
-// Failure guarded against: an attacker on the network between two processes
-// answers for a peer with the attacker's own certificate. The handshake then
-// fails before any message of the protocol is sent.
+// Guards against an attacker on the network between two processes who answers
+// for a peer with the attacker's own certificate: this check fails the handshake
+// before any message of the protocol is sent.
 func (c *Certificate) verifyServer(state tls.ConnectionState) error {
 	options := x509.VerifyOptions{Roots: c.current().ClientCAs, Intermediates: x509.NewCertPool()}
 	for _, cert := range state.PeerCertificates[1:] {
