--- a/entry/relay/race.go
+++ b/entry/relay/race.go
@@ -22,7 +22,7 @@
 )
 
 // errNoResponse reports a direct path without a sign of an answer in time.
-var errNoResponse = errors.New("store gave no sign of an answer")
+var errNoResponse = errors.New("no sign of an answer")
 
 // plan describes the attempts of a read.
 type plan struct {
